--- a/harbourmaster/src/tests.rs
+++ b/harbourmaster/src/tests.rs
@@ -1,5 +1,7 @@
 //! What each call says where a majority answers, and where none does; and what no word may run ahead of.
 
+mod answers;
+
 use crate::calls::{Call, Rests};
 use crate::made_up::{NODES, Shelf, Sound, ask, configuration, pass, play, port, still};
 use crate::{office, orders};
--- a/harbourmaster/tests/desk.rs
+++ b/harbourmaster/tests/desk.rs
@@ -110,3 +110,113 @@
     let (code, said) = run(at, &["voters", "replace", "10.0.0.2", "control-4"]);
     assert!(code == Some(2) && said.contains("NEW: \"control-4\" is no address"), "{said}");
 }
+
+/// Each command as an operator types it, and the one call that it sends; what is answered is printed, and the end is 0.
+#[test]
+fn each_command_sends_its_call_and_prints_the_answer() {
+    let (at, asked) = stand_in(|_| (200, r#"{"Answer":1}"#.to_string()));
+    for (words, call) in [
+        (&["evacuate", "begin", "east"][..], "POST /archlink/Evacuation.Begin/east"),
+        (&["evacuate", "finish", "east"], "POST /archlink/Evacuation.Finish/east"),
+        (&["members"], "GET /archlink/members"),
+        (&["hosts"], "GET /archlink/hosts"),
+        (&["duties"], "GET /archlink/duties"),
+        (&["quota"], "GET /archlink/quota"),
+        (&["journal"], "GET /archlink/journal"),
+        (&["voters"], "GET /archlink/voters"),
+        (
+            &["voters", "replace", "10.0.0.3:8200", "10.0.0.4"],
+            "POST /archlink/Voters.Replace/10.0.0.3/10.0.0.4",
+        ),
+    ] {
+        let (code, said) = run(at, words);
+        assert_eq!((code, said.as_str()), (Some(0), "{\"Answer\":1}\n"), "{words:?}");
+        assert_eq!(asked.try_iter().collect::<Vec<_>>(), [call]);
+    }
+    // Where one control gateway answers 503 the next one that is named is asked.
+    let (busy, _asked) = stand_in(|_| (503, String::new()));
+    let (code, said) = run(busy, &["--to", &at.to_string(), "duties"]);
+    assert_eq!((code, said.as_str()), (Some(0), "{\"Answer\":1}\n"));
+    // The address may also stand behind the command.
+    let (code, said) = run_alone(&["duties", "--to", &at.to_string()]);
+    assert_eq!((code, said.as_str()), (Some(0), "{\"Answer\":1}\n"));
+}
+
+/// Without an address and a settings file, as the program is started with these words alone.
+fn run_alone(words: &[&str]) -> (Option<i32>, String) {
+    let mut command = Command::new(env!("CARGO_BIN_EXE_archlink-harbourmaster"));
+    let Output { status, stdout, stderr } =
+        command.env_remove("ARCHLINK_CONFIG").args(words).output().unwrap();
+    let said = [stdout, stderr].map(|said| String::from_utf8_lossy(&said).into_owned());
+    (status.code(), said.concat())
+}
+
+/// `check` sends nothing and tells what it read; `replace` tells the same, sends the file byte for byte, and prints the answer.
+#[test]
+fn a_checked_file_is_described_and_a_replaced_one_is_sent_as_it_is() {
+    let (at, asked) = stand_in(|_| (200, r#"{"Answer":1}"#.to_string()));
+    let file = std::env::temp_dir().join(format!("archlink-desk-check-{}", std::process::id()));
+    let path = file.to_str().unwrap();
+    let text = concat!(
+        r#"{"ConfigVersion": "00000001", "RouteTable": {"ColumnNames": ["Designation"], "Records": []},"#,
+        r#" "ServiceTable": {"ColumnNames": ["Designation"], "Records": [["reports"]]}}"#
+    );
+    std::fs::write(&file, text).unwrap();
+    let (code, checked) = run(at, &["check", path]);
+    let described =
+        "version 00000001, digest 0ed6d08a2ca6dd69d812128c394ca2e0: 0 routes, 1 services, 0 tenants\n";
+    assert_eq!((code, checked.as_str()), (Some(0), described));
+    assert_eq!(asked.try_iter().count(), 0);
+    let (code, said) = run(at, &["replace", path]);
+    assert_eq!((code, said), (Some(0), format!("{{\"Answer\":1}}\n{described}")));
+    let sent = format!("POST /archlink/Configuration.Replace {text}");
+    assert_eq!(asked.try_iter().collect::<Vec<_>>(), [sent]);
+    std::fs::write(&file, "{}").unwrap();
+    for command in ["check", "replace"] {
+        let (code, said) = run(at, &[command, path]);
+        let why = format!("archlink-harbourmaster: the file can't be used; {path}: ConfigVersion");
+        assert!(code == Some(2) && said.starts_with(&why), "{code:?} {said}");
+    }
+    std::fs::remove_file(&file).unwrap();
+    assert_eq!(run(at, &["check", path]).0, Some(2));
+    assert_eq!(asked.try_iter().count(), 0);
+}
+
+/// The end is 3 for what is refused, and 2 for all else that does not come through.
+#[test]
+fn a_command_that_fails_ends_with_its_status_and_reason() {
+    for (status, answer, code, said) in [
+        (409, r#"{"Error":"no","Reason":"NoSeat"}"#, 3, "the order is refused; AT refuses: no"),
+        (409, "plain", 3, "the order is refused; AT refuses: plain"),
+        (404, r#"{"Error":"x"}"#, 2, r#"the call did not come through; AT answered 404: {"Error":"x"}"#),
+        (503, r#"{"Error":"x"}"#, 2, r#"the call did not come through; AT answered 503: {"Error":"x"}"#),
+    ] {
+        let (at, _asked) = stand_in(move |_| (status, answer.to_string()));
+        let expected = format!("archlink-harbourmaster: {}\n", said.replace("AT", &at.to_string()));
+        assert_eq!(run(at, &["evacuate", "begin", "east"]), (Some(code), expected));
+    }
+    // Nothing to found anew where a majority answers.
+    let told =
+        json!({"Here": "10.0.0.1", "Epoch": 7, "Contact": true, "Members": [], "Lost": [], "Held": []});
+    let (at, _asked) = stand_in(move |_| (200, told.to_string()));
+    let words = ["voters", "found-anew", "--at", "10.0.0.1:8200", "--epoch", "7", "--lose", "10.0.0.2"];
+    let (code, said) = run(at, &words);
+    let why =
+        "archlink-harbourmaster: the order is refused; there is nothing to found anew, as shown above\n";
+    assert!(code == Some(3) && said.ends_with(why), "{code:?} {said}");
+    // Words that the command line does not know, or lacks.
+    for words in [
+        &["other"][..],
+        &["evacuate"],
+        &["evacuate", "begin"],
+        &["check"],
+        &["voters", "replace", "10.0.0.1"],
+    ] {
+        assert_eq!(run(at, words).0, Some(2), "{words:?}");
+    }
+    for words in [&[][..], &["run"], &["members"]] {
+        let (code, said) = run_alone(words);
+        let why = "archlink-harbourmaster: the settings file can't be used";
+        assert!(code == Some(2) && said.starts_with(why), "{code:?} {said}");
+    }
+}
