--- a/logbook/src/tests.rs
+++ b/logbook/src/tests.rs
@@ -1,7 +1,8 @@
-//! Tests of the whole logbook: after crashes, on a disk that refuses, on damaged and older folders, and its bounds.
+//! Tests of the whole logbook: after crashes, on a disk that refuses, on damaged, older and committed folders, and its bounds.
 
 mod bounds;
 mod crashes;
+mod fixtures;
 mod folders;
 
 use crate::{Entered, Logbook, LogbookError, State};
