--- a/settings/src/lib.rs
+++ b/crates/admission-settings/src/lib.rs
@@ -3,7 +3,7 @@
 //! units of the settings; it must never hold a default that steers a decision, nor read anything later than the start.
 #![forbid(unsafe_code)]
 
-use archlink::interface::*;
+use archlink_admission::interface::*;
 use serde_json::Value;
 use std::collections::BTreeMap;
 
--- a/settings/tests/forms.rs
+++ b/crates/admission-settings/tests/forms.rs
@@ -1,6 +1,6 @@
 //! The two forms of the settings object say the same.
 
-use archlink_settings::{from_json, from_lines};
+use archlink_admission_settings::{from_json, from_lines};
 use serde_json::json;
 
 #[test]
--- a/settings/tests/keys.rs
+++ b/crates/admission-settings/tests/keys.rs
@@ -1,7 +1,7 @@
 //! The settings object as operators write it: every key that is read, and the field that its value goes to.
 
-use archlink::interface::{Effect, Group, LaneTerms, PlanTerms, Terms};
-use archlink_settings::{Told, from_json};
+use archlink_admission::interface::{Effect, Group, LaneTerms, PlanTerms, Terms};
+use archlink_admission_settings::{Told, from_json};
 use serde_json::{Value, json};
 
 fn whole() -> Value {
--- a/tests/all/cases.rs
+++ b/crates/admission/tests/all/cases.rs
@@ -1,9 +1,9 @@
 //! One small test a failure found, and the life of a tier. The counter and hosts do what each test says.
 
 use crate::world::{Answer, HOST, World, line, terms};
-use archlink::interface::*;
-use archlink::logic::Gateway;
-use archlink::quota::{Tier, tiers};
+use archlink_admission::interface::*;
+use archlink_admission::logic::Gateway;
+use archlink_admission::quota::{Tier, tiers};
 use quickcheck::{Gen, QuickCheck, TestResult};
 
 /// One lane of pure inquiries, one plan: 5 units a second, 40 at once.
--- a/tests/all/departures.rs
+++ b/crates/admission/tests/all/departures.rs
@@ -1,7 +1,7 @@
 //! What clients that leave cost their customers: nothing, unless a host may have run it.
 
 use crate::world::*;
-use archlink::interface::*;
+use archlink_admission::interface::*;
 
 fn world() -> World {
     let plan = PlanTerms { rate: 5.0, burst: 40.0, ..PlanTerms::default() };
--- a/tests/all/rules.rs
+++ b/crates/admission/tests/all/rules.rs
@@ -1,7 +1,7 @@
 //! Generated runs of the module beside the plain model of the rules; seeded, so that the verdict never varies.
 
 use crate::world::{Answer, Taken, World, line, terms};
-use archlink::interface::*;
+use archlink_admission::interface::*;
 use quickcheck::{Arbitrary, Gen, QuickCheck, TestResult};
 
 #[derive(Clone, Debug)]
--- a/tests/all/world.rs
+++ b/crates/admission/tests/all/world.rs
@@ -1,8 +1,8 @@
 //! The one helper of all tests: a world that hands events to a gateway, and the plain model of the rules that
 //! watches each action. The world answers nothing by itself; a test says how each hand-off and call ends.
 
-use archlink::interface::*;
-use archlink::logic::Gateway;
+use archlink_admission::interface::*;
+use archlink_admission::logic::Gateway;
 use std::collections::{BTreeMap, VecDeque};
 
 pub const HOST: HostId = 100;
--- a/berth/src/choice.rs
+++ b/crates/balancer/src/choice.rs
@@ -4,7 +4,7 @@
 //! evacuated or that lies outside a request's homes, nor give a cold one more than this gateway's part.
 
 use crate::pool::Pool;
-use signal::{HostLine, Lot, Node};
+use archlink_messages::{HostLine, Lot, Node};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::net::SocketAddrV4;
 
--- a/berth/tests/choice.rs
+++ b/crates/balancer/tests/choice.rs
@@ -1,8 +1,8 @@
 //! What hosts must and must not get, in made-up time.
 
-use berth::budget::{Budget, Rule};
-use berth::choice::{Berth, ColdRule, End, Need, ServiceTerms};
-use signal::HostLine;
+use archlink_balancer::budget::{Budget, Rule};
+use archlink_balancer::choice::{Berth, ColdRule, End, Need, ServiceTerms};
+use archlink_messages::HostLine;
 use std::collections::{BTreeSet, HashMap};
 
 fn line(id: &str, zone: &str, cold_for: f32) -> HostLine {
--- a/berth/tests/crowd.rs
+++ b/crates/balancer/tests/crowd.rs
@@ -1,8 +1,8 @@
 //! Many gateways before few hosts, in made-up time: open-loop clients whose requests are all bound to one service with less
 //! room than they ask for. Looked at is what arrives in its goal time, not that a formula holds.
 
-use berth::choice::{Berth, ColdRule, Door, End, Need, ServiceTerms};
-use signal::{HostLine, Node};
+use archlink_balancer::choice::{Berth, ColdRule, Door, End, Need, ServiceTerms};
+use archlink_messages::{HostLine, Node};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 const GOAL: f64 = 0.5;
--- a/simhost/src/main.rs
+++ b/crates/bench-adapter/src/main.rs
@@ -3,8 +3,8 @@
 
 mod wire;
 
-use archlink::interface::*;
-use archlink::logic::Gateway;
+use archlink_admission::interface::*;
+use archlink_admission::logic::Gateway;
 use std::collections::BTreeMap;
 use std::io::{BufReader, BufWriter, Read, Write, stdin, stdout};
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -80,7 +80,7 @@
         for n in 0..count {
             let value = f64::from(record.f32("report")?);
             if let Some(name) = self.known.get(&who).and_then(|k| k.2.get(n)) {
-                archlink_settings::figure(&mut load, name, value);
+                archlink_admission_settings::figure(&mut load, name, value);
             }
         }
         Ok(load)
@@ -103,7 +103,7 @@
         if code == 0 {
             let seed = record.u64("rng-seed")?;
             let text = frame.text(&mut record, "facts")?;
-            let told = archlink_settings::from_lines(&text)?;
+            let told = archlink_admission_settings::from_lines(&text)?;
             self.known.insert(who, (told.lanes.len(), told.plans.len(), told.report));
             let mut speaker = Speaker { who, now, reply };
             self.gateways.insert(who, Gateway::start(told.terms, seed, now, &mut speaker));
@@ -236,7 +236,7 @@
 
 fn main() {
     if let Err(line) = run() {
-        eprintln!("archlink-simhost: {line}");
+        eprintln!("archlink-bench-adapter: {line}");
         std::process::exit(2);
     }
 }
--- a/simhost/src/wire.rs
+++ b/crates/bench-adapter/src/wire.rs
@@ -1,6 +1,6 @@
 //! Frames, records and tails of the wire, read and written with every length checked.
 
-use archlink::interface::{HostId, HostLine, Standing};
+use archlink_admission::interface::{HostId, HostLine, Standing};
 use std::io::Read;
 
 const RECORD: usize = 48;
--- a/simhost/tests/wire.rs
+++ b/crates/bench-adapter/tests/wire.rs
@@ -9,7 +9,7 @@
     obligations.tip-multiple=2.5\nobligations.overload-for-us=3000000\nno.such-key=1\n";
 
 fn run(input: &[u8]) -> Output {
-    let program = env!("CARGO_BIN_EXE_archlink-simhost");
+    let program = env!("CARGO_BIN_EXE_archlink-bench-adapter");
     let piped = || Stdio::piped();
     let mut child = Command::new(program).stdin(piped()).stdout(piped()).stderr(piped()).spawn().unwrap();
     child.stdin.take().unwrap().write_all(input).ok();
--- a/chart/tests/configuration.rs
+++ b/crates/config/tests/configuration.rs
@@ -1,6 +1,6 @@
 //! A configuration as operators send it: every key that is read, where its value goes, and which key an error names.
 
-use chart::{Chart, Route, Service, Share, Tenant};
+use archlink_config::{Chart, Route, Service, Share, Tenant};
 use serde_json::{Value, json};
 
 fn whole_text() -> Value {
--- a/chart/tests/settings.rs
+++ b/crates/config/tests/settings.rs
@@ -1,6 +1,6 @@
 //! The settings file as operators write it: every key that is read, where its value goes, and which key an error names.
 
-use chart::{Bounds, Settings};
+use archlink_config::{Bounds, Settings};
 use serde_json::{Value, json};
 use std::collections::HashMap;
 
--- a/harbour/src/control.rs
+++ b/crates/consensus/src/control.rs
@@ -16,7 +16,9 @@
 use crate::roster::Roster;
 use crate::voter::Voter;
 use crate::{Act, Outcome, Record, Refusal, Reseat};
-use signal::{Ballot, Duty, Held, Hosts, Keeper, Muster, Node, Poll, Post, REGISTERS, Register, Slot, Word};
+use archlink_messages::{
+    Ballot, Duty, Held, Hosts, Keeper, Muster, Node, Poll, Post, REGISTERS, Register, Slot, Word,
+};
 use std::collections::BTreeMap;
 
 /// Without a majority's answer for longer than this, what is known of other gateways' sessions is not passed on.
--- a/harbour/src/control/gossip.rs
+++ b/crates/consensus/src/control/gossip.rs
@@ -4,7 +4,7 @@
 use super::Control;
 use crate::Act;
 use crate::journal::Event;
-use signal::{Beat, Node, Piece, Register, Vector, Word};
+use archlink_messages::{Beat, Node, Piece, Register, Vector, Word};
 
 impl Control {
     pub fn greeting(&self) -> Word {
--- a/harbour/src/control/look.rs
+++ b/crates/consensus/src/control/look.rs
@@ -2,7 +2,7 @@
 
 use super::Control;
 use crate::membership::Ended;
-use signal::{Ballot, Muster, Node, Register};
+use archlink_messages::{Ballot, Muster, Node, Register};
 
 /// One control gateway as another one sees it.
 #[derive(Clone, Debug, PartialEq)]
--- a/harbour/src/duties.rs
+++ b/crates/consensus/src/duties.rs
@@ -5,7 +5,7 @@
 //! gateways hold one duty at a moment.
 
 use crate::{Act, Record};
-use signal::{DUTIES, Duty, Muster, Node, Poll, Post};
+use archlink_messages::{DUTIES, Duty, Muster, Node, Poll, Post};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How long a grant lasts. Four renewals fit in, so that lost messages cost no duty; a dead holder's duty stands still
--- a/harbour/src/helm.rs
+++ b/crates/consensus/src/helm.rs
@@ -10,8 +10,8 @@
 pub use change::{Change, MARKS};
 
 use crate::{Act, Outcome};
+use archlink_messages::{Ballot, Held, Muster, Node, Poll, Register};
 use ask::Asking;
-use signal::{Ballot, Held, Muster, Node, Poll, Register};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// How long a change is tried: callers move on after a second of silence.
--- a/harbour/src/helm/ask.rs
+++ b/crates/consensus/src/helm/ask.rs
@@ -3,7 +3,7 @@
 //! one to a question of another life or epoch; nor must questions, however many are wanted, keep each other from being
 //! answered.
 
-use signal::{Ballot, Muster, Node, REGISTERS, Register};
+use archlink_messages::{Ballot, Muster, Node, REGISTERS, Register};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Between two questions whether what is held here is the newest.
--- a/harbour/src/helm/change.rs
+++ b/crates/consensus/src/helm/change.rs
@@ -3,8 +3,8 @@
 //! of that line.
 
 use crate::Outcome;
+use archlink_messages::{Ballot, Held, Mark, Muster, Register, evacuated, evacuations};
 use bytes::Bytes;
-use signal::{Ballot, Held, Mark, Muster, Register, evacuated, evacuations};
 
 /// Numbers that are kept in mind, with what was taken under each: more than operators send while one of them may still
 /// come again, and 1.4 kB beside each configuration. An older number counts as one that was never seen: it is
--- a/harbour/src/journal.rs
+++ b/crates/consensus/src/journal.rs
@@ -3,7 +3,7 @@
 //! nothing new is folded and not kept, and of the rest the last ones are.
 
 use crate::roster::Roster;
-use signal::{Hosts, Keeper, Node, Pilot, Sessions};
+use archlink_messages::{Hosts, Keeper, Node, Pilot, Sessions};
 use std::collections::VecDeque;
 
 /// Events kept, for operators to look at.
--- a/harbour/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -15,7 +15,7 @@
 mod texts;
 pub mod voter;
 
-use signal::{Mark, Muster, Node, Post, Register, Slot, Word};
+use archlink_messages::{Mark, Muster, Node, Post, Register, Slot, Word};
 
 /// What a core wants done.
 #[derive(Clone, Debug)]
--- a/harbour/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -11,7 +11,7 @@
 use crate::pace::Pace;
 use crate::presence::{MOST_HEARD, Presence};
 use crate::{Act, Outcome, Refusal};
-use signal::{Ballot, Keeper, Muster, Node, REGISTERS, Register};
+use archlink_messages::{Ballot, Keeper, Muster, Node, REGISTERS, Register};
 use std::collections::BTreeMap;
 
 /// Orders of the membership itself are told of under tokens from here on; callers' tokens are below.
--- a/harbour/src/membership/plan.rs
+++ b/crates/consensus/src/membership/plan.rs
@@ -2,7 +2,7 @@
 //! can be. Must never ask for a set in which a majority is not there.
 
 use super::{MOST_HEARD, Membership, NAMED_WAIT};
-use signal::{Keeper, Node};
+use archlink_messages::{Keeper, Node};
 use std::collections::BTreeSet;
 
 /// A newcomer that failed to take all registers is the last choice for so long, in seconds.
--- a/harbour/src/news.rs
+++ b/crates/consensus/src/news.rs
@@ -3,7 +3,7 @@
 
 use crate::control::Control;
 use crate::texts::Texts;
-use signal::{Piece, Register, Vector};
+use archlink_messages::{Piece, Register, Vector};
 
 #[derive(Default)]
 pub struct News {
--- a/harbour/src/presence.rs
+++ b/crates/consensus/src/presence.rs
@@ -3,7 +3,7 @@
 //! not they it.
 
 use crate::pace::{HEARTBEAT, Pace};
-use signal::{Muster, Node};
+use archlink_messages::{Muster, Node};
 use std::collections::BTreeMap;
 
 /// A majority that was confirmed so long ago, in seconds, still counts as contact: slow disks answer in less.
--- a/harbour/src/roster.rs
+++ b/crates/consensus/src/roster.rs
@@ -3,7 +3,7 @@
 //! still be acting alone: a lost member is counted for a while longer.
 
 use crate::journal::Event;
-use signal::{Keeper, Node, Pilot, Sessions};
+use archlink_messages::{Keeper, Node, Pilot, Sessions};
 use std::collections::BTreeMap;
 
 /// A session without a sign of life for so long has ended: several are due in that time.
@@ -182,7 +182,7 @@
 
     /// Changes with the set of data gateways that may be at work.
     pub fn counted_stamp(&self) -> u64 {
-        signal::nodes_stamp(self.counted.keys().copied())
+        archlink_messages::nodes_stamp(self.counted.keys().copied())
     }
 
     /// All data gateways with a standing session anywhere; of two words about one, the own comes first.
@@ -239,7 +239,7 @@
     /// Changes with the set of control gateways that others are told of.
     pub fn keepers_stamp(&self, now: f64) -> u64 {
         let named: Vec<Node> = self.named_keepers(now).into_iter().map(|keeper| keeper.node).collect();
-        signal::nodes_stamp(named.into_iter())
+        archlink_messages::nodes_stamp(named.into_iter())
     }
 
     /// Where a client in that zone should go, nearest first: its zone's data gateways, and its region's where the zone has
--- a/harbour/src/texts.rs
+++ b/crates/consensus/src/texts.rs
@@ -2,8 +2,8 @@
 //! change on the text that it holds, packed once for all that hold the same. Must never make a patch on a text that it does
 //! not know whole.
 
+use archlink_messages::pack;
 use bytes::Bytes;
-use signal::pack;
 use std::collections::{HashMap, VecDeque};
 use std::hash::Hash;
 
--- a/harbour/src/voter.rs
+++ b/crates/consensus/src/voter.rs
@@ -5,7 +5,7 @@
 //! answer from what is not on disk.
 
 use crate::{Act, Record};
-use signal::{Ballot, Held, Muster, Node, Poll, REGISTERS, Register, Slot};
+use archlink_messages::{Ballot, Held, Muster, Node, Poll, REGISTERS, Register, Slot};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Longer than any attempt to write lives (`helm::OWN_LIFE`), by clocks that run apart by a quarter, held-up answers of its first half included: a voter that
--- a/harbour/tests/contact.rs
+++ b/crates/consensus/tests/contact.rs
@@ -3,11 +3,11 @@
 
 mod roads;
 
-use harbour::Act;
-use harbour::helm::Helm;
-use harbour::journal::Event;
+use archlink_consensus::Act;
+use archlink_consensus::helm::Helm;
+use archlink_consensus::journal::Event;
+use archlink_messages::{Ballot, Beat, Held, Hosts, Muster, Node, Piece, Poll, Register, Vector, Word};
 use roads::Roads;
-use signal::{Ballot, Beat, Held, Hosts, Muster, Node, Piece, Poll, Register, Vector, Word};
 
 /// Longest search for a smaller case of a failure.
 const SHRINK: std::time::Duration = std::time::Duration::from_secs(5);
@@ -112,7 +112,7 @@
                 Poll::Ask(serial) => {
                     let of = |register| if register == Register::Chart { ballot(holds) } else { ballot(0) };
                     let of = |r| (r, if holds == 0 { Ballot::default() } else { of(r) });
-                    Poll::Answer(serial, signal::REGISTERS.map(of).to_vec())
+                    Poll::Answer(serial, archlink_messages::REGISTERS.map(of).to_vec())
                 }
                 Poll::Fetch(Register::Chart) if holds > 0 => Poll::Fetched(Register::Chart, held(holds)),
                 _ => continue,
@@ -276,7 +276,7 @@
                 let (pilot, front) =
                     (100 * node + n, std::net::SocketAddrV4::new((100 * node + n).into(), 80));
                 let (zone, region) = (format!("z{node}"), "r".to_string());
-                let pilot = signal::Pilot { node: pilot, zone, region, front, ready: true };
+                let pilot = archlink_messages::Pilot { node: pilot, zone, region, front, ready: true };
                 roads.step(node, |control, now| control.happened(now, Event::Hailed(pilot)));
             }
         }
--- a/harbour/tests/duties.rs
+++ b/crates/consensus/tests/duties.rs
@@ -1,8 +1,8 @@
 //! Duties: stories that the models found, and an abstract model of grants, gone through to its end.
 
-use harbour::Act;
-use harbour::duties::Duties;
-use signal::{Duty, Muster, Poll, Post, Word};
+use archlink_consensus::Act;
+use archlink_consensus::duties::Duties;
+use archlink_messages::{Duty, Muster, Poll, Post, Word};
 
 fn bid(acts: &[Act]) -> Option<(Post, u64)> {
     acts.iter().find_map(|act| match act {
--- a/harbour/tests/fleet.rs
+++ b/crates/consensus/tests/fleet.rs
@@ -2,9 +2,9 @@
 //! schedules by chance. What must hold is looked at in every step: a register's chosen values form one line and none that
 //! was acknowledged is lost; no duty has two holders; whoever has something confirmed holds nothing older.
 
-use harbour::Outcome;
-use signal::{DUTIES, Duty, Mark, Node, Register};
-use sounding::Fleet;
+use archlink_consensus::Outcome;
+use archlink_messages::{DUTIES, Duty, Mark, Node, Register};
+use archlink_simulation::Fleet;
 use std::collections::{BTreeMap, BTreeSet};
 
 #[test]
@@ -34,7 +34,7 @@
         fleet.run(0.004 * (seed % 5) as f64);
         fleet.replace(3, 2, 5);
         fleet.run(1.5);
-        let stands = |token| Outcome::Stands(Mark { version: 5, digest: sounding::digest(token) });
+        let stands = |token| Outcome::Stands(Mark { version: 5, digest: archlink_simulation::digest(token) });
         let one = BTreeMap::from([(1, Outcome::Chosen), (2, stands(1))]);
         let other = BTreeMap::from([(1, stands(2)), (2, Outcome::Chosen)]);
         assert!(fleet.done == one || fleet.done == other, "seed {seed}: {:?}", fleet.done);
--- a/harbour/tests/late.rs
+++ b/crates/consensus/tests/late.rs
@@ -1,11 +1,11 @@
 //! Words that come very late, and a disk that is lost meanwhile: stories that the models found, each with the very cores and
 //! nothing else, so that the order of words is the test's.
 
+use archlink_consensus::helm::{Change, Helm};
+use archlink_consensus::voter::Voter;
+use archlink_consensus::{Act, Outcome};
+use archlink_messages::{Ballot, Held, Muster, Node, Poll, Register, Slot, Word};
 use bytes::Bytes;
-use harbour::helm::{Change, Helm};
-use harbour::voter::Voter;
-use harbour::{Act, Outcome};
-use signal::{Ballot, Held, Muster, Node, Poll, Register, Slot, Word};
 use std::collections::BTreeMap;
 
 const R: Register = Register::Chart;
--- a/harbour/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -2,10 +2,10 @@
 //! which everything late may still arrive. The states are those of the very voter and writer; only the network is made up:
 //! any message on its way may come next, or never. Must find the planted fault: a voter with an emptied disk that is counted.
 
-use harbour::helm::{Change, Helm};
-use harbour::voter::Voter;
-use harbour::{Act, Record};
-use signal::{Ballot, Muster, Node, Poll, Register, Slot, Word};
+use archlink_consensus::helm::{Change, Helm};
+use archlink_consensus::voter::Voter;
+use archlink_consensus::{Act, Record};
+use archlink_messages::{Ballot, Muster, Node, Poll, Register, Slot, Word};
 use stateright::{Checker, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
--- a/harbour/tests/numbers.rs
+++ b/crates/consensus/tests/numbers.rs
@@ -3,10 +3,10 @@
 
 mod roads;
 
-use harbour::helm::{Change, Helm, LIFE, MARKS};
-use harbour::{Act, Outcome};
+use archlink_consensus::helm::{Change, Helm, LIFE, MARKS};
+use archlink_consensus::{Act, Outcome};
+use archlink_messages::{Mark, Muster, Node, Poll, Register, Word, evacuated};
 use roads::Roads;
-use signal::{Mark, Muster, Node, Poll, Register, Word, evacuated};
 use std::collections::BTreeMap;
 
 /// Longest search for a smaller case of a failure.
--- a/harbour/tests/replaced.rs
+++ b/crates/consensus/tests/replaced.rs
@@ -2,10 +2,10 @@
 //! very moment when the operators stop counting the one before. Each schedule is played once more with a `CatchUp` of 1000 s,
 //! as if a silent seat were given away after 300 s: the planted fault, which is found.
 
-use harbour::Outcome;
-use harbour::control::Control;
-use signal::{Duty, Muster, Node, Register};
-use sounding::Fleet;
+use archlink_consensus::Outcome;
+use archlink_consensus::control::Control;
+use archlink_messages::{Duty, Muster, Node, Register};
+use archlink_simulation::Fleet;
 use std::collections::BTreeSet;
 
 const CATCH_UP: f64 = 4.0;
--- a/harbour/tests/roads/mod.rs
+++ b/crates/consensus/tests/roads/mod.rs
@@ -2,10 +2,10 @@
 //! play on. A disk takes what waits together, with one sync for all, and says so only then.
 #![allow(dead_code)]
 
-use harbour::control::{Control, Start};
-use harbour::helm::Change;
-use harbour::{Act, Outcome, Record};
-use signal::{Duty, Keeper, Muster, Node, Poll, Post, Register, Slot, Word};
+use archlink_consensus::control::{Control, Start};
+use archlink_consensus::helm::Change;
+use archlink_consensus::{Act, Outcome, Record};
+use archlink_messages::{Duty, Keeper, Muster, Node, Poll, Post, Register, Slot, Word};
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Clone, Default)]
--- a/harbour/tests/seats.rs
+++ b/crates/consensus/tests/seats.rs
@@ -2,13 +2,13 @@
 //! hold here too: one set an epoch, one line of chosen values, one holder a duty). Where a property rests on a condition, the
 //! world plants the fault that the condition keeps out, and the test sees it found.
 
-use harbour::control::Control;
-use harbour::duties::Duties;
-use harbour::helm::{Change, Helm};
-use harbour::membership::Ended;
-use harbour::{Act, Outcome, Refusal, Reseat};
-use signal::{Ballot, Duty, Held, Muster, Node, Poll, Post, REGISTERS, Register, Word};
-use sounding::Fleet;
+use archlink_consensus::control::Control;
+use archlink_consensus::duties::Duties;
+use archlink_consensus::helm::{Change, Helm};
+use archlink_consensus::membership::Ended;
+use archlink_consensus::{Act, Outcome, Refusal, Reseat};
+use archlink_messages::{Ballot, Duty, Held, Muster, Node, Poll, Post, REGISTERS, Register, Word};
+use archlink_simulation::Fleet;
 use std::collections::BTreeSet;
 
 const REPLACE: Reseat = Reseat::Replace { old: 3, new: 4 };
@@ -364,7 +364,7 @@
         }
         fleet.heal();
         fleet.run(14.0);
-        for duty in signal::DUTIES {
+        for duty in archlink_messages::DUTIES {
             assert!(fleet.holder(duty).is_some(), "nobody holds {duty:?}");
         }
     });
@@ -395,14 +395,14 @@
             let posts = fleet.live.iter().flat_map(|(n, c)| c.duties.posts(fleet.clock(*n)));
             posts.filter(|post| post.duty == duty).map(|post| post.term).max()
         };
-        let before = signal::DUTIES.map(|duty| term(&fleet, duty));
+        let before = archlink_messages::DUTIES.map(|duty| term(&fleet, duty));
         fleet.reseat(1, 2, REPLACE);
         fleet.run(2.5);
         assert_eq!(fleet.done.get(&2), Some(&Outcome::Chosen), "seed {seed}");
         (1..=4).for_each(|node| fleet.kill(node, false));
         [2, 4].iter().for_each(|&node| fleet.start(node, false));
         fleet.run(3.0);
-        let after = signal::DUTIES.map(|duty| term(&fleet, duty));
+        let after = archlink_messages::DUTIES.map(|duty| term(&fleet, duty));
         assert!(after[0] > before[0] && after[1] > before[1], "seed {seed}: {before:?} {after:?}");
     }
 }
@@ -564,7 +564,7 @@
     };
     let mut fleet = up(1);
     let (first, second) = (recall(&mut fleet), recall(&mut fleet));
-    let empty = REGISTERS.map(|register| (register, signal::Slot::default())).to_vec();
+    let empty = REGISTERS.map(|register| (register, archlink_messages::Slot::default())).to_vec();
     for (serial, whole) in [(first, false), (second, true)] {
         for from in [2, 3] {
             let told = Word::Poll(1, Poll::Recalled(serial, empty.clone(), Vec::new()));
@@ -683,7 +683,7 @@
         let held = fleet.live[&1].voters(fleet.clock(1)).holds;
         assert!(held.iter().any(|(register, stamp, _)| (*register, *stamp) == (Register::Chart, 8)));
         // What is lost is no fault from here on; that it stays lost is.
-        fleet.checks = sounding::checks::Checks::default();
+        fleet.checks = archlink_simulation::checks::Checks::default();
         let epoch = muster(&fleet, 1).epoch;
         fleet.reseat(1, 3, Reseat::Refound { epoch, seats: vec![1, 4] });
         fleet.run(2.5);
--- a/bridge/src/session.rs
+++ b/crates/control-client/src/session.rs
@@ -3,7 +3,7 @@
 //! that no majority answers.
 
 use crate::views::{Event, Turn, Views};
-use signal::{Node, Pilot, Word};
+use archlink_messages::{Node, Pilot, Word};
 use std::cmp::Ordering;
 use std::collections::HashMap;
 
@@ -88,7 +88,7 @@
 
     /// Control gateways, those to call first at the front, with how far each is.
     fn order(&self, now: f64, views: &Views) -> Vec<(Node, u8)> {
-        let far = |k: &signal::Keeper| {
+        let far = |k: &archlink_messages::Keeper| {
             if k.zone == self.place.zone { 0 } else { 1 + u8::from(k.region != self.place.region) }
         };
         let mut all: Vec<(Node, u8)> = views.keepers().iter().map(|k| (k.node, far(k))).collect();
--- a/bridge/src/views.rs
+++ b/crates/control-client/src/views.rs
@@ -3,8 +3,10 @@
 //! vector of versions by which it pulls what it lacks. Must never go back to an older version, nor vouch for a
 //! configuration that it does not hold, nor begin by one that no majority vouched for within the lease.
 
-use chart::Chart;
-use signal::{Beat, Duty, Hosts, Keeper, Node, Piece, Post, Register, Vector, evacuated, nodes_stamp, pack};
+use archlink_config::Chart;
+use archlink_messages::{
+    Beat, Duty, Hosts, Keeper, Node, Piece, Post, Register, Vector, evacuated, nodes_stamp, pack,
+};
 use std::collections::{BTreeSet, VecDeque};
 use std::rc::Rc;
 
--- a/bridge/tests/contact.rs
+++ b/crates/control-client/tests/contact.rs
@@ -3,10 +3,10 @@
 
 mod sea;
 
-use bridge::session::{Act, Place, Session};
-use bridge::views::{Event, Turn, Views};
+use archlink_control_client::session::{Act, Place, Session};
+use archlink_control_client::views::{Event, Turn, Views};
+use archlink_messages::{Beat, Duty, Held, Hosts, Keeper, Muster, Node, Piece, Post, Register, Vector, pack};
 use sea::{LEASE, Sea, configuration};
-use signal::{Beat, Duty, Held, Hosts, Keeper, Muster, Node, Piece, Post, Register, Vector, pack};
 use std::collections::BTreeSet;
 
 const SHIPS: usize = 24;
@@ -272,8 +272,8 @@
 /// names by then.
 #[test]
 fn seeds_that_are_read_anew_are_called() {
-    use bridge::session::{Act, Place, Session};
-    use bridge::views::Views;
+    use archlink_control_client::session::{Act, Place, Session};
+    use archlink_control_client::views::Views;
     let place = Place { node: 100, zone: "z".into(), region: "r".into(), seeds: vec![1] };
     let (mut session, views) = (Session::new(place), Views::new(3.0));
     let mut called = std::collections::BTreeSet::new();
--- a/bridge/tests/hundred.rs
+++ b/crates/control-client/tests/hundred.rs
@@ -4,9 +4,9 @@
 
 mod sea;
 
-use harbour::Outcome;
+use archlink_consensus::Outcome;
+use archlink_messages::Node;
 use sea::{Sea, hosts};
-use signal::Node;
 
 /// From a cold start to all serving; a configuration, a much larger one and a list of hosts reach all in time, in few
 /// bytes; and standing still costs next to nothing.
--- a/bridge/tests/sea/mod.rs
+++ b/crates/control-client/tests/sea/mod.rs
@@ -2,15 +2,15 @@
 //! counted as they would be framed.
 #![allow(dead_code)]
 
-use bridge::session::{Act as SessionAct, Place, Session};
-use bridge::views::{Turn, Views};
+use archlink_consensus::control::{Control, Start};
+use archlink_consensus::helm::Change;
+use archlink_consensus::journal::Event;
+use archlink_consensus::news::News;
+use archlink_consensus::{Act, Outcome, Record};
+use archlink_control_client::session::{Act as SessionAct, Place, Session};
+use archlink_control_client::views::{Turn, Views};
+use archlink_messages::{HostLine, Hosts, Keeper, Muster, Node, Pilot, Register, Slot, Word, pack};
 use bytes::Bytes;
-use harbour::control::{Control, Start};
-use harbour::helm::Change;
-use harbour::journal::Event;
-use harbour::news::News;
-use harbour::{Act, Outcome, Record};
-use signal::{HostLine, Hosts, Keeper, Muster, Node, Pilot, Register, Slot, Word, pack};
 use std::collections::{BTreeMap, BTreeSet};
 
 pub const ZONES: usize = 6;
--- a/harbourmaster/src/backlog.rs
+++ b/crates/control-plane/src/backlog.rs
@@ -2,7 +2,7 @@
 //! that was not taken goes with the next one, so that no word ever leaves ahead of what is on disk. Must never drop a record:
 //! of each register, each duty and the set of voters the newest is kept, which is all that the disk keeps as well.
 
-use logbook::{Entered, Logbook};
+use archlink_storage::{Entered, Logbook};
 
 /// Records that were given to the disk and are not told of as kept. More than the disk's own queue holds means that this
 /// thread does not come to hear of them.
--- a/harbourmaster/src/callers.rs
+++ b/crates/control-plane/src/callers.rs
@@ -6,7 +6,7 @@
 //! ports between own processes are reached by own processes alone is the operators' to see to; here it is seen to that
 //! words of one life, or of one connection, are not taken for another's.
 
-use signal::{Node, Word};
+use archlink_messages::{Node, Word};
 use std::collections::HashMap;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -83,7 +83,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use signal::{Keeper, Muster, Pilot, Poll, Vector};
+    use archlink_messages::{Keeper, Muster, Pilot, Poll, Vector};
     use std::net::{Ipv4Addr, SocketAddrV4};
 
     const AT: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 1);
--- a/harbourmaster/src/calls.rs
+++ b/crates/control-plane/src/calls.rs
@@ -12,7 +12,7 @@
     Contact,
     /// On a person's word, given where no majority is left.
     Person,
-    /// On sessions and what others told of theirs: they end by themselves (`harbour::roster`), the answer by its `Ttl`.
+    /// On sessions and what others told of theirs: they end by themselves (`archlink_consensus::roster`), the answer by its `Ttl`.
     Sessions,
     /// On what this gateway knows, told with its age.
     Own,
--- a/harbourmaster/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -20,14 +20,14 @@
 mod tests;
 mod voters;
 
+use archlink_config::Settings;
+use archlink_consensus::control::{Control, Start};
+use archlink_messages::{Keeper, Muster};
+use archlink_runtime::Clock;
+use archlink_storage::{Entered, Logbook, LogbookError};
 use backlog::Disk;
-use chart::Settings;
 use error_stack::{Report, ResultExt};
-use harbour::control::{Control, Start};
-use logbook::{Entered, Logbook, LogbookError};
-use mooring::Clock;
 use port::Port;
-use signal::{Keeper, Muster};
 use std::fmt;
 use std::net::{SocketAddr, SocketAddrV4};
 use std::path::Path;
@@ -85,7 +85,7 @@
 
 /// The settings file that `ARCHLINK_CONFIG` names, checked.
 pub fn read_settings() -> Outcome<Settings> {
-    let text = mooring::settings_text().change_context(MasterError::Settings)?;
+    let text = archlink_runtime::settings_text().change_context(MasterError::Settings)?;
     Settings::read(&text).change_context(MasterError::Settings)
 }
 
@@ -100,7 +100,7 @@
 
 /// A disk that is full or hangs at the very moment of a start is waited for: to end would only be to start again. What is
 /// damaged stays so.
-fn open_patiently(folder: &Path) -> Outcome<(Logbook, logbook::State)> {
+fn open_patiently(folder: &Path) -> Outcome<(Logbook, archlink_storage::State)> {
     const TRIES: u32 = 60;
     const AGAIN: Duration = Duration::from_millis(250);
     for _ in 1..TRIES {
@@ -118,12 +118,13 @@
     let control = settings
         .control
         .ok_or_else(|| Report::new(MasterError::Settings).attach("Listen.Control: missing"))?;
-    let me = mooring::node_of(settings.ip);
-    let mut seeds: Vec<u32> = settings.seeds.iter().map(|seed| mooring::node_of(*seed.ip())).collect();
+    let me = archlink_runtime::node_of(settings.ip);
+    let mut seeds: Vec<u32> =
+        settings.seeds.iter().map(|seed| archlink_runtime::node_of(*seed.ip())).collect();
     seeds.sort_unstable();
     let (logbook, state) = match &settings.data {
         Some(folder) => open_patiently(folder).map(|(book, state)| (Some(book), state))?,
-        None => (None, logbook::State::default()),
+        None => (None, archlink_storage::State::default()),
     };
     let mut muster = state.muster;
     let remembers = muster.known();
@@ -153,7 +154,7 @@
         needed: 2 * settings.losses as usize + 1,
         catch_up: settings.bounds.catch_up.min(MOST_CATCH_UP),
         posts: state.posts.into_values().collect(),
-        seed: mooring::chance(),
+        seed: archlink_runtime::chance(),
     };
     Ok((Control::new(clock.now(), start), logbook))
 }
@@ -202,7 +203,7 @@
     port.step(|control, now| control.leave(now));
     sleep(LEAVE).await;
     let until = port.clock.now() + (HAND_OVER * port.settings.bounds.grace).min(MOST_HAND_OVER);
-    while !port.look(harbour::control::Control::may_end) {
+    while !port.look(archlink_consensus::control::Control::may_end) {
         if port.clock.now() >= until {
             log::warn!("ending with a seat: nobody has taken it in time");
             return;
--- a/harbourmaster/src/links.rs
+++ b/crates/control-plane/src/links.rs
@@ -5,11 +5,11 @@
 use crate::callers::{Caller, Speakers, Who};
 use crate::port::Port;
 use crate::read_settings;
-use chart::Settings;
+use archlink_config::Settings;
+use archlink_consensus::journal::Event;
+use archlink_messages::{Node, Word};
+use archlink_runtime::{Out, split};
 use futures_util::StreamExt;
-use harbour::journal::Event;
-use mooring::{Out, split};
-use signal::{Node, Word};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -63,7 +63,7 @@
         match read_settings() {
             Ok(read) => port.seeds.replace(seeds(&read)),
             Err(e) => {
-                log::warn!("settings: {}; the seeds stay", mooring::told(&e));
+                log::warn!("settings: {}; the seeds stay", archlink_runtime::told(&e));
                 continue;
             }
         };
@@ -72,14 +72,14 @@
 
 /// The control gateways that a settings file names.
 pub fn seeds(settings: &Settings) -> Vec<Node> {
-    settings.seeds.iter().map(|seed| mooring::node_of(*seed.ip())).collect()
+    settings.seeds.iter().map(|seed| archlink_runtime::node_of(*seed.ip())).collect()
 }
 
 /// The link to one control gateway, called again for as long as it is known.
 async fn link(port: Rc<Port>, node: Node, mut words: mpsc::Receiver<Word>) {
-    let to = mooring::address_of(node, port.settings.port);
+    let to = archlink_runtime::address_of(node, port.settings.port);
     while known(&port).contains(&node) {
-        if let Ok(framed) = mooring::call(to).await {
+        if let Ok(framed) = archlink_runtime::call(to).await {
             let (out, mut source) = split(framed, MOST_WORDS);
             // What waited for a link that was down is old.
             while words.try_recv().is_ok() {}
@@ -127,8 +127,8 @@
     (speakers, mut caller): (Rc<RefCell<Speakers>>, Caller),
     _open: Rc<()>,
 ) {
-    mooring::tune(&stream);
-    let (out, mut words) = split(Framed::new(stream, signal::Wire::default()), MOST_WORDS);
+    archlink_runtime::tune(&stream);
+    let (out, mut words) = split(Framed::new(stream, archlink_messages::Wire::default()), MOST_WORDS);
     let Ok(Some(first)) = timeout(FIRST_WORD, words.next()).await else { return };
     let mut next = Some(first);
     while let Some(word) = next {
--- a/harbourmaster/src/lookout.rs
+++ b/crates/control-plane/src/lookout.rs
@@ -2,12 +2,12 @@
 //! core. Owns the platform's protocol. Must never ask when another holds the duty, or faster than the platform takes.
 
 use crate::port::Port;
-use chart::seconds;
-use fairway::kept::{Still, still};
-use fairway::plain::{CallerSide, Sending};
+use archlink_config::seconds;
+use archlink_http::kept::{Still, still};
+use archlink_http::plain::{CallerSide, Sending};
+use archlink_messages::{Duty, HostLine, Hosts};
 use futures_util::{SinkExt, StreamExt};
 use serde::Deserialize;
-use signal::{Duty, HostLine, Hosts};
 use std::cell::Cell;
 use std::io;
 use std::net::{SocketAddr, SocketAddrV4};
@@ -49,7 +49,7 @@
 
 async fn open(cloud: SocketAddr) -> io::Result<Line> {
     let stream = TcpStream::connect(cloud).await?;
-    mooring::tune(&stream);
+    archlink_runtime::tune(&stream);
     Ok(Framed::new(stream, CallerSide::new(&[], MOST_BODY, Rc::new(Cell::new(MOST_BODY)))))
 }
 
--- a/harbourmaster/src/looks.rs
+++ b/crates/control-plane/src/looks.rs
@@ -4,9 +4,9 @@
 use crate::office::{later, refused};
 use crate::orders::{digest, hex};
 use crate::port::{Port, WITHIN};
-use fairway::plain::Answer;
+use archlink_http::plain::Answer;
+use archlink_messages::{Register, evacuated, pack};
 use serde_json::{Value, json};
-use signal::{Register, evacuated, pack};
 
 /// The newest configuration, byte for byte as it was sent.
 pub async fn read(port: &Port) -> Answer {
@@ -43,7 +43,7 @@
     const TTL: f64 = 2.0;
     let field = |name| query.split('&').find_map(|pair| pair.split_once('=').filter(|(key, _)| *key == name));
     let text = |name| field(name).map_or("", |(_, value)| value);
-    let turn = mooring::chance() as usize;
+    let turn = archlink_runtime::chance() as usize;
     let pilots = port
         .look(|control, now| control.journal.roster.resolve(now, text("Zone"), text("Region"), MOST, turn));
     if pilots.is_empty() {
@@ -106,7 +106,7 @@
 
 pub fn journal(port: &Port) -> Value {
     port.look(|control, now| {
-        let line = |(at, event): &(f64, harbour::journal::Event)| json!({"SecondsAgo": now - at, "What": event.line()});
+        let line = |(at, event): &(f64, archlink_consensus::journal::Event)| json!({"SecondsAgo": now - at, "What": event.line()});
         json!({"Events": control.journal.recent().map(line).collect::<Vec<_>>()})
     })
 }
--- a/harbourmaster/src/main.rs
+++ b/crates/control-plane/src/main.rs
@@ -1,18 +1,18 @@
-//! archlink-harbourmaster: the control plane's program, and the operators' command line to it. Owns the command line and
+//! archlink-control-plane: the control plane's program, and the operators' command line to it. Owns the command line and
 //! the signals. Must never take part in a decision.
 #![forbid(unsafe_code)]
 
-use archlink_harbourmaster::{MasterError, Outcome, desk, read_settings, serve};
+use archlink_control_plane::{MasterError, Outcome, desk, read_settings, serve};
+use archlink_runtime::until_told;
 use clap::{Arg, ArgAction, ArgMatches, Command};
 use error_stack::ResultExt;
-use mooring::until_told;
 use tokio::runtime::LocalOptions;
 
 /// SIGHUP has the settings read and checked again; what is in use stays until the next start.
 fn read_again() {
     match read_settings() {
         Ok(read) => log::info!("settings read again: {} seeds; what is in use stays", read.seeds.len()),
-        Err(e) => log::error!("settings: {}; what is in use stays", mooring::told(&e)),
+        Err(e) => log::error!("settings: {}; what is in use stays", archlink_runtime::told(&e)),
     }
 }
 
@@ -51,7 +51,7 @@
         .action(ArgAction::Append)
         .value_name("ADDRESS")
         .help("a control gateway, also several; else the seeds of the settings file");
-    Command::new("archlink-harbourmaster")
+    Command::new("archlink-control-plane")
         .version(env!("CARGO_PKG_VERSION"))
         .about("The control plane of archlink, and the operators' way to it")
         .arg(to)
@@ -79,7 +79,7 @@
         None | Some(("run", _)) => {
             let settings = read_settings()?;
             let level = std::env::var("ARCHLINK_LOG").ok().and_then(|l| l.parse().ok());
-            mooring::log_to_stderr(&settings.name, level.unwrap_or(log::LevelFilter::Info));
+            archlink_runtime::log_to_stderr(&settings.name, level.unwrap_or(log::LevelFilter::Info));
             on_runtime(async {
                 serve(settings, until_told(read_again).change_context(MasterError::Start)?).await
             })
@@ -90,7 +90,7 @@
 
 fn main() {
     if let Err(e) = begin_command(&commands().get_matches()) {
-        eprintln!("archlink-harbourmaster: {}", mooring::told(&e));
+        eprintln!("archlink-control-plane: {}", archlink_runtime::told(&e));
         // Refused because something else stands: another text under the number, or other voters.
         std::process::exit(if *e.current_context() == MasterError::Refused { 3 } else { 2 });
     }
--- a/harbourmaster/src/notices.rs
+++ b/crates/control-plane/src/notices.rs
@@ -2,7 +2,7 @@
 //! Must never act on any of it.
 
 use crate::port::{FRESH, YOUNG};
-use signal::{DUTIES, Duty, Muster, Node};
+use archlink_messages::{DUTIES, Duty, Muster, Node};
 use std::net::Ipv4Addr;
 
 /// What is looked at each tick.
--- a/harbourmaster/src/office.rs
+++ b/crates/control-plane/src/office.rs
@@ -4,8 +4,8 @@
 use crate::calls::Call;
 use crate::port::Port;
 use crate::{looks, orders, voters};
-use fairway::departure::departure;
-use fairway::plain::{Answer, Asked, Request, ServerSide};
+use archlink_http::departure::departure;
+use archlink_http::plain::{Answer, Asked, Request, ServerSide};
 use futures_util::{SinkExt, StreamExt};
 use serde_json::json;
 use std::cell::Cell;
--- a/harbourmaster/src/orders.rs
+++ b/crates/control-plane/src/orders.rs
@@ -5,14 +5,14 @@
 use crate::calls::Call;
 use crate::office::{later, refused};
 use crate::port::{Order, Port, Unbegun};
+use archlink_config::Chart;
+use archlink_consensus::helm::Change;
+use archlink_consensus::{Outcome, Refusal};
+use archlink_http::plain::Answer;
+use archlink_messages::{Mark, Register, pack};
 use bytes::Bytes;
-use chart::Chart;
-use fairway::plain::Answer;
-use harbour::helm::Change;
-use harbour::{Outcome, Refusal};
 use serde_json::{Value, json};
 use sha2::{Digest, Sha256};
-use signal::{Mark, Register, pack};
 
 /// A packed configuration goes in one frame between control gateways, with the words about it.
 const MOST_PACKED: usize = 6 << 20;
--- a/harbourmaster/src/port.rs
+++ b/crates/control-plane/src/port.rs
@@ -5,19 +5,19 @@
 use crate::backlog::{Backlog, Disk};
 use crate::calls::{Call, Rests};
 use crate::notices::{Notices, Seen};
-use chart::{Chart, Settings};
-use harbour::control::Control;
-use harbour::helm::Change;
-use harbour::news::News;
-use harbour::{Act, Outcome, Record, Reseat};
-use logbook::Entered;
-use mooring::{Clock, Out};
-use signal::{Add, DUTIES, Held, Node, Piece, REGISTERS, Register, Vector, Word, pack};
+use archlink_config::{Chart, Settings};
+use archlink_consensus::control::Control;
+use archlink_consensus::helm::Change;
+use archlink_consensus::news::News;
+use archlink_consensus::{Act, Outcome, Record, Reseat};
+use archlink_messages::{Add, DUTIES, Held, Node, Piece, REGISTERS, Register, Vector, Word, pack};
+use archlink_quota::book::{Book, SILENCE};
+use archlink_runtime::{Clock, Out};
+use archlink_storage::Entered;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 use std::time::Duration;
-use tally::book::{Book, SILENCE};
 use tokio::sync::{Notify, mpsc, oneshot};
 use tokio::task::yield_now;
 use tokio::time::timeout;
@@ -34,7 +34,7 @@
 /// The same for a change of the voters, which a person waits for; the core ends it after 2.5 s.
 const RESEATS: Duration = Duration::from_millis(2700);
 /// Word of a majority counts for so long as contact: as long as a data gateway stays with a control gateway that no majority
-/// answers (`bridge::session`). An order that is begun later in a cut than that would only wait to end unclear.
+/// answers (`archlink_control_client::session`). An order that is begun later in a cut than that would only wait to end unclear.
 pub const FRESH: f64 = 2.0;
 /// The links of a process that has only started come up one by one, a voter with an emptied disk is whole after 2.5 s, and
 /// after a loss of power of all nobody has an answer yet: an order that waits then is taken the moment that a majority is
@@ -99,7 +99,7 @@
         kept: mpsc::UnboundedSender<Kept>,
     ) -> Rc<Port> {
         Rc::new(Port {
-            me: mooring::node_of(settings.ip),
+            me: archlink_runtime::node_of(settings.ip),
             seeds: RefCell::new(crate::links::seeds(&settings)),
             settings,
             clock,
--- a/harbourmaster/src/tests.rs
+++ b/crates/control-plane/src/tests.rs
@@ -5,7 +5,7 @@
 use crate::calls::{Call, Rests};
 use crate::made_up::{NODES, Shelf, Sound, ask, configuration, pass, play, port, still};
 use crate::{office, orders};
-use signal::{Ballot, Held, Pilot, Poll, Register, Word};
+use archlink_messages::{Ballot, Held, Pilot, Poll, Register, Word};
 use std::io::{Read, Write};
 use std::net::SocketAddrV4;
 use strum::IntoEnumIterator;
@@ -39,7 +39,7 @@
             let sound = Sound::new();
             pass(1.0).await;
             assert_eq!(sound.call(0, Call::Replace, "", &configuration(1, 5)).await.0.status, 200);
-            let hailed = harbour::journal::Event::Hailed(pilot());
+            let hailed = archlink_consensus::journal::Event::Hailed(pilot());
             sound.ports[1].step(|control, now| control.happened(now, hailed));
             pass(1.0).await;
             let (names, body) = wanted(call);
@@ -181,7 +181,8 @@
 fn who_stood_still_names_no_session_from_before() {
     play(async {
         let gateway = still(NODES[0], Shelf::default());
-        gateway.step(|control, now| control.happened(now, harbour::journal::Event::Hailed(pilot())));
+        gateway
+            .step(|control, now| control.happened(now, archlink_consensus::journal::Event::Hailed(pilot())));
         assert_eq!(ask(&gateway, Call::Resolution, "", "").await.0.status, 200);
         pass(20.0).await;
         assert_eq!(ask(&gateway, Call::Resolution, "", "").await.0.status, 503);
--- a/harbourmaster/src/tests/answers.rs
+++ b/crates/control-plane/src/tests/answers.rs
@@ -7,11 +7,11 @@
 use crate::notices::{Notices, Seen};
 use crate::orders;
 use crate::port::Unbegun;
-use fairway::plain::Answer;
-use harbour::journal::Event;
-use harbour::{Outcome, Refusal};
+use archlink_consensus::journal::Event;
+use archlink_consensus::{Outcome, Refusal};
+use archlink_http::plain::Answer;
+use archlink_messages::{DUTIES, HostLine, Hosts, Keeper, Muster, Register, Sessions};
 use serde_json::{Value, json};
-use signal::{DUTIES, HostLine, Hosts, Keeper, Muster, Register, Sessions};
 use std::net::SocketAddrV4;
 use strum::IntoEnumIterator;
 
--- a/harbourmaster/src/voters.rs
+++ b/crates/control-plane/src/voters.rs
@@ -5,13 +5,13 @@
 use crate::office::refused;
 use crate::orders::{not_so, settled};
 use crate::port::{Order, Port};
-use fairway::plain::Answer;
-use harbour::control::Member;
-use harbour::membership::Ended;
-use harbour::{Outcome, Reseat};
+use archlink_consensus::control::Member;
+use archlink_consensus::membership::Ended;
+use archlink_consensus::{Outcome, Reseat};
+use archlink_http::plain::Answer;
+use archlink_messages::{Ballot, Keeper, Node, Register};
 use serde::Deserialize;
 use serde_json::{Value, json};
-use signal::{Ballot, Keeper, Node, Register};
 use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -22,7 +22,11 @@
 /// A machine's address, also with a port behind it.
 pub fn node(text: &str) -> Option<Node> {
     let bare = || text.parse::<Ipv4Addr>().ok();
-    text.parse::<SocketAddrV4>().map(|address| *address.ip()).ok().or_else(bare).map(mooring::node_of)
+    text.parse::<SocketAddrV4>()
+        .map(|address| *address.ip())
+        .ok()
+        .or_else(bare)
+        .map(archlink_runtime::node_of)
 }
 
 fn address(node: Node) -> Ipv4Addr {
--- a/harbourmaster/tests/desk.rs
+++ b/crates/control-plane/tests/desk.rs
@@ -48,7 +48,7 @@
 }
 
 fn run(at: SocketAddr, words: &[&str]) -> (Option<i32>, String) {
-    let program = env!("CARGO_BIN_EXE_archlink-harbourmaster");
+    let program = env!("CARGO_BIN_EXE_archlink-control-plane");
     let to = at.to_string();
     let Output { status, stdout, stderr } =
         Command::new(program).args(["--to", to.as_str()]).args(words).output().unwrap();
@@ -144,7 +144,7 @@
 
 /// Without an address and a settings file, as the program is started with these words alone.
 fn run_alone(words: &[&str]) -> (Option<i32>, String) {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_archlink-harbourmaster"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_archlink-control-plane"));
     let Output { status, stdout, stderr } =
         command.env_remove("ARCHLINK_CONFIG").args(words).output().unwrap();
     let said = [stdout, stderr].map(|said| String::from_utf8_lossy(&said).into_owned());
@@ -174,7 +174,7 @@
     std::fs::write(&file, "{}").unwrap();
     for command in ["check", "replace"] {
         let (code, said) = run(at, &[command, path]);
-        let why = format!("archlink-harbourmaster: the file can't be used; {path}: ConfigVersion");
+        let why = format!("archlink-control-plane: the file can't be used; {path}: ConfigVersion");
         assert!(code == Some(2) && said.starts_with(&why), "{code:?} {said}");
     }
     std::fs::remove_file(&file).unwrap();
@@ -192,7 +192,7 @@
         (503, r#"{"Error":"x"}"#, 2, r#"the call did not come through; AT answered 503: {"Error":"x"}"#),
     ] {
         let (at, _asked) = stand_in(move |_| (status, answer.to_string()));
-        let expected = format!("archlink-harbourmaster: {}\n", said.replace("AT", &at.to_string()));
+        let expected = format!("archlink-control-plane: {}\n", said.replace("AT", &at.to_string()));
         assert_eq!(run(at, &["evacuate", "begin", "east"]), (Some(code), expected));
     }
     // Nothing to found anew where a majority answers.
@@ -202,7 +202,7 @@
     let words = ["voters", "found-anew", "--at", "10.0.0.1:8200", "--epoch", "7", "--lose", "10.0.0.2"];
     let (code, said) = run(at, &words);
     let why =
-        "archlink-harbourmaster: the order is refused; there is nothing to found anew, as shown above\n";
+        "archlink-control-plane: the order is refused; there is nothing to found anew, as shown above\n";
     assert!(code == Some(3) && said.ends_with(why), "{code:?} {said}");
     // Words that the command line does not know, or lacks.
     for words in [
@@ -216,7 +216,7 @@
     }
     for words in [&[][..], &["run"], &["members"]] {
         let (code, said) = run_alone(words);
-        let why = "archlink-harbourmaster: the settings file can't be used";
+        let why = "archlink-control-plane: the settings file can't be used";
         assert!(code == Some(2) && said.starts_with(why), "{code:?} {said}");
     }
 }
--- a/data-plane/src/front.rs
+++ b/crates/data-plane/src/front.rs
@@ -4,8 +4,8 @@
 use crate::client::Client;
 use crate::gateway::Gateway;
 use crate::request;
-use fairway::departure::{Departure, departure};
-use fairway::plain::{Answer, Asked, Request, ServerSide};
+use archlink_http::departure::{Departure, departure};
+use archlink_http::plain::{Answer, Asked, Request, ServerSide};
 use futures_util::{SinkExt, StreamExt};
 use std::cell::Cell;
 use std::pin::pin;
--- a/data-plane/src/gateway.rs
+++ b/crates/data-plane/src/gateway.rs
@@ -3,21 +3,21 @@
 //! and go on.
 
 use crate::metrics::Metrics;
-use berth::budget::{Budget, Rule};
-use berth::choice::{Berth, ColdRule, ServiceTerms};
-use bridge::views::{Turn, Views};
-use chart::{Chart, Settings, Tenant};
-use fairway::kept::Kept;
-use fairway::plain::CallerSide;
-use mooring::Clock;
-use signal::{Add, Lot, Node, Pilot};
+use archlink_balancer::budget::{Budget, Rule};
+use archlink_balancer::choice::{Berth, ColdRule, ServiceTerms};
+use archlink_config::{Chart, Settings, Tenant};
+use archlink_control_client::views::{Turn, Views};
+use archlink_http::kept::Kept;
+use archlink_http::plain::CallerSide;
+use archlink_messages::{Add, Lot, Node, Pilot};
+use archlink_quota::asker::{Asker, Quota, Verdict};
+use archlink_quota::frames::Settled;
+use archlink_quota::share::{Bound, Share};
+use archlink_runtime::Clock;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::{SocketAddr, SocketAddrV4};
 use std::rc::Rc;
-use tally::asker::{Asker, Quota, Verdict};
-use tally::frames::Settled;
-use tally::share::{Bound, Share};
 use tokio::sync::{Notify, oneshot};
 
 /// Keys are served this much shorter than the rule allows: what was let on may still be on its way.
@@ -52,9 +52,9 @@
     pub fn new(settings: Settings, clock: Clock, kept: Rc<Kept<CallerSide>>) -> Rc<Gateway> {
         let bounds = settings.bounds;
         let cold = ColdRule { overrun: bounds.cold_overrun, slack: bounds.cold_slack };
-        let me = mooring::node_of(settings.ip);
+        let me = archlink_runtime::node_of(settings.ip);
         let (zone, region, zones) = (settings.zone.clone(), settings.region.clone(), settings.zones.clone());
-        let berth = Berth::new(me, zone, region, zones, cold, mooring::chance());
+        let berth = Berth::new(me, zone, region, zones, cold, archlink_runtime::chance());
         Rc::new(Gateway {
             clock,
             kept,
@@ -63,7 +63,7 @@
             budget: RefCell::default(),
             metrics: Metrics::new(),
             shares: RefCell::default(),
-            asker: RefCell::new(Asker::new(clock.now(), mooring::chance())),
+            asker: RefCell::new(Asker::new(clock.now(), archlink_runtime::chance())),
             verdicts: RefCell::default(),
             leaving: Cell::new(false),
             counted: Cell::new(false),
@@ -111,7 +111,7 @@
             _ => unset,
         };
         Pilot {
-            node: mooring::node_of(self.settings.ip),
+            node: archlink_runtime::node_of(self.settings.ip),
             zone: self.settings.zone.clone(),
             region: self.settings.region.clone(),
             front,
@@ -226,7 +226,7 @@
         // The steady clock counts from this process's start.
         let share = shares.entry(tenant.name.clone()).or_insert_with(|| Share::new(0.0));
         let views = self.views.borrow();
-        let lot = Lot::of(mooring::node_of(self.settings.ip), &tenant.name, views.pilots());
+        let lot = Lot::of(archlink_runtime::node_of(self.settings.ip), &tenant.name, views.pilots());
         share.take(now, &bound, tenant.rate, tenant.burst, lot)
     }
 
--- a/data-plane/src/hand_off.rs
+++ b/crates/data-plane/src/hand_off.rs
@@ -7,9 +7,9 @@
 use crate::client::Client;
 use crate::gateway::Gateway;
 use crate::metrics::DepartedEnd;
-use berth::choice::{Chosen, End};
-use fairway::kept::Line;
-use fairway::plain::{CallerSide, Reply, Request, Sending};
+use archlink_balancer::choice::{Chosen, End};
+use archlink_http::kept::Line;
+use archlink_http::plain::{CallerSide, Reply, Request, Sending};
 use futures_util::{SinkExt, StreamExt};
 use std::io;
 use std::rc::Rc;
@@ -208,7 +208,7 @@
 }
 
 /// The host's answer as the client gets it.
-pub fn relayed(reply: Reply) -> fairway::plain::Answer {
+pub fn relayed(reply: Reply) -> archlink_http::plain::Answer {
     let mut lines = Vec::with_capacity(reply.passed.len() + 96);
     for (name, field) in [("Attempt-Id", ATTEMPT_ID), ("Server-Seal", SERVER_SEAL)] {
         if let Some(text) = reply.fields[field].once() {
@@ -216,7 +216,7 @@
         }
     }
     lines.extend_from_slice(&reply.passed);
-    fairway::plain::Answer { status: reply.status, lines, body: reply.body, close: false }
+    archlink_http::plain::Answer { status: reply.status, lines, body: reply.body, close: false }
 }
 
 #[cfg(test)]
--- a/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -14,13 +14,13 @@
 #[cfg(test)]
 mod tests;
 
-use chart::Settings;
+use archlink_config::Settings;
+use archlink_http::kept::Kept;
+use archlink_http::plain::CallerSide;
+use archlink_runtime::Clock;
 use error_stack::{Report, ResultExt};
-use fairway::kept::Kept;
-use fairway::plain::CallerSide;
 use front::{Front, Stage};
 use gateway::Gateway;
-use mooring::Clock;
 use std::cell::Cell;
 use std::fmt;
 use std::net::SocketAddr;
@@ -72,7 +72,7 @@
 
 /// The settings file that `ARCHLINK_CONFIG` names, checked.
 pub fn read_settings() -> Outcome<Settings> {
-    let text = mooring::settings_text().change_context(DataPlaneError::Settings)?;
+    let text = archlink_runtime::settings_text().change_context(DataPlaneError::Settings)?;
     Settings::read(&text).change_context(DataPlaneError::Settings)
 }
 
--- a/data-plane/src/main.rs
+++ b/crates/data-plane/src/main.rs
@@ -3,23 +3,23 @@
 #![forbid(unsafe_code)]
 
 use archlink_data_plane::{DataPlaneError, Outcome, read_settings, serve};
+use archlink_runtime::until_told;
 use clap::{Arg, Command, value_parser};
 use error_stack::ResultExt;
-use mooring::until_told;
 use tokio::runtime::LocalOptions;
 
 /// SIGHUP has the settings read and checked again; what is in use stays until the next start.
 fn read_again() {
     match read_settings() {
         Ok(read) => log::info!("settings read again: {} seeds; what is in use stays", read.seeds.len()),
-        Err(e) => log::error!("settings: {}; what is in use stays", mooring::told(&e)),
+        Err(e) => log::error!("settings: {}; what is in use stays", archlink_runtime::told(&e)),
     }
 }
 
 fn begin(metrics: Option<u16>) -> Outcome<()> {
     let settings = read_settings()?;
     let level = std::env::var("ARCHLINK_LOG").ok().and_then(|l| l.parse().ok());
-    mooring::log_to_stderr(&settings.name, level.unwrap_or(log::LevelFilter::Info));
+    archlink_runtime::log_to_stderr(&settings.name, level.unwrap_or(log::LevelFilter::Info));
     let mut builder = tokio::runtime::Builder::new_current_thread();
     let runtime =
         builder.enable_all().build_local(LocalOptions::default()).change_context(DataPlaneError::Start)?;
@@ -40,7 +40,7 @@
         Command::new("archlink-data-plane").version(env!("CARGO_PKG_VERSION")).about(about).arg(metrics);
     let given = command.get_matches();
     if let Err(e) = begin(given.get_one("metrics-port").copied()) {
-        eprintln!("archlink-data-plane: {}", mooring::told(&e));
+        eprintln!("archlink-data-plane: {}", archlink_runtime::told(&e));
         std::process::exit(2);
     }
 }
--- a/data-plane/src/request.rs
+++ b/crates/data-plane/src/request.rs
@@ -6,9 +6,9 @@
 use crate::client::Client;
 use crate::gateway::Gateway;
 use crate::hand_off::{HandOff, Outcome, Outgoing, carry, relayed};
-use berth::choice::{Chosen, Door, Need};
-use chart::{Chart, Route, Tenant};
-use fairway::plain::{Answer, Field, Request};
+use archlink_balancer::choice::{Chosen, Door, Need};
+use archlink_config::{Chart, Route, Tenant};
+use archlink_http::plain::{Answer, Field, Request};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::mpsc;
@@ -86,7 +86,7 @@
 
 /// A number from 0 to 1.
 fn draw() -> f64 {
-    (mooring::chance() >> 11) as f64 / (1_u64 << 53) as f64
+    (archlink_runtime::chance() >> 11) as f64 / (1_u64 << 53) as f64
 }
 
 /// One of a route's services by their weights, first, and the others after it.
--- a/data-plane/src/session.rs
+++ b/crates/data-plane/src/session.rs
@@ -1,18 +1,18 @@
 //! The sockets of a data gateway's session with a control gateway, and of its connection to the one that holds the counts.
-//! Owns them; when to call, hail, pull and leave is `bridge::session`'s to say. Must never take an answer for a question
+//! Owns them; when to call, hail, pull and leave is `archlink_control_client::session`'s to say. Must never take an answer for a question
 //! that it does not belong to.
 
 use crate::gateway::Gateway;
-use bridge::session::{Act, Place, Session};
-use chart::Settings;
+use archlink_config::Settings;
+use archlink_control_client::session::{Act, Place, Session};
+use archlink_messages::{Add, Node, Word};
+use archlink_quota::frames::{Frames, Heard, Settled};
+use archlink_runtime::{Out, split};
 use futures_util::{Stream, StreamExt};
-use mooring::{Out, split};
-use signal::{Add, Node, Word};
 use std::io;
 use std::pin::Pin;
 use std::rc::Rc;
 use std::time::Duration;
-use tally::frames::{Frames, Heard, Settled};
 use tokio::time::{Instant, sleep_until, timeout};
 
 /// Between two calls of a holder of the counts that isn't reached.
@@ -26,12 +26,12 @@
 
 /// The control gateways that a settings file names.
 fn seeds(settings: &Settings) -> Vec<Node> {
-    settings.seeds.iter().map(|seed| mooring::node_of(*seed.ip())).collect()
+    settings.seeds.iter().map(|seed| archlink_runtime::node_of(*seed.ip())).collect()
 }
 
 /// The same of the file as it is now; none where it can't be read.
 fn seeds_now() -> Option<Vec<Node>> {
-    let text = mooring::settings_text().ok()?;
+    let text = archlink_runtime::settings_text().ok()?;
     Settings::read(&text).ok().map(|settings| seeds(&settings))
 }
 
@@ -39,7 +39,7 @@
 pub async fn keep(gateway: Rc<Gateway>) {
     let mut alone_since = Instant::now();
     let mut session = Session::new(Place {
-        node: mooring::node_of(gateway.settings.ip),
+        node: archlink_runtime::node_of(gateway.settings.ip),
         zone: gateway.settings.zone.clone(),
         region: gateway.settings.region.clone(),
         seeds: seeds(&gateway.settings),
@@ -89,7 +89,8 @@
     while let Some(act) = acts.pop_front() {
         match act {
             Act::Call(node) => {
-                let called = mooring::call(mooring::address_of(node, gateway.settings.port)).await;
+                let called =
+                    archlink_runtime::call(archlink_runtime::address_of(node, gateway.settings.port)).await;
                 let called = called.map(|framed| {
                     let (out, words) = split(framed, MOST_WORDS);
                     *line = Some((out, Box::pin(words)));
@@ -117,7 +118,7 @@
             pause(&gateway).await;
             continue;
         };
-        match mooring::call(mooring::address_of(holder.0, gateway.settings.port)).await {
+        match archlink_runtime::call(archlink_runtime::address_of(holder.0, gateway.settings.port)).await {
             Ok(framed) => {
                 let (out, words) = split(framed, MOST_WORDS);
                 talk(&gateway, &mut frames, &out, Box::pin(words), holder).await;
@@ -208,8 +209,8 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use bridge::views::Views;
-    use signal::{Beat, Duty, Held, Hosts, Piece, Pilot, Post, Register, Vector, pack};
+    use archlink_control_client::views::Views;
+    use archlink_messages::{Beat, Duty, Held, Hosts, Piece, Pilot, Post, Register, Vector, pack};
     use std::net::{Ipv4Addr, SocketAddrV4};
 
     const LEASE: f64 = 3.0;
--- a/data-plane/src/status.rs
+++ b/crates/data-plane/src/status.rs
@@ -2,7 +2,7 @@
 //! operators. Owns their sockets and bounds. Must never touch a client's request.
 
 use crate::front::Front;
-use fairway::plain::{Answer, Asked, ServerSide};
+use archlink_http::plain::{Answer, Asked, ServerSide};
 use futures_util::{SinkExt, StreamExt};
 use std::rc::Rc;
 use std::time::Duration;
--- a/data-plane/src/tests/departures.rs
+++ b/crates/data-plane/src/tests/departures.rs
@@ -3,8 +3,8 @@
 
 use super::Habit::*;
 use super::*;
-use signal::Add;
-use tally::frames::Settled;
+use archlink_messages::Add;
+use archlink_quota::frames::Settled;
 use tokio::io::AsyncWriteExt;
 
 /// A request's time, in milliseconds: a run that ends sooner was ended for another reason.
--- a/data-plane/src/tests/mod.rs
+++ b/crates/data-plane/src/tests/mod.rs
@@ -9,12 +9,12 @@
 use crate::front::{self, Front, Stage};
 use crate::gateway::Gateway;
 use crate::{hand_off, request};
-use bridge::views::Event;
-use chart::Settings;
-use fairway::kept::Kept;
-use fairway::plain::{Answer, CallerSide, Field, Request};
-use mooring::Clock;
-use signal::{Beat, HostLine, Hosts, Muster, Piece, Vector, pack};
+use archlink_config::Settings;
+use archlink_control_client::views::Event;
+use archlink_http::kept::Kept;
+use archlink_http::plain::{Answer, CallerSide, Field, Request};
+use archlink_messages::{Beat, HostLine, Hosts, Muster, Piece, Vector, pack};
+use archlink_runtime::Clock;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -244,7 +244,7 @@
     let packed = pack::pack(chart.as_bytes(), b"").unwrap().into();
     for piece in [
         Piece::Chart { stamp: 1, base: 0, packed },
-        Piece::Pilots(vec![mooring::node_of([127, 0, 0, 1].into())]),
+        Piece::Pilots(vec![archlink_runtime::node_of([127, 0, 0, 1].into())]),
         Piece::Hosts(Hosts { term: 1, version: 1, lines }),
     ] {
         let turns = gateway.views.borrow_mut().append(gateway.clock.now(), Event::Told(piece));
--- a/quay/src/lib.rs
+++ b/crates/demo/src/lib.rs
@@ -284,7 +284,7 @@
         let settings = self.settings(n, true, first)?;
         let serve = move |stopped: oneshot::Receiver<()>| async move {
             let until = async move { drop(stopped.await) };
-            archlink_harbourmaster::serve(settings, until).await.map_err(|e| format!("{e:?}"))
+            archlink_control_plane::serve(settings, until).await.map_err(|e| format!("{e:?}"))
         };
         self.keepers[n] = Some(Running::start(serve));
         Ok(())
@@ -304,7 +304,7 @@
         SocketAddr::new(self.ip(n, false).parse().unwrap_or([127, 0, 0, 1].into()), FRONT)
     }
 
-    fn settings(&self, n: usize, control: bool, first: bool) -> Result<chart::Settings, String> {
+    fn settings(&self, n: usize, control: bool, first: bool) -> Result<archlink_config::Settings, String> {
         let ip = self.ip(n, control);
         let zone = if n == 1 { "east" } else { "west" };
         let seeds: Vec<String> = (0..3).map(|n| self.control(n).to_string()).collect();
@@ -322,7 +322,7 @@
                 "QuotaWindow=5s,QuotaOverrun=0.1,QuotaSlack=20,ColdOverrun=1.5,ColdSlack=5,ttl_max=5s"],
             "Cloud": {"Address": self.platform.address.to_string(), "RatePerS": 50.0, "Lag": "100ms"},
         });
-        chart::Settings::read(&text.to_string()).map_err(|e| format!("{e:?}"))
+        archlink_config::Settings::read(&text.to_string()).map_err(|e| format!("{e:?}"))
     }
 
     /// Waits until `what` holds, for a while; each look is a call on a socket.
--- a/quay/src/main.rs
+++ b/crates/demo/src/main.rs
@@ -2,7 +2,7 @@
 //! for the platform and the hosts. Owns what is printed.
 #![forbid(unsafe_code)]
 
-use archlink_quay::{Harbour, configuration};
+use archlink_demo::{Harbour, configuration};
 use clap::Command;
 
 const NET: u8 = 250;
--- a/quay/tests/whole.rs
+++ b/crates/demo/tests/whole.rs
@@ -1,6 +1,6 @@
 //! Both programs against stand-ins, on loopback: what a client, a host, the platform and the operator see on their sockets.
 
-use archlink_quay::{Habit, Harbour, call, configuration, exchange};
+use archlink_demo::{Habit, Harbour, call, configuration, exchange};
 use std::collections::BTreeSet;
 
 /// Ready to serve: a configuration with that rate for the tenant `lab`, and two hosts in two zones.
--- a/example/toy.rs
+++ b/crates/gateway/examples/toy.rs
@@ -1,5 +1,5 @@
 //! A toy deployment to try the gateway with, all on loopback: two hosts, discovery and a counter in one program.
-//! Start it, then the gateway with `example/gateway.json`. A line typed here changes the list of hosts:
+//! Start it, then the gateway with `crates/gateway/examples/gateway.json`. A line typed here changes the list of hosts:
 //! `drain 1`, `gone 1` or `ready 1`.
 
 use std::collections::HashMap;
--- a/gateway/src/book.rs
+++ b/crates/gateway/src/book.rs
@@ -6,7 +6,7 @@
 use crate::relay;
 use crate::route::Hall;
 use crate::send::{Broken, Ending, Job, Reach};
-use archlink::interface::{Ended, HostId, Load, Outcome};
+use archlink_admission::interface::{Ended, HostId, Load, Outcome};
 use std::rc::Rc;
 
 fn outcome(ending: &Ending) -> Outcome {
--- a/gateway/src/counter.rs
+++ b/crates/gateway/src/counter.rs
@@ -4,8 +4,8 @@
 //! Moved to another address, it awaits what is out at the old one first: a name's answers keep the order of its calls.
 
 use crate::route::Hall;
-use archlink::again::Again;
-use archlink::interface::Counted;
+use archlink_admission::again::Again;
+use archlink_admission::interface::Counted;
 use bytes::{Buf, BytesMut};
 use futures_util::{SinkExt, StreamExt};
 use std::cell::{Cell, RefCell};
--- a/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -3,11 +3,11 @@
 //! version heard, and so is one whose address has moved. Must never leave out, reorder or interpret what the list says: the module hears it line by line.
 
 use crate::route::{Clock, Hall};
-use archlink::again::Again;
-use archlink::interface::{HostId, HostLine, News, Standing};
-use archlink_settings::Told;
+use archlink_admission::again::Again;
+use archlink_admission::interface::{HostId, HostLine, News, Standing};
+use archlink_admission_settings::Told;
+use archlink_http::frame::Chunks;
 use bytes::{Buf, BytesMut};
-use fairway::frame::Chunks;
 use futures_util::StreamExt;
 use httparse::{EMPTY_HEADER, Status};
 use serde_json::Value;
--- a/gateway/src/http.rs
+++ b/crates/gateway/src/http.rs
@@ -3,11 +3,11 @@
 //! small typed value and encoded once. Must never hold a connection, read a clock, or judge an inquiry: it says
 //! what a message is, or with which plain 4xx it is not one.
 
-use archlink::interface::{Effect, Inquiry, Load};
-use archlink_settings::Told;
+use archlink_admission::interface::{Effect, Inquiry, Load};
+use archlink_admission_settings::Told;
+pub use archlink_http::frame::Held;
+use archlink_http::frame::{Body, Chunks, Length, broken, header, lines};
 use bytes::{Buf, Bytes, BytesMut};
-pub use fairway::frame::Held;
-use fairway::frame::{Body, Chunks, Length, broken, header, lines};
 use httparse::{EMPTY_HEADER, Status};
 use std::cell::Cell;
 use std::fmt::Write;
@@ -304,7 +304,7 @@
     let mut load = Load::default();
     for (name, value) in text.split(',').filter_map(|pair| pair.trim().split_once('=')) {
         if let Some(value) = number(value) {
-            archlink_settings::figure(&mut load, name, value);
+            archlink_admission_settings::figure(&mut load, name, value);
         }
     }
     load
@@ -401,7 +401,7 @@
             classes.1.deadline-us=1\ncontracts.count=1\ncontracts.0.name=team\npeers-total=1\n\
             limits.max-attempts=1\nobligations.drain-grace-us=0\nobligations.cold-from=1\n\
             obligations.warm-up-us=0\nobligations.tip-multiple=1\nobligations.overload-for-us=0\n";
-        Rc::new(archlink_settings::from_lines(lines).unwrap())
+        Rc::new(archlink_admission_settings::from_lines(lines).unwrap())
     }
 
     const ASKED: &[u8] = b"GET /look?customer=7 HTTP/1.1\r\nReq-Id: 1\r\nX-Tariff: team\r\nReq-Deadline: 1\r\n\r\n\
--- a/gateway/src/route.rs
+++ b/crates/gateway/src/route.rs
@@ -7,10 +7,10 @@
 use crate::peers::Peers;
 use crate::send::{self, Job, Kept};
 use crate::{book, relay};
-use archlink::again::Again;
-use archlink::interface::*;
-use archlink::logic::Gateway;
-use archlink_settings::Told;
+use archlink_admission::again::Again;
+use archlink_admission::interface::*;
+use archlink_admission::logic::Gateway;
+use archlink_admission_settings::Told;
 use rustix::time::{
     Itimerspec, TimerfdClockId, TimerfdFlags, TimerfdTimerFlags, Timespec, timerfd_create, timerfd_settime,
 };
--- a/gateway/src/send.rs
+++ b/crates/gateway/src/send.rs
@@ -5,9 +5,9 @@
 use crate::book::{Owed, OwedProbe};
 use crate::http::{Call, HostSide, Reply, Sending};
 use crate::take_in::LARGE;
-use archlink::interface::HostId;
+use archlink_admission::interface::HostId;
+use archlink_http::kept::Line;
 use bytes::BytesMut;
-use fairway::kept::Line;
 use futures_util::{SinkExt, StreamExt};
 use std::cell::Cell;
 use std::future::poll_fn;
@@ -51,7 +51,7 @@
     pub at: f64,
 }
 
-pub type Kept = fairway::kept::Kept<HostSide>;
+pub type Kept = archlink_http::kept::Kept<HostSide>;
 
 /// `began` is called where a reply has begun and the rest of it is waited for.
 async fn exchange(
--- a/gateway/src/take_in.rs
+++ b/crates/gateway/src/take_in.rs
@@ -5,8 +5,8 @@
 use crate::admit::admit;
 use crate::http::{Answer, Asked, ClientSide, What};
 use crate::route::Hall;
+use archlink_http::departure::departure;
 use bytes::BytesMut;
-use fairway::departure::departure;
 use futures_util::{SinkExt, StreamExt};
 use std::cell::Cell;
 use std::rc::Rc;
--- a/fairway/tests/departure.rs
+++ b/crates/http/tests/departure.rs
@@ -1,9 +1,9 @@
 //! Clients that leave while a request is at work, on loopback sockets: each way to leave is noticed, what was sent early is
 //! kept, and what is read ahead is bounded.
 
+use archlink_http::departure::{Departure, departure};
+use archlink_http::plain::{Asked, ServerSide};
 use bytes::BytesMut;
-use fairway::departure::{Departure, departure};
-use fairway::plain::{Asked, ServerSide};
 use futures_util::StreamExt;
 use std::cell::Cell;
 use std::rc::Rc;
--- a/signal/tests/wire_fixtures.rs
+++ b/crates/messages/tests/wire_fixtures.rs
@@ -3,11 +3,11 @@
 //! must leave these bytes as they are: processes of two versions run side by side. Must never record the fixture by
 //! itself: where a line is missing or differs, the test names it and gives the bytes of the code as it stands.
 
-use bytes::{Bytes, BytesMut};
-use signal::{
+use archlink_messages::{
     Add, Ballot, Beat, DUTIES, Duty, Held, HostLine, Hosts, Keeper, Mark, Muster, Piece, Pilot, Poll, Post,
     REGISTERS, Register, Sessions, Slot, Vector, Wire, Word, evacuated, evacuations, pack,
 };
+use bytes::{Bytes, BytesMut};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
 use tokio_util::codec::{Decoder, Encoder};
--- a/migrate/src/lib.rs
+++ b/crates/migrate/src/lib.rs
@@ -45,7 +45,7 @@
             leave(&format!("settings.contracts.{n}.max-out"), why);
         }
     }
-    let told = archlink_settings::from_json(&Value::Object(settings.clone()))
+    let told = archlink_admission_settings::from_json(&Value::Object(settings.clone()))
         .map_err(|e| format!("settings.{e}"))?;
     let mut file = Map::new();
     // By name: the order of a parsed object hangs on how the JSON library is built, a listing must not.
--- a/migrate/tests/command.rs
+++ b/crates/migrate/tests/command.rs
@@ -15,7 +15,7 @@
 }
 
 fn old() -> Value {
-    let text = include_str!("../../example/gateway.json");
+    let text = include_str!("../../gateway/examples/gateway.json");
     let mut old: Value = serde_json::from_str(text).unwrap();
     old["peers"] = json!(["127.0.0.1:9"]);
     old["settings"]["limits"]["peers"] = json!(true);
@@ -59,7 +59,7 @@
     );
     assert_eq!(look["on-time-us"], 2_000_000, "the shape's own figure");
     assert_eq!(file["settings"]["limits"]["max-attempts"], was["limits"]["max-attempts"]);
-    let told = archlink_settings::from_json(&file["settings"]).unwrap().terms;
+    let told = archlink_admission_settings::from_json(&file["settings"]).unwrap().terms;
     assert!(!told.may_probe && !told.may_advise && told.settles && told.lanes[1].late_worth == 0.0);
     assert!(migrate(&old, &shape, &["--write", name]).status.code() == Some(1), "never over a file unasked");
     assert_eq!(migrate(&old, &shape, &["--write", name, "--replace"]).status.code(), Some(2));
@@ -94,7 +94,7 @@
 
 #[test]
 fn the_same_shape_carries_all_but_the_known_hosts_over() {
-    let mut plain: Value = serde_json::from_str(include_str!("../../example/gateway.json")).unwrap();
+    let mut plain: Value = serde_json::from_str(include_str!("../../gateway/examples/gateway.json")).unwrap();
     plain.as_object_mut().unwrap().remove("known");
     let (old, shape) = (file("plain", &plain), file("none", &json!({})));
     let output = migrate(&old, &shape, &[]);
--- a/tally/src/asker.rs
+++ b/crates/quota/src/asker.rs
@@ -4,12 +4,12 @@
 //! decide alone it lets nothing on; that is `share`'s part. Must never answer a request twice, or grant what no total let on.
 
 use crate::frames::Settled;
-use archlink::interface::{
+use archlink_admission::interface::{
     Counted, Effect, Ended, Group, HostLine, Inquiry, LaneTerms, Load, News, Outcome, Outward, PlanTerms,
     Terms,
 };
-use archlink::logic::Gateway;
-use signal::Add;
+use archlink_admission::logic::Gateway;
+use archlink_messages::Add;
 use std::collections::HashMap;
 
 /// The wait for a total follows from this as a twentieth of it: far under any goal time, and long enough for the way to
--- a/tally/src/book.rs
+++ b/crates/quota/src/book.rs
@@ -2,7 +2,7 @@
 //! on disk or handed over. A new holder answers nothing until what its predecessor granted has left every tier's window.
 //! Must never answer outside its term.
 
-use signal::Add;
+use archlink_messages::Add;
 use std::collections::HashMap;
 
 /// Most names at a time; an add to a further one gets no answer, which a gateway takes for a silent counter.
--- a/tally/src/frames.rs
+++ b/crates/quota/src/frames.rs
@@ -5,7 +5,7 @@
 //! question went out on; when that ends, all that is out on it is settled. So an answer that comes late, twice or to
 //! another life of this process finds no question.
 
-use signal::Add;
+use archlink_messages::Add;
 use std::collections::VecDeque;
 
 /// Questions out at most: a holder that answers in time has a few. What finds no room is not sent.
--- a/tally/src/share.rs
+++ b/crates/quota/src/share.rs
@@ -9,7 +9,7 @@
 //! A gateway that starts anew waits for as long first, as its life before may have let on all of it a moment ago; one that
 //! is cut off or wakes from a freeze has no more than its own.
 
-use signal::Lot;
+use archlink_messages::Lot;
 use std::collections::VecDeque;
 
 /// Part of a quota that the counter grants. The rest is not lost: tenants that press are let on by the shares as well. Less
--- a/tally/tests/frames.rs
+++ b/crates/quota/tests/frames.rs
@@ -1,10 +1,10 @@
 //! Questions and answers on a connection that drops, doubles, delays, swaps and damages answers. Guards against totals that
 //! answer another question: with answers matched by their order, one that is lost hands every later one to the wrong asker.
 
-use signal::Add;
-use tally::asker::{Asker, Quota, Verdict};
-use tally::book::Book;
-use tally::frames::{Frames, Heard, SILENT, Settled};
+use archlink_messages::Add;
+use archlink_quota::asker::{Asker, Quota, Verdict};
+use archlink_quota::book::Book;
+use archlink_quota::frames::{Frames, Heard, SILENT, Settled};
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
--- a/tally/tests/quota.rs
+++ b/crates/quota/tests/quota.rs
@@ -1,12 +1,12 @@
 //! Several askers on one book, in made-up time: the rule's bound over all of them, with the counter at hand, silent, moved,
 //! and for a gateway that is cut off. Guards against shares granted twice and against refusals inside a quota.
 
-use signal::{Add, Lot};
+use archlink_messages::{Add, Lot};
+use archlink_quota::asker::{Asker, Quota, Verdict};
+use archlink_quota::book::Book;
+use archlink_quota::frames::Settled;
+use archlink_quota::share::{Bound, Share};
 use std::collections::VecDeque;
-use tally::asker::{Asker, Quota, Verdict};
-use tally::book::Book;
-use tally::frames::Settled;
-use tally::share::{Bound, Share};
 
 const BOUND: Bound = Bound { window: 5.0, overrun: 0.1, slack: 20.0 };
 
@@ -125,7 +125,7 @@
     for quota in [quota(120.0, 120.0), quota(8.0, 8.0)] {
         let reach = |n: usize, now: f64| match now - 1000.0 {
             t if n < 4 && (3.0..9.0).contains(&t) => 0,
-            t if (7.0..7.1 + tally::book::SILENCE).contains(&t) => 0,
+            t if (7.0..7.1 + archlink_quota::book::SILENCE).contains(&t) => 0,
             t if t < 7.0 => 1,
             _ => 2,
         };
--- a/mooring/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -2,8 +2,8 @@
 //! Must never decide anything.
 #![forbid(unsafe_code)]
 
+use archlink_messages::{Wire, Word};
 use futures_util::SinkExt;
-use signal::{Wire, Word};
 use std::collections::hash_map::RandomState;
 use std::hash::{BuildHasher, Hasher};
 use std::io::{self, Write};
@@ -81,11 +81,11 @@
     RandomState::new().build_hasher().finish()
 }
 
-pub fn node_of(ip: Ipv4Addr) -> signal::Node {
+pub fn node_of(ip: Ipv4Addr) -> archlink_messages::Node {
     u32::from(ip)
 }
 
-pub fn address_of(node: signal::Node, port: u16) -> SocketAddr {
+pub fn address_of(node: archlink_messages::Node, port: u16) -> SocketAddr {
     SocketAddrV4::new(Ipv4Addr::from(node), port).into()
 }
 
--- a/sounding/src/checks.rs
+++ b/crates/simulation/src/checks.rs
@@ -2,11 +2,11 @@
 //! one content a stamp; an epoch names one set; what was acknowledged is in the line; whoever has a register confirmed holds
 //! nothing older than what anybody knew when that was asked. Must never look at what a gateway could not be seen to do.
 
+use archlink_consensus::control::Control;
+use archlink_consensus::helm::Helm;
+use archlink_consensus::{Outcome, Reseat};
+use archlink_messages::{Ballot, Held, Mark, Muster, Node, REGISTERS, Register, evacuated};
 use bytes::Bytes;
-use harbour::control::Control;
-use harbour::helm::Helm;
-use harbour::{Outcome, Reseat};
-use signal::{Ballot, Held, Mark, Muster, Node, REGISTERS, Register, evacuated};
 use std::collections::BTreeMap;
 
 /// Of a clock's reading, in seconds, turned back into made-up time.
--- a/sounding/src/disk.rs
+++ b/crates/simulation/src/disk.rs
@@ -2,8 +2,8 @@
 //! one sync, in order, and words that stand for it are sent after that. Must never keep half of what went together.
 
 use crate::world::{Event, Fleet};
-use harbour::Record;
-use signal::{Duty, Muster, Node, Post, Register, Slot, Word};
+use archlink_consensus::Record;
+use archlink_messages::{Duty, Muster, Node, Post, Register, Slot, Word};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Writes that wait for a disk, as in the program; a further one is dropped with its words.
--- a/sounding/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -2,10 +2,10 @@
 //! end with a fault. Owns the command line. Must never decide what a fault is.
 #![forbid(unsafe_code)]
 
+use archlink_simulation::shrink::{shrunk, tried};
+use archlink_simulation::{Kind, Plan, Size, SoundingError};
 use clap::{Arg, ArgMatches, Command, value_parser};
 use error_stack::{Report, ResultExt};
-use sounding::shrink::{shrunk, tried};
-use sounding::{Kind, Plan, Size, SoundingError};
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
--- a/sounding/src/orders.rs
+++ b/crates/simulation/src/orders.rs
@@ -2,11 +2,11 @@
 
 use crate::checks::Order;
 use crate::world::Fleet;
+use archlink_consensus::control::Control;
+use archlink_consensus::helm::Change;
+use archlink_consensus::{Outcome, Reseat};
+use archlink_messages::{Duty, Node, Post};
 use bytes::Bytes;
-use harbour::control::Control;
-use harbour::helm::Change;
-use harbour::{Outcome, Reseat};
-use signal::{Duty, Node, Post};
 use std::collections::BTreeSet;
 
 /// The digest of the text that is ordered under that token.
--- a/sounding/src/plan.rs
+++ b/crates/simulation/src/plan.rs
@@ -2,9 +2,9 @@
 //! the steps and how they are drawn. Must never depend on anything but the seed and the size.
 
 use crate::SoundingError;
+use archlink_messages::Node;
 use error_stack::{Report, ResultExt};
 use serde::{Deserialize, Serialize};
-use signal::Node;
 
 /// Most steps of a drawn plan, and fewest.
 const STEPS: (u64, u64) = (4, 28);
--- a/sounding/src/play.rs
+++ b/crates/simulation/src/play.rs
@@ -4,9 +4,9 @@
 use crate::checks::Order;
 use crate::plan::{Loss, Plan, Size, Step};
 use crate::world::{Fleet, Net};
-use harbour::control::Control;
-use harbour::{Outcome, Reseat};
-use signal::{DUTIES, Node, Register, evacuated};
+use archlink_consensus::control::Control;
+use archlink_consensus::{Outcome, Reseat};
+use archlink_messages::{DUTIES, Node, Register, evacuated};
 use std::collections::BTreeMap;
 
 /// A lost disk counts until the gateway was back, and nothing else was wrong, for so long.
@@ -513,7 +513,7 @@
             if stamp < newest {
                 return Err(format!("{node} holds {stamp}, {newest} was acknowledged"));
             }
-            for register in signal::REGISTERS {
+            for register in archlink_messages::REGISTERS {
                 let value = control.helm.chosen(register).map(|held| &held.value);
                 let last = fleet.checks.lines.get(&register).and_then(|line| line.last());
                 if value != last.map(|seen| &seen.value) {
--- a/sounding/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -4,9 +4,9 @@
 
 use crate::checks::Checks;
 use crate::disk::{Disk, Kept};
-use harbour::control::{Control, Start};
-use harbour::{Act, Outcome};
-use signal::{Keeper, Muster, Node, Register, Word};
+use archlink_consensus::control::{Control, Start};
+use archlink_consensus::{Act, Outcome};
+use archlink_messages::{Keeper, Muster, Node, Register, Word};
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 
@@ -449,7 +449,7 @@
         let pace = self.paces.get(&node).copied().unwrap_or(Pace { rate: 1.0, ahead: 0.0 });
         let of_clock = |at: f64| (at - pace.ahead) / pace.rate;
         let mut checked = self.checks.looked(self.now, node, self.lives[&node], control, of_clock);
-        for duty in signal::DUTIES {
+        for duty in archlink_messages::DUTIES {
             if checked.is_ok() && control.duties.holds(self.clock(node), duty).is_some() {
                 let holds = |(n, c): &(&Node, &Control)| c.duties.holds(self.clock(**n), duty).is_some();
                 let holders: Vec<Node> = self.live.iter().filter(holds).map(|(n, _)| *n).collect();
--- a/sounding/tests/plans.rs
+++ b/crates/simulation/tests/plans.rs
@@ -1,8 +1,8 @@
 //! A few drawn plans of each size, the same every time, and plans that once ended with a fault, shrunk. For hours of them:
 //! `cargo run --release -p sounding -- run --seeds 0..1000000 --jobs 8 --size grown`.
 
-use sounding::shrink::tried;
-use sounding::{Kind, Plan, Size};
+use archlink_simulation::shrink::tried;
+use archlink_simulation::{Kind, Plan, Size};
 
 #[test]
 fn drawn_plans_end_well() {
--- a/logbook/src/before.rs
+++ b/crates/storage/src/before.rs
@@ -5,10 +5,10 @@
 use crate::disk::Disk;
 use crate::keeper::{Found, list, read, segments};
 use crate::{LogbookError, format};
+use archlink_messages::{Ballot, Duty, Muster, Node, Post, Register};
 use bytes::Bytes;
 use error_stack::{Report, ResultExt, ensure};
 use serde::{Deserialize, Serialize};
-use signal::{Ballot, Duty, Muster, Node, Post, Register};
 use std::collections::BTreeMap;
 use std::path::Path;
 
@@ -45,9 +45,10 @@
 }
 
 /// In the place of the register of today's musters the first set was voted on, which was on no disk.
-fn slot((register, slot): (Register, Slot)) -> Option<(Register, signal::Slot)> {
-    let held = |Held { ballot, stamp, value }| signal::Held { ballot, stamp, value, marks: Vec::new() };
-    let slot = signal::Slot { promised: slot.promised, held: slot.held.map(held) };
+fn slot((register, slot): (Register, Slot)) -> Option<(Register, archlink_messages::Slot)> {
+    let held =
+        |Held { ballot, stamp, value }| archlink_messages::Held { ballot, stamp, value, marks: Vec::new() };
+    let slot = archlink_messages::Slot { promised: slot.promised, held: slot.held.map(held) };
     (register != Register::Muster).then_some((register, slot))
 }
 
--- a/logbook/src/format.rs
+++ b/crates/storage/src/format.rs
@@ -5,9 +5,9 @@
 //! to fill gigabytes with zeros.
 
 use crate::{Entered, LogbookError, State, before};
+use archlink_messages::{Ballot, Register};
 use error_stack::{Report, ResultExt, bail, ensure};
 use serde::{Deserialize, Serialize};
-use signal::{Ballot, Register};
 
 /// Begins a snapshot. None of before the versions does: it would name 76 voters, the first of them 0.0.0.79.
 const SNAPSHOT: &[u8; 7] = b"LOGBOOK";
--- a/logbook/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -8,11 +8,11 @@
 mod format;
 mod keeper;
 
+use archlink_messages::{Duty, Muster, Post, Register, Slot};
 use disk::{Disk, Files};
 use error_stack::{Report, ResultExt};
 use keeper::Keeper;
 use serde::{Deserialize, Serialize};
-use signal::{Duty, Muster, Post, Register, Slot};
 use std::collections::BTreeMap;
 use std::path::Path;
 use std::sync::mpsc::{Receiver, SyncSender, sync_channel};
--- a/logbook/src/tests.rs
+++ b/crates/storage/src/tests.rs
@@ -6,7 +6,7 @@
 mod folders;
 
 use crate::{Entered, Logbook, LogbookError, State};
-use signal::{Ballot, Duty, Held, Muster, Post, Register, Slot};
+use archlink_messages::{Ballot, Duty, Held, Muster, Post, Register, Slot};
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::channel;
 
--- a/logbook/src/tests/bounds.rs
+++ b/crates/storage/src/tests/bounds.rs
@@ -5,7 +5,7 @@
 use crate::keeper::{CHECKPOINT, Keeper, find};
 use crate::made_up::{FOLDER, MadeUp, Platter};
 use crate::{Entered, Logbook, QUEUE};
-use signal::Register;
+use archlink_messages::Register;
 use std::collections::BTreeMap;
 use std::io;
 use std::path::{Path, PathBuf};
--- a/logbook/src/tests/fixtures.rs
+++ b/crates/storage/src/tests/fixtures.rs
@@ -6,7 +6,7 @@
 use crate::disk::{Log, log_in};
 use crate::format::{self, Change};
 use crate::{Entered, Logbook, State, before};
-use signal::{Ballot, Duty, Held, Mark, Muster, Post, Register, Slot};
+use archlink_messages::{Ballot, Duty, Held, Mark, Muster, Post, Register, Slot};
 use std::collections::BTreeMap;
 use std::fs;
 use std::path::{Path, PathBuf};
--- a/logbook/src/tests/folders.rs
+++ b/crates/storage/src/tests/folders.rs
@@ -3,7 +3,7 @@
 use super::{change, enter, folder, open, slot, value};
 use crate::disk::{Log, log_in};
 use crate::{Entered, Logbook, LogbookError, State, before};
-use signal::{Muster, Register};
+use archlink_messages::{Muster, Register};
 use std::collections::BTreeMap;
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -176,7 +176,7 @@
     fs::write(folder.join("snapshot"), postcard::to_stdvec(&state).unwrap()).unwrap();
     let mut log = log_in(&folder.join("log"), 4096).unwrap();
     for round in 1..4 {
-        let signal::Slot { promised, held } = slot(round, 300);
+        let archlink_messages::Slot { promised, held } = slot(round, 300);
         let held =
             held.map(|held| before::Held { ballot: held.ballot, stamp: held.stamp, value: held.value });
         let founders = before::Slot { promised, held: None };
