--- a/crates/admission-settings/src/lib.rs
+++ b/crates/admission-settings/src/lib.rs
@@ -9,20 +9,20 @@
 
 /// The terms, and what a front needs for reading and writing its own protocol.
 #[derive(Clone, Debug)]
-pub struct Told {
-    pub terms: Terms,
-    pub lanes: Vec<String>,
+pub struct ParsedSettings {
+    pub admission: AdmissionSettings,
+    pub classes: Vec<String>,
     pub plans: Vec<String>,
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
     /// Names of the values in a host's load report.
-    pub report: Vec<String>,
+    pub load_report_fields: Vec<String>,
     pub connect_timeout: f64,
     pub idle_close: f64,
 }
 
 /// Takes one value of a host's load report over, by the name that the settings give it.
-pub fn figure(load: &mut Load, name: &str, value: f64) {
+pub fn set_load_field(load: &mut Load, name: &str, value: f64) {
     match name {
         "busy" | "util" => load.util = Some(value),
         "lat_ms" | "latency_ms" => load.service = Some(value / 1e3),
@@ -74,7 +74,7 @@
     }
 }
 
-fn lane(facts: &Facts, n: usize) -> Result<LaneTerms, String> {
+fn lane(facts: &Facts, n: usize) -> Result<RequestClass, String> {
     let key = |name: &str| format!("classes.{n}.{name}");
     let effect = match facts.word(&key("effect"))? {
         "pure" => Effect::Pure,
@@ -83,44 +83,44 @@
         _ => return Err(format!("{}: unknown", key("effect"))),
     };
     let group = match facts.0.get(&key("key-scope")).map(String::as_str) {
-        Some("zone") => Group::Zone,
-        Some("cell") => Group::Cell,
-        None | Some("all") => Group::All,
+        Some("zone") => DedupScope::Zone,
+        Some("cell") => DedupScope::Cell,
+        None | Some("all") => DedupScope::All,
         Some(_) => return Err(format!("{}: unknown", key("key-scope"))),
     };
-    Ok(LaneTerms {
-        goal: facts.time(&key("on-time-us"))?,
-        abandon: facts.time(&key("deadline-us"))?,
+    Ok(RequestClass {
+        latency_target: facts.time(&key("on-time-us"))?,
+        client_timeout: facts.time(&key("deadline-us"))?,
         importance: facts.number_or(&key("points"), 1.0)?,
-        late_worth: share(facts, &key("late-share"), 1.0)?,
+        late_value: share(facts, &key("late-share"), 1.0)?,
         effect,
-        group,
-        memory: facts.number_or(&key("memory-span-us"), 0.0)? / 1e6,
+        dedup_scope: group,
+        dedup_window: facts.number_or(&key("memory-span-us"), 0.0)? / 1e6,
     })
 }
 
-fn plan(facts: &Facts, n: usize) -> Result<PlanTerms, String> {
+fn plan(facts: &Facts, n: usize) -> Result<PlanLimits, String> {
     let number = |name: &str| facts.number_or(&format!("contracts.{n}.{name}"), 0.0);
-    Ok(PlanTerms {
+    Ok(PlanLimits {
         rate: number("rate")?,
         burst: number("burst")?,
-        over_earns: number("over-worth")?,
-        over_costs: number("excess-cost")?,
+        overage_revenue: number("over-worth")?,
+        overage_cost: number("excess-cost")?,
         price: facts.number_or(&format!("contracts.{n}.price"), 1.0)?,
-        ceiling_rate: number("never-over-rate")?,
-        ceiling_burst: number("ceiling-burst")?,
-        ceiling_slack: number("cap-slack")?,
+        rate_limit: number("never-over-rate")?,
+        rate_limit_burst: number("ceiling-burst")?,
+        rate_limit_slack: number("cap-slack")?,
     })
 }
 
 /// Settings as lines of path=value.
-pub fn from_lines(text: &str) -> Result<Told, String> {
+pub fn from_lines(text: &str) -> Result<ParsedSettings, String> {
     let pairs = text.lines().filter_map(|line| line.split_once('='));
     read(Facts(pairs.map(|(key, value)| (key.to_string(), value.to_string())).collect()))
 }
 
 /// Settings as nested JSON: flattened to the same paths.
-pub fn from_json(settings: &Value) -> Result<Told, String> {
+pub fn from_json(settings: &Value) -> Result<ParsedSettings, String> {
     let mut flat = BTreeMap::new();
     flatten(settings, String::new(), &mut flat);
     let facts = Facts(flat);
@@ -154,7 +154,7 @@
     value.as_str().map_or_else(|| value.to_string(), str::to_string)
 }
 
-fn read(facts: Facts) -> Result<Told, String> {
+fn read(facts: Facts) -> Result<ParsedSettings, String> {
     let names = |list: &str| -> Result<Vec<String>, String> {
         let key = |n: usize| format!("{list}.{n}.name");
         Ok((0..facts.count(&format!("{list}.count"))?)
@@ -163,39 +163,39 @@
     };
     let lanes = (0..facts.count("classes.count")?).map(|n| lane(&facts, n)).collect::<Result<_, _>>()?;
     let plans = (0..facts.count("contracts.count")?).map(|n| plan(&facts, n)).collect::<Result<_, _>>()?;
-    let terms = Terms {
-        lanes,
+    let terms = AdmissionSettings {
+        classes: lanes,
         plans,
         gateways: facts.number("peers-total")?.max(1.0) as u32,
-        my_number: facts.number_or("self-index", 0.0)? as u32,
-        my_zone: facts.number_or("my-zone", 0.0)? as u8,
+        gateway_number: facts.number_or("self-index", 0.0)? as u32,
+        zone: facts.number_or("my-zone", 0.0)? as u8,
         may_count: facts.yes("domain.may-count")?,
         count_timeout: facts.number_or("domain.counter-timeout-us", 0.0)? / 1e6,
         settles: facts.yes("domain.settles")?,
-        most_units: facts.number_or("domain.most-units", 1.0)?,
+        max_units: facts.number_or("domain.most-units", 1.0)?,
         must_subscribe: facts.0.get("discovery").is_some_and(|how| how == "subscribe"),
         ask_within: facts.number_or("obligations.must-ask-in-us", 1e7)? / 1e6,
         sized: facts.0.get("weights").is_some_and(|meaning| meaning != "silent"),
-        most_hand_offs: facts.number("limits.max-attempts")? as u32,
-        second_copies: facts.yes("limits.second-copies")?,
+        max_attempts: facts.number("limits.max-attempts")? as u32,
+        may_hedge: facts.yes("limits.second-copies")?,
         may_cancel: facts.yes("limits.may-cancel")?,
         may_probe: facts.yes("limits.probes")?,
-        may_tell: facts.yes("limits.peers")?,
+        may_message_peers: facts.yes("limits.peers")?,
         may_advise: facts.yes("limits.retry-after")?,
-        most_advice: facts.number_or("limits.max-retry-after-us", 0.0)? / 1e6,
+        max_retry_after: facts.number_or("limits.max-retry-after-us", 0.0)? / 1e6,
         drain_grace: facts.time("obligations.drain-grace-us")?,
         cold_from: facts.number("obligations.cold-from")?,
         warm_up: facts.time("obligations.warm-up-us")?,
         tip_multiple: facts.number("obligations.tip-multiple")?,
         tip_for: facts.time("obligations.overload-for-us")?,
     };
-    Ok(Told {
-        terms,
-        lanes: names("classes")?,
+    Ok(ParsedSettings {
+        admission: terms,
+        classes: names("classes")?,
         plans: names("contracts")?,
         zones: facts.list("zones"),
         kinds: facts.list("kinds"),
-        report: facts.list("telemetry.fields"),
+        load_report_fields: facts.list("telemetry.fields"),
         connect_timeout: facts.number_or("limits.connect-timeout-us", 250_000.0)? / 1e6,
         idle_close: facts.number_or("limits.idle-close-us", 15_000_000.0)? / 1e6,
     })
--- a/crates/admission-settings/tests/forms.rs
+++ b/crates/admission-settings/tests/forms.rs
@@ -23,7 +23,7 @@
             "tip-multiple": 4.0, "overload-for-us": 2_000_000}});
     let (lines, nested) = (from_lines(lines).unwrap(), from_json(&nested).unwrap());
     assert_eq!(format!("{lines:?}"), format!("{nested:?}"));
-    assert_eq!((nested.zones.len(), nested.idle_close, nested.terms.plans[1].ceiling_rate), (2, 30.0, 3.0));
+    assert_eq!((nested.zones.len(), nested.idle_close, nested.admission.plans[1].rate_limit), (2, 30.0, 3.0));
 }
 
 #[test]
--- a/crates/admission-settings/tests/keys.rs
+++ b/crates/admission-settings/tests/keys.rs
@@ -1,7 +1,7 @@
 //! The settings object as operators write it: every key that is read, and the field that its value goes to.
 
-use archlink_admission::interface::{Effect, Group, LaneTerms, PlanTerms, Terms};
-use archlink_admission_settings::{Told, from_json};
+use archlink_admission::interface::{AdmissionSettings, DedupScope, Effect, PlanLimits, RequestClass};
+use archlink_admission_settings::{ParsedSettings, from_json};
 use serde_json::{Value, json};
 
 fn whole() -> Value {
@@ -28,47 +28,71 @@
 
 #[test]
 fn every_key_of_the_settings_object_is_read_into_its_field() {
-    let Told { terms, lanes, plans, zones, kinds, report, connect_timeout, idle_close } =
-        from_json(&whole()).unwrap();
+    let ParsedSettings {
+        admission: terms,
+        classes: lanes,
+        plans,
+        zones,
+        kinds,
+        load_report_fields: report,
+        connect_timeout,
+        idle_close,
+    } = from_json(&whole()).unwrap();
     assert_eq!((lanes, plans), (vec!["look".into(), "file".into(), "pay".into()], vec!["team".into()]));
     assert_eq!((zones, kinds), (vec!["a".to_string(), "b".into()], vec!["k".to_string(), "l".into()]));
     assert_eq!(
         (report, connect_timeout, idle_close),
         (vec!["busy".to_string(), "lat_ms".into()], 0.125, 30.0)
     );
-    let Terms {
-        lanes,
+    let AdmissionSettings {
+        classes: lanes,
         plans,
         gateways,
-        my_number,
-        my_zone,
+        gateway_number: my_number,
+        zone: my_zone,
         may_count,
         count_timeout,
         settles,
-        most_units,
+        max_units: most_units,
         must_subscribe,
         ask_within,
         sized,
-        most_hand_offs,
-        second_copies,
+        max_attempts: most_hand_offs,
+        may_hedge: second_copies,
         may_cancel,
         may_probe,
-        may_tell,
+        may_message_peers: may_tell,
         may_advise,
-        most_advice,
+        max_retry_after: most_advice,
         drain_grace,
         cold_from,
         warm_up,
         tip_multiple,
         tip_for,
     } = terms;
-    let LaneTerms { goal, abandon, importance, late_worth, effect, group, memory } = lanes[0].clone();
+    let RequestClass {
+        latency_target: goal,
+        client_timeout: abandon,
+        importance,
+        late_value: late_worth,
+        effect,
+        dedup_scope: group,
+        dedup_window: memory,
+    } = lanes[0].clone();
     assert_eq!((goal, abandon, importance, late_worth, memory), (0.8, 3.0, 2.5, 0.25, 15.0));
-    assert!(matches!((effect, group), (Effect::Pure, Group::Zone)));
-    assert!(matches!((lanes[1].effect, lanes[1].group), (Effect::Receipted, Group::Cell)));
-    assert!(matches!((lanes[2].effect, lanes[2].group), (Effect::Effectful, Group::All)));
-    let PlanTerms { rate, burst, over_earns, over_costs, price, ceiling_rate, ceiling_burst, ceiling_slack } =
-        plans[0].clone();
+    assert!(matches!((effect, group), (Effect::Pure, DedupScope::Zone)));
+    assert!(matches!((lanes[1].effect, lanes[1].dedup_scope), (Effect::Receipted, DedupScope::Cell)));
+    assert!(matches!((lanes[2].effect, lanes[2].dedup_scope), (Effect::Effectful, DedupScope::All)));
+    let PlanLimits {
+        rate,
+        burst,
+        overage_revenue: over_earns,
+        overage_cost: over_costs,
+        price,
+        rate_limit: ceiling_rate,
+        rate_limit_burst: ceiling_burst,
+        rate_limit_slack: ceiling_slack,
+    } = plans[0].clone();
     assert_eq!((rate, burst, over_earns, over_costs), (1.5, 8.0, 0.5, 0.75));
     assert_eq!((price, ceiling_rate, ceiling_burst, ceiling_slack), (3.0, 4.0, 5.0, 6.0));
     assert_eq!((gateways, my_number, my_zone), (3, 2, 1));
--- a/crates/admission/src/logic.rs
+++ b/crates/admission/src/admission.rs
@@ -3,11 +3,11 @@
 //! Each call acts through the `Outward` handed in. A gateway shares nothing; the same calls give the same actions. Each
 //! inquiry goes `arrived` -> `ask_quota` -> `send_on` -> `after_hand_off` -> an answer; closures hold what waits.
 
-use crate::again::Again;
+use crate::backoff::Backoff;
 use crate::interface::*;
 use crate::quota::{Tier, WIDE, ceiling, tiers};
 use crate::state::*;
-use crate::timing::ROUND;
+use crate::timers::ROUND;
 use std::collections::BTreeMap;
 
 /// One row a lane: what may be done again, where, and for how long.
@@ -15,26 +15,28 @@
     pub(crate) goal: f64,
     pub(crate) of_use: f64,
     pub(crate) repeats: bool,
-    pub(crate) fellows: Group,
+    pub(crate) fellows: DedupScope,
     pub(crate) memory: f64,
     pub(crate) refusable: bool,
 }
 
 impl Lane {
-    pub(crate) fn of(terms: &LaneTerms) -> Lane {
+    pub(crate) fn of(terms: &RequestClass) -> Lane {
         let (repeats, fellows, memory, refusable) = match terms.effect {
-            Effect::Pure => (true, Group::All, f64::INFINITY, true),
-            Effect::Receipted => (true, terms.group, terms.memory, terms.group == Group::All),
-            Effect::Effectful => (false, Group::All, 0.0, false),
+            Effect::Pure => (true, DedupScope::All, f64::INFINITY, true),
+            Effect::Receipted => {
+                (true, terms.dedup_scope, terms.dedup_window, terms.dedup_scope == DedupScope::All)
+            }
+            Effect::Effectful => (false, DedupScope::All, 0.0, false),
         };
-        let goal = terms.goal.max(0.001);
-        let of_use = if terms.late_worth > 0.0 { f64::INFINITY } else { goal };
+        let goal = terms.latency_target.max(0.001);
+        let of_use = if terms.late_value > 0.0 { f64::INFINITY } else { goal };
         Lane { goal, of_use, repeats, fellows, memory, refusable }
     }
 }
 
-pub struct Gateway {
-    pub(crate) terms: Terms,
+pub struct Admission {
+    pub(crate) terms: AdmissionSettings,
     pub(crate) lanes: Vec<Lane>,
     pub(crate) tiers: Vec<Vec<Tier>>,
     pub(crate) ceilings: Vec<(bool, f64, f64)>,
@@ -53,19 +55,19 @@
     pub(crate) due: BTreeMap<Due, Step>,
     pub(crate) serial: u64,
     pub(crate) wake_at: f64,
-    pub(crate) ask_again: Again,
+    pub(crate) ask_again: Backoff,
     pub(crate) round_at: f64,
     pub(crate) traced_at: f64,
     pub(crate) ask_share: f64,
     pub(crate) crowded: bool,
 }
 
-impl Gateway {
-    pub fn start(terms: Terms, seed: u64, now: f64, out: &mut dyn Outward) -> Gateway {
-        let mut gateway = Gateway {
-            lanes: terms.lanes.iter().map(Lane::of).collect(),
+impl Admission {
+    pub fn start(terms: AdmissionSettings, seed: u64, now: f64, out: &mut dyn Driver) -> Admission {
+        let mut gateway = Admission {
+            lanes: terms.classes.iter().map(Lane::of).collect(),
             ceilings: terms.plans.iter().map(|p| ceiling(p, terms.may_count)).collect(),
-            tiers: terms.plans.iter().map(|p| tiers(p, terms.most_units)).collect(),
+            tiers: terms.plans.iter().map(|p| tiers(p, terms.max_units)).collect(),
             now,
             chance: oorandom::Rand64::new(u128::from(seed)),
             hosts: BTreeMap::new(),
@@ -79,7 +81,7 @@
             due: BTreeMap::new(),
             serial: 0,
             wake_at: f64::INFINITY,
-            ask_again: Again::default(),
+            ask_again: Backoff::default(),
             round_at: now + ROUND,
             traced_at: 0.0,
             ask_share: 1.0,
@@ -94,9 +96,9 @@
     }
 
     /// Other quotas from now on; plans keep their numbers, and customers what is known of their use.
-    pub fn replan(&mut self, plans: Vec<PlanTerms>) {
+    pub fn set_plans(&mut self, plans: Vec<PlanLimits>) {
         self.ceilings = plans.iter().map(|p| ceiling(p, self.terms.may_count)).collect();
-        self.tiers = plans.iter().map(|p| tiers(p, self.terms.most_units)).collect();
+        self.tiers = plans.iter().map(|p| tiers(p, self.terms.max_units)).collect();
         self.terms.plans = plans;
     }
 
@@ -105,9 +107,9 @@
         (open.customer, open.plan, open.units)
     }
 
-    pub fn arrived(&mut self, now: f64, out: &mut dyn Outward, inquiry: Inquiry) {
+    pub fn request_arrived(&mut self, now: f64, out: &mut dyn Driver, inquiry: Request) {
         self.now = now;
-        let Inquiry { id, lane, plan, customer, left, units, spread, .. } = inquiry;
+        let Request { id, class: lane, plan, customer, remaining: left, units, spread, .. } = inquiry;
         let terms = &self.terms.plans[plan];
         let share = 1.0 / f64::from(spread.max(1));
         let fresh = || Customer {
--- a/crates/admission/src/again.rs
+++ b/crates/admission/src/backoff.rs
@@ -4,11 +4,11 @@
 /// Failures in a row, and the wait that follows from them: it doubles, is bounded, and is spread by chance.
 /// Guards against a fleet that was turned away together coming back together, in step and for good.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Again {
+pub struct Backoff {
     failed: u32,
 }
 
-impl Again {
+impl Backoff {
     /// Half of the wait is sure, so that one gateway alone asks no faster than was meant; the other half and
     /// as much again is chance, which keeps the mean.
     const SURE: f64 = 0.5;
@@ -23,7 +23,7 @@
     }
 
     /// It went well: the next failure is a first one.
-    pub fn well(&mut self) {
+    pub fn reset(&mut self) {
         self.failed = 0;
     }
 }
@@ -34,7 +34,7 @@
 
     #[test]
     fn waits_grow_are_spread_and_bounded_and_start_anew() {
-        let mut again = Again::default();
+        let mut again = Backoff::default();
         for (n, whole) in [0.3, 0.6, 1.2, 2.4, 3.0, 3.0].into_iter().enumerate() {
             let (mut least, mut most) = (again, again);
             assert_eq!(least.failed(0.3, 3.0, 0.0), whole * 0.5, "failure {n}");
@@ -42,7 +42,7 @@
             again = least;
         }
         (0..100).for_each(|_| assert!(again.failed(0.3, 3.0, 0.5) <= 3.0));
-        again.well();
+        again.reset();
         assert_eq!(again.failed(0.3, 3.0, 0.5), 0.3);
     }
 }
--- a/crates/admission/src/hosts.rs
+++ b/crates/admission/src/hosts.rs
@@ -1,27 +1,33 @@
 //! Decides which hosts a gateway turns to, how much it keeps out at each, and when one rests.
 
+use crate::admission::Admission;
+use crate::counter_keys::mix;
 use crate::interface::*;
-use crate::logic::Gateway;
-use crate::names::mix;
 use crate::state::*;
 
-impl Gateway {
-    pub fn list_news(&mut self, now: f64, out: &mut dyn Outward, news: News, lines: &[HostLine]) {
+impl Admission {
+    pub fn host_list_updated(
+        &mut self,
+        now: f64,
+        out: &mut dyn Driver,
+        news: HostListUpdate,
+        lines: &[HostEntry],
+    ) {
         self.now = now;
-        if news == News::Failed {
+        if news == HostListUpdate::Failed {
             let wait = self.ask_again.failed(1.0, self.terms.ask_within, self.chance.rand_float());
             self.after(wait, Box::new(|_, out| out.subscribe()));
             return self.rouse(out);
         }
-        self.ask_again.well();
-        if news != News::Changes {
-            self.hosts.values_mut().for_each(|h| h.line.standing = Standing::Gone);
+        self.ask_again.reset();
+        if news != HostListUpdate::Delta {
+            self.hosts.values_mut().for_each(|h| h.line.state = HostState::Removed);
         }
         for line in lines {
             // Turns start at chance, or all gateways' rotations would fall on the same hosts at once.
             let (line, credit) = (line.clone(), self.chance.rand_float());
             let lanes = vec![InLane { heard: now, ..InLane::default() }; self.lanes.len()];
-            let place = mix(line.host ^ mix(u64::from(self.terms.my_number) + 1));
+            let place = mix(line.host ^ mix(u64::from(self.terms.gateway_number) + 1));
             let fresh = Host { line: line.clone(), lanes, credit, place, ..Host::default() };
             match self.hosts.get_mut(&line.host) {
                 None => drop(self.hosts.insert(line.host, fresh)),
@@ -43,8 +49,7 @@
         const GATEWAYS_A_HOST: f64 = 12.0;
         const LEAST_NEAR: f64 = 5.0;
         let gateways = f64::from(self.terms.gateways.max(1));
-        let mut ready: Vec<_> =
-            self.hosts.iter().filter(|(_, h)| h.line.standing == Standing::Ready).collect();
+        let mut ready: Vec<_> = self.hosts.iter().filter(|(_, h)| h.line.state == HostState::Ready).collect();
         ready.sort_by_key(|(id, h)| (h.rests_wholly(self.now), h.place, **id));
         let all = ready.len() as f64;
         let most = (GATEWAYS_A_HOST * all / gateways).ceil().max(LEAST_NEAR).min(all.max(1.0));
@@ -57,7 +62,7 @@
     }
 
     /// Share of its full capacity that a host has at least, by its age.
-    pub(crate) fn warmth(&self, line: &HostLine) -> f64 {
+    pub(crate) fn warmth(&self, line: &HostEntry) -> f64 {
         let (age, from) = (self.now - line.started, self.terms.cold_from.clamp(0.01, 1.0));
         let cold = line.started > 0.0 && age < self.terms.warm_up;
         if cold { from + (1.0 - from) * (age / self.terms.warm_up).max(0.0) } else { 1.0 }
@@ -68,7 +73,7 @@
         let InLane { out, rests, rest_until, .. } = host.lanes[lane];
         // One at a time in a doubted lane, whatever the others have out.
         let doubted = rests > 0 && out > 0.0;
-        if host.line.standing != Standing::Ready || rest_until > self.now || doubted {
+        if host.line.state != HostState::Ready || rest_until > self.now || doubted {
             return 0.0;
         }
         (host.limit * self.warmth(&host.line)).ceil()
@@ -101,14 +106,14 @@
         let open = self.open.get(&id)?;
         let lane = &self.lanes[open.lane];
         let bound = open.sent.iter().find(|s| s.live || s.may_have_run);
-        let fellow = |line: &HostLine| match (bound, lane.fellows) {
-            (None, _) | (_, Group::All) => true,
-            (Some(sent), Group::Zone) => sent.zone == line.zone,
-            (Some(sent), Group::Cell) => sent.cell == line.cell,
+        let fellow = |line: &HostEntry| match (bound, lane.fellows) {
+            (None, _) | (_, DedupScope::All) => true,
+            (Some(sent), DedupScope::Zone) => sent.zone == line.zone,
+            (Some(sent), DedupScope::Cell) => sent.cell == line.cell,
         };
         let mut fit: Vec<(HostId, f64, bool)> = Vec::new();
         // A repeat that is bound to a group may go to any host of it.
-        let near = |h: &Host| h.near || bound.is_some() && lane.fellows != Group::All;
+        let near = |h: &Host| h.near || bound.is_some() && lane.fellows != DedupScope::All;
         let room = |h: &Host| near(h) && h.out + 1.0 <= self.allowed(h, open.lane);
         for (&id, host) in self.hosts.iter().filter(|(_, h)| room(h)) {
             let tried = open.sent.iter().any(|s| s.host == id);
@@ -133,20 +138,20 @@
         Some(chosen)
     }
 
-    pub(crate) fn note_outcome(&mut self, out: &mut dyn Outward, ended: &Ended, lane: usize) {
+    pub(crate) fn note_outcome(&mut self, out: &mut dyn Driver, ended: &AttemptResult, lane: usize) {
         // Answers are steered to this part of the goal time, well inside it: 0.09 sheds on days of long work.
         const AIM: f64 = 0.13;
         // Later for the fleet, or a few slow hosts make hundreds of gateways shed: 0.13 lost a tenth there.
         const FLEET_AIM: f64 = 0.3;
         // Least limit of a host, over all gateways: three keep one out at every tenth host, to see it mend.
         const LEAST_LIMIT: f64 = 0.3;
-        let (now, part) = (self.now, (ended.took / self.lanes[lane].goal).min(1.0));
+        let (now, part) = (self.now, (ended.elapsed / self.lanes[lane].goal).min(1.0));
         let least = LEAST_LIMIT / self.sharing;
         let Some(host) = self.hosts.get_mut(&ended.host) else { return };
         let since = now - host.lanes.iter().map(|l| l.heard).fold(0.0, f64::max);
         host.out = (host.out - 1.0).max(0.0);
         self.fleet.out = (self.fleet.out - 1.0).max(0.0);
-        let answered = [Outcome::Honoured, Outcome::Error, Outcome::Full].contains(&ended.outcome);
+        let answered = [Outcome::Answered, Outcome::Error, Outcome::Full].contains(&ended.outcome);
         let row = &mut host.lanes[lane];
         row.out = (row.out - 1.0).max(0.0);
         row.heard = if answered { now } else { row.heard };
@@ -156,15 +161,15 @@
             Outcome::Cancelled => part >= 1.0,
             outcome => outcome == Outcome::TimedOut,
         };
-        let silent = unanswered && row.heard <= now - ended.took;
-        if unanswered && !silent || [Outcome::Honoured, Outcome::Reset].contains(&ended.outcome) {
-            let part = if ended.outcome == Outcome::Honoured { part } else { 1.0 };
+        let silent = unanswered && row.heard <= now - ended.elapsed;
+        if unanswered && !silent || [Outcome::Answered, Outcome::Reset].contains(&ended.outcome) {
+            let part = if ended.outcome == Outcome::Answered { part } else { 1.0 };
             host.steer(least, part, AIM, since);
             self.fleet.steer(1.0, part, FLEET_AIM, 0.0);
         }
         let row = &mut host.lanes[lane];
         match ended.outcome {
-            Outcome::Honoured => row.rests /= 2,
+            Outcome::Answered => row.rests /= 2,
             Outcome::Full => {
                 host.limit = (host.limit * 0.8).max(least);
                 host.lanes.iter_mut().for_each(|l| l.rest_until = l.rest_until.max(now + 0.05));
@@ -178,7 +183,7 @@
     /// A lane of a host rests, or all of them where it is not reached. After a rest of all a probe, where
     /// allowed, asks whether the process runs before an inquiry is risked. Guards against inquiries spent on
     /// hosts that stay dead or cut off, and on a lane that a host fails while it serves the others as usual.
-    pub(crate) fn rest(&mut self, out: &mut dyn Outward, id: HostId, lane: Option<usize>) {
+    pub(crate) fn rest(&mut self, out: &mut dyn Driver, id: HostId, lane: Option<usize>) {
         // The first rest of a host, short beside a restart; of a lane, which fails for tens of seconds: 1 s
         // spent twice the inquiries on finding that out, 3 and 10 s a few more. The time between two traces.
         const FIRST_REST: f64 = 1.0;
@@ -201,7 +206,7 @@
         }
         if probes {
             let step: Step = Box::new(move |gateway, out| match gateway.hosts.get_mut(&id) {
-                Some(host) if host.line.standing == Standing::Ready => out.probe(id),
+                Some(host) if host.line.state == HostState::Ready => out.probe(id),
                 Some(host) => host.lanes.iter_mut().for_each(|l| l.rest_until = gateway.now),
                 None => {}
             });
@@ -211,11 +216,11 @@
         if now > self.traced_at + TRACE_EVERY {
             self.traced_at = now;
             let resting = self.hosts.values().filter(|h| h.lanes.iter().any(|l| l.rests > 0)).count();
-            out.trace(&format!("{resting} of {} hosts rest, wholly or in a lane", self.hosts.len()));
+            out.log(&format!("{resting} of {} hosts rest, wholly or in a lane", self.hosts.len()));
         }
     }
 
-    pub fn probed(&mut self, now: f64, out: &mut dyn Outward, id: HostId, well: bool, _load: Load) {
+    pub fn probe_finished(&mut self, now: f64, out: &mut dyn Driver, id: HostId, well: bool, _load: Load) {
         self.now = now;
         if let Some(host) = self.hosts.get_mut(&id).filter(|h| h.rests_wholly(now)) {
             host.lanes.iter_mut().for_each(|l| l.rest_until = now);
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,12 +1,12 @@
 //! archlink: admission decisions for services sold by plan.
 #![forbid(unsafe_code)]
 
-pub mod again;
-mod hand_offs;
+pub mod admission;
+mod attempts;
+pub mod backoff;
+mod counter_keys;
 mod hosts;
 pub mod interface;
-pub mod logic;
-mod names;
 pub mod quota;
 mod state;
-mod timing;
+mod timers;
--- a/crates/admission/src/quota.rs
+++ b/crates/admission/src/quota.rs
@@ -1,9 +1,9 @@
 //! Decides whether an inquiry is within its customer's quota: tiers and their windows, marks, the adds on the counter,
 //! and what is let on without one.
 
+use crate::admission::Admission;
+use crate::counter_keys::name;
 use crate::interface::*;
-use crate::logic::Gateway;
-use crate::names::name;
 use crate::state::*;
 
 /// A tier of a plan: at most `limit` units in any `window`; entered ones last `active`, then rest `cooldown`.
@@ -26,7 +26,7 @@
 
 /// The tiers of a plan with a rate: the base tier, the burst tier where the largest inquiry fits into it, and
 /// a tier beyond the quota where what is sent on beyond it earns more than it costs.
-pub fn tiers(plan: &PlanTerms, most_units: f64) -> Vec<Tier> {
+pub fn tiers(plan: &PlanLimits, most_units: f64) -> Vec<Tier> {
     if plan.rate <= 0.0 {
         return Vec::new();
     }
@@ -42,7 +42,7 @@
         let window = (base / ((1.0 - BURST_OF_RATE) * rate)).clamp(MIN_WINDOW, MAX_WINDOW);
         tiers = vec![lasting(window, base), Tier { window: wide, limit, active, cooldown: cycle - active }];
     }
-    if plan.over_earns > plan.over_costs {
+    if plan.overage_revenue > plan.overage_cost {
         tiers.push(Tier { window: whole, limit: burst, active: whole, cooldown: 0.0 });
     }
     tiers
@@ -51,10 +51,10 @@
 /// Whether the counter's totals keep a plan's ceiling; rate and burst that gateways share evenly. What totals
 /// let on, over all gateways, stays below the quota, and so below a ceiling above it. What is let on alone is
 /// told to the totals: it has an even part of the whole rate, and of the burst that is left above the quota.
-pub(crate) fn ceiling(plan: &PlanTerms, may_count: bool) -> (bool, f64, f64) {
+pub(crate) fn ceiling(plan: &PlanLimits, may_count: bool) -> (bool, f64, f64) {
     // A tier beyond the quota grants as much again.
-    let granted = if plan.over_earns > plan.over_costs { 2.0 } else { 1.0 };
-    let (rate, burst) = (plan.ceiling_rate, plan.ceiling_burst);
+    let granted = if plan.overage_revenue > plan.overage_cost { 2.0 } else { 1.0 };
+    let (rate, burst) = (plan.rate_limit, plan.rate_limit_burst);
     let left = (rate - granted * plan.rate, burst - granted * plan.burst);
     match may_count && plan.rate > 0.0 && left.0 > 0.0 && left.1 > 0.0 {
         _ if rate <= 0.0 => (true, f64::INFINITY, f64::INFINITY),
@@ -104,7 +104,7 @@
 /// Takebacks of other gateways in flight are at most a few inquiries.
 const LOST_UNITS: f64 = 4.0;
 
-impl Gateway {
+impl Admission {
     /// Fills this gateway's even part of a ceiling, from nothing at a start: restarts would else grant
     /// what is stored twice. True if the inquiry fits into it, which it then has taken.
     pub(crate) fn below_ceiling(&mut self, id: u32) -> bool {
@@ -118,7 +118,7 @@
         fits
     }
 
-    pub(crate) fn ask_quota(&mut self, out: &mut dyn Outward, id: u32) {
+    pub(crate) fn ask_quota(&mut self, out: &mut dyn Driver, id: u32) {
         let (customer, plan, _) = self.about(id);
         let (tier, until) = self.customers[&customer].entered;
         match (self.ceilings[plan].0 || self.below_ceiling(id), self.tiers[plan].is_empty()) {
@@ -129,7 +129,7 @@
     }
 
     /// The design's question: one add to the tier's present window, the closed one read where it decides.
-    pub(crate) fn ask_tier(&mut self, out: &mut dyn Outward, id: u32, k: usize) {
+    pub(crate) fn ask_tier(&mut self, out: &mut dyn Driver, id: u32, k: usize) {
         let now = self.now;
         let (customer, plan, units) = self.about(id);
         let tier = self.tiers[plan][k];
@@ -160,7 +160,7 @@
 
     pub(crate) fn judge(
         &mut self,
-        out: &mut dyn Outward,
+        out: &mut dyn Driver,
         id: u32,
         k: usize,
         total: f64,
@@ -210,7 +210,7 @@
     /// name: a single total tells all, also where a customer is seen once a minute.
     pub(crate) fn read_closed(
         &mut self,
-        out: &mut dyn Outward,
+        out: &mut dyn Driver,
         id: u32,
         k: usize,
         at: Option<f64>,
@@ -247,7 +247,7 @@
         self.push(out, before, keep, Some((if at.is_some() { id } else { u32::MAX }, next)));
     }
 
-    pub(crate) fn take_back(&mut self, out: &mut dyn Outward, id: u32) {
+    pub(crate) fn take_back(&mut self, out: &mut dyn Driver, id: u32) {
         let Some(open) = self.open.get_mut(&id) else { return };
         let Some((name, keep, units)) = open.charged.take() else { return };
         self.tally(name, keep).held -= units;
@@ -258,7 +258,7 @@
     }
 
     /// Past tier `k`: into the next tier that is in force or free to enter; pushed back where none is left.
-    pub(crate) fn beyond(&mut self, out: &mut dyn Outward, id: u32, k: usize, wait: f64) {
+    pub(crate) fn beyond(&mut self, out: &mut dyn Driver, id: u32, k: usize, wait: f64) {
         // Part of a tier's period after which its marks are read again.
         const RECHECK: f64 = 0.25;
         let (customer, plan, _) = self.about(id);
@@ -288,7 +288,7 @@
         self.mark(out, taken, whole, 1.0, Some((id, after_taken)));
     }
 
-    pub(crate) fn go_on(&mut self, out: &mut dyn Outward, id: u32, k: usize, entered: bool, wait: f64) {
+    pub(crate) fn go_on(&mut self, out: &mut dyn Driver, id: u32, k: usize, entered: bool, wait: f64) {
         match (self.open.contains_key(&id), entered) {
             (false, _) => {}
             (_, true) => self.ask_tier(out, id, k),
@@ -304,7 +304,7 @@
     }
 
     /// A mark is a name of its own: 1 sets it, 0 reads it; what was known of it before does not count.
-    pub(crate) fn mark(&mut self, out: &mut dyn Outward, name: u64, keep: f64, add: f64, next: Asker) {
+    pub(crate) fn mark(&mut self, out: &mut dyn Driver, name: u64, keep: f64, add: f64, next: Asker) {
         let tally = self.tally(name, keep);
         (tally.held, tally.claimed, tally.confirmed) = (add, 0.0, f64::NEG_INFINITY);
         self.push(out, name, keep, next);
@@ -315,11 +315,11 @@
     /// customer spread over fifty gateways is let in. Could harm where the share is far too low. What comes
     /// here is a few inquiries by chance: the older the last total, the more may be owed, up to a burst. Most
     /// of those refused on a guess are inside: the less one beyond costs, the more is spared, fleet-wide.
-    pub(crate) fn decide_alone(&mut self, out: &mut dyn Outward, id: u32) {
+    pub(crate) fn decide_alone(&mut self, out: &mut dyn Driver, id: u32) {
         // A share learnt from one closed window may be next to nothing; thousands of gateways are unlikely.
         const LEAST_SHARE: f64 = 0.001;
         let (customer, plan, units) = self.about(id);
-        let PlanTerms { rate, burst, over_costs, .. } = self.terms.plans[plan];
+        let PlanLimits { rate, burst, overage_cost: over_costs, .. } = self.terms.plans[plan];
         let Some(known) = self.customers.get_mut(&customer) else { return };
         let cost = units / known.share.max(LEAST_SHARE);
         // Four bursts at most, and few where an inquiry is a small part of one: a few gateways lost by more.
@@ -352,7 +352,7 @@
     }
 
     /// Whoever speaks with the counter has seen that it counts again: every inquiry asks it at once.
-    pub fn counter_is_back(&mut self) {
+    pub fn counter_recovered(&mut self) {
         (self.ask_share, self.crowded) = (1.0, false);
     }
 
@@ -365,7 +365,7 @@
     }
 
     /// Brings the counter to what is held: one add of what was not claimed yet.
-    pub(crate) fn push(&mut self, out: &mut dyn Outward, name: u64, keep: f64, next: Asker) {
+    pub(crate) fn push(&mut self, out: &mut dyn Driver, name: u64, keep: f64, next: Asker) {
         if !self.terms.may_count {
             return;
         }
@@ -378,7 +378,7 @@
         }
         tally.claimed = tally.held;
         tally.asked.push_back((serial, amount, now, next.is_some()));
-        out.count(name, amount, keep.min(59.0));
+        out.add_to_counter(name, amount, keep.min(59.0));
         if let Some((id, next)) = next {
             // All waits of an inquiry together stay within its own bound, short as its client's time may be.
             let bound = self.wait_bound();
@@ -394,13 +394,13 @@
         }
     }
 
-    pub fn counted(&mut self, now: f64, out: &mut dyn Outward, name: u64, answer: Counted) {
+    pub fn counter_replied(&mut self, now: f64, out: &mut dyn Driver, name: u64, answer: CounterReply) {
         self.now = now;
         let Some(tally) = self.names.get_mut(&name) else { return };
         let Some((serial, amount, at, asker)) = tally.asked.pop_front() else { return };
-        let told = if let Counted::Total(total) = answer { Some(total) } else { None };
+        let told = if let CounterReply::Total(total) = answer { Some(total) } else { None };
         match answer {
-            Counted::Total(total) => {
+            CounterReply::Total(total) => {
                 tally.confirmed += amount;
                 // A total below the own confirmed part: the counter lost the name. Claim the part anew.
                 if total + 0.01 < tally.confirmed {
@@ -408,15 +408,15 @@
                     tally.confirmed = total;
                 }
             }
-            Counted::NotAdded => tally.claimed -= amount,
+            CounterReply::NotAdded => tally.claimed -= amount,
             // May have been added: taken as added, so that a slow counter is not charged twice.
-            Counted::MayBeAdded => tally.confirmed += amount.min(0.0),
+            CounterReply::Unknown => tally.confirmed += amount.min(0.0),
         }
         // Late totals have lapsed already; a call cut off in time says nothing of how quick the counter is.
         let (waited, bound) = (self.waits.remove(&serial), self.wait_bound());
         let in_time = now - at <= bound;
         let lapsed = asker && waited.is_none();
-        if !lapsed && (in_time != (answer == Counted::MayBeAdded) || answer == Counted::NotAdded) {
+        if !lapsed && (in_time != (answer == CounterReply::Unknown) || answer == CounterReply::NotAdded) {
             self.counter_was(out, told.map(|_| (now - at) / bound));
         }
         if let Some((due, next)) = waited {
@@ -427,7 +427,7 @@
     }
 
     /// How long a call took, as a part of the bound on waits; none where it failed.
-    pub(crate) fn counter_was(&mut self, out: &mut dyn Outward, took: Option<f64>) {
+    pub(crate) fn counter_was(&mut self, out: &mut dyn Driver, took: Option<f64>) {
         // Part that asks: one failed call in ten leaves it high, six in a row bring it to the least, which
         // still tries several times a second.
         const ASK_LESS: f64 = 0.6;
@@ -445,10 +445,10 @@
         self.ask_share = share.clamp(ASK_LEAST, 1.0);
         if !self.crowded && share < 0.3 {
             self.crowded = true;
-            out.trace("counter silent, late or crowded: mostly deciding alone on own shares");
+            out.log("counter silent, late or crowded: mostly deciding alone on own shares");
         } else if self.crowded && share >= 1.0 {
             self.crowded = false;
-            out.trace("counter back: asking for every inquiry");
+            out.log("counter back: asking for every inquiry");
         }
     }
 }
--- a/crates/admission/src/state.rs
+++ b/crates/admission/src/state.rs
@@ -1,17 +1,17 @@
 //! What a gateway holds in mind of customers, inquiries and hosts: plain state, and what waits for an ending. Owns no
 //! decision and no figure; the files that decide read and write it.
 
-use crate::interface::{Ended, HostId, HostLine, Outward};
-use crate::logic::Gateway;
+use crate::admission::Admission;
+use crate::interface::{AttemptResult, Driver, HostEntry, HostId};
 use std::collections::VecDeque;
 
-pub(crate) type Step = Box<dyn FnOnce(&mut Gateway, &mut dyn Outward)>;
-pub(crate) type AfterCount = Box<dyn FnOnce(&mut Gateway, &mut dyn Outward, Option<f64>)>;
+pub(crate) type Step = Box<dyn FnOnce(&mut Admission, &mut dyn Driver)>;
+pub(crate) type AfterCount = Box<dyn FnOnce(&mut Admission, &mut dyn Driver, Option<f64>)>;
 /// The inquiry that waits for a call's answer, and what it does then.
 pub(crate) type Asker = Option<(u32, AfterCount)>;
 /// When a step comes due, in bits that sort alike, and its serial number: by it a step is struck off again.
 pub(crate) type Due = (u64, u64);
-pub(crate) type AfterHandOff = Box<dyn FnOnce(&mut Gateway, &mut dyn Outward, &Ended)>;
+pub(crate) type AfterHandOff = Box<dyn FnOnce(&mut Admission, &mut dyn Driver, &AttemptResult)>;
 
 /// What this gateway holds of one name on the counter. `held` is what it wants to stand there as its own
 /// part, `claimed` what its calls, answered or not, amount to, `confirmed` the answered part of these.
@@ -97,7 +97,7 @@
 
 #[derive(Default)]
 pub(crate) struct Host {
-    pub(crate) line: HostLine,
+    pub(crate) line: HostEntry,
     pub(crate) out: f64,
     pub(crate) limit: f64,
     /// How it stands in each lane: a host may fail one and serve the others as usual.
--- a/crates/admission/src/timing.rs
+++ b/crates/admission/src/timers.rs
@@ -1,13 +1,13 @@
 //! Decides when things are due: one timer for all that waits, and what is done on waking late.
 
+use crate::admission::Admission;
 use crate::interface::*;
-use crate::logic::Gateway;
 use crate::state::*;
 
 /// Between two rounds of the periodic work; a fraction of the shortest thing it watches, a second or so.
 pub(crate) const ROUND: f64 = 0.25;
 
-impl Gateway {
+impl Admission {
     pub(crate) fn after(&mut self, delay: f64, step: Step) -> Due {
         self.serial += 1;
         let due = ((self.now + delay).to_bits(), self.serial);
@@ -17,15 +17,15 @@
 
     /// One timer serves the round and all due steps: it is set anew when the first of them changes. Steps
     /// that nothing waits for any more are struck off, or each inquiry would ring it twice for nothing.
-    pub(crate) fn rouse(&mut self, out: &mut dyn Outward) {
+    pub(crate) fn rouse(&mut self, out: &mut dyn Driver) {
         let next = self.due.keys().next().map_or(self.round_at, |k| self.round_at.min(f64::from_bits(k.0)));
         if next != self.wake_at {
             self.wake_at = next;
-            out.wake((next - self.now).max(1e-6));
+            out.set_timer((next - self.now).max(1e-6));
         }
     }
 
-    pub fn woken(&mut self, now: f64, out: &mut dyn Outward) {
+    pub fn timer_fired(&mut self, now: f64, out: &mut dyn Driver) {
         // A timer this late: the gateway stood still. What came meanwhile is heard first, or due steps take
         // hosts for silent, the counter for dead. Covers paused processes and clock jumps; costs 1 ms.
         const STOOD_STILL: f64 = 0.1;
@@ -41,7 +41,7 @@
                 self.push_back_by_load(out, id);
             }
             self.wake_at = now + 1e-3;
-            return out.wake(1e-3);
+            return out.set_timer(1e-3);
         }
         self.wake_at = f64::INFINITY;
         while let Some(e) = self.due.first_entry().filter(|e| f64::from_bits(e.key().0) <= now + 2e-6) {
@@ -59,7 +59,7 @@
         const FORGET: f64 = 60.0;
         self.names.retain(|_, t| t.expires > now || !t.asked.is_empty());
         self.customers.retain(|_, c| c.seen + FORGET > now);
-        self.hosts.retain(|_, h| h.line.standing != Standing::Gone || h.out > 0.0);
+        self.hosts.retain(|_, h| h.line.state != HostState::Removed || h.out > 0.0);
         self.draw_near();
     }
 }
--- a/crates/admission/tests/all/cases.rs
+++ b/crates/admission/tests/all/cases.rs
@@ -1,15 +1,15 @@
 //! One small test a failure found, and the life of a tier. The counter and hosts do what each test says.
 
 use crate::world::{Answer, HOST, World, line, terms};
+use archlink_admission::admission::Admission;
 use archlink_admission::interface::*;
-use archlink_admission::logic::Gateway;
 use archlink_admission::quota::{Tier, tiers};
 use quickcheck::{Gen, QuickCheck, TestResult};
 
 /// One lane of pure inquiries, one plan: 5 units a second, 40 at once.
-fn quota() -> Terms {
-    let plan = PlanTerms { rate: 5.0, burst: 40.0, ..PlanTerms::default() };
-    Terms { plans: vec![plan], gateways: 1, ..terms() }
+fn quota() -> AdmissionSettings {
+    let plan = PlanLimits { rate: 5.0, burst: 40.0, ..PlanLimits::default() };
+    AdmissionSettings { plans: vec![plan], gateways: 1, ..terms() }
 }
 
 /// An inquiry whose calls are all answered and whose hand-off, if any, is honoured; true if it was sent on.
@@ -17,7 +17,7 @@
     let id = world.arrive(0, 0, customer, units, 2.5);
     world.count_all();
     let sent = world.hand_offs(id) > 0;
-    world.end(id, 0, Outcome::Honoured);
+    world.end(id, 0, Outcome::Answered);
     sent
 }
 
@@ -30,7 +30,7 @@
     for (rate, burst, units) in
         [(5.0, 40.0, 4.0), (1.6, 12.0, 6.0), (20.0, 30.0, 1.0), (0.01, 9.0, 1.0), (3.0, 0.5, 1.0)]
     {
-        let plan = PlanTerms { rate, burst, over_costs: 1.0, ..PlanTerms::default() };
+        let plan = PlanLimits { rate, burst, overage_cost: 1.0, ..PlanLimits::default() };
         let all = tiers(&plan, units);
         let at_once: f64 = all
             .iter()
@@ -47,7 +47,7 @@
 
 #[test]
 fn a_burst_enters_the_tier_above_once_and_again_after_its_cooldown() {
-    let mut world = World::new(Terms { most_units: 1.0, ..quota() }, 5);
+    let mut world = World::new(AdmissionSettings { max_units: 1.0, ..quota() }, 5);
     let all = tiers(&world.rules.terms.plans[0], 1.0);
     let (base, above) = (all[0].limit as usize, all[1].limit as usize);
     assert_eq!(granted(&mut world, 60), base + above, "base and burst tier, then pushed back at once");
@@ -64,9 +64,9 @@
 /// A third of a small burst's units was lost: neither tier's limit held a whole number of inquiries.
 #[test]
 fn a_burst_of_a_few_inquiries_is_not_split() {
-    let plan = PlanTerms { rate: 1.5, burst: 8.0, ..quota().plans[0].clone() };
+    let plan = PlanLimits { rate: 1.5, burst: 8.0, ..quota().plans[0].clone() };
     assert_eq!(tiers(&plan, 1.0).iter().map(|t| t.limit).collect::<Vec<_>>(), [8.0]);
-    assert_eq!(tiers(&PlanTerms { rate: 8.0, burst: 37.0, ..plan }, 1.0).len(), 2);
+    assert_eq!(tiers(&PlanLimits { rate: 8.0, burst: 37.0, ..plan }, 1.0).len(), 2);
 }
 
 #[test]
@@ -108,7 +108,7 @@
 #[test]
 fn a_busy_counter_is_waited_for_where_goals_are_short() {
     let mut terms = quota();
-    terms.lanes.iter_mut().for_each(|lane| lane.goal = 0.21);
+    terms.classes.iter_mut().for_each(|lane| lane.latency_target = 0.21);
     let mut world = World::new(terms, 5);
     for _ in 0..20 {
         let id = world.arrive(0, 0, 1, 1.0, 0.8);
@@ -116,15 +116,15 @@
         assert_eq!(world.hand_offs(id), 0, "decided alone");
         world.count_all();
         assert_eq!(world.hand_offs(id), 1);
-        world.end(id, 0, Outcome::Honoured);
+        world.end(id, 0, Outcome::Answered);
     }
 }
 
 /// Alone, a customer inside its quota whose inquiries came here close together by chance was refused each second one.
 #[test]
 fn alone_an_uneven_customer_owes_a_burst_ahead_and_no_more() {
-    let plan = PlanTerms { rate: 1.0, burst: 4.0, ..PlanTerms::default() };
-    let terms = Terms { plans: vec![plan], may_count: false, ..terms() };
+    let plan = PlanLimits { rate: 1.0, burst: 4.0, ..PlanLimits::default() };
+    let terms = AdmissionSettings { plans: vec![plan], may_count: false, ..terms() };
     let mut world = World::new(terms, 5);
     let mut asks = |seconds: f64| {
         world.pass(seconds);
@@ -145,7 +145,7 @@
         assert_eq!(asked(&world), 1, "customer {customer} was decided without asking");
         let name = *world.rules.calls.iter().find(|c| !c.1.is_empty()).unwrap().0;
         world.count(name, None);
-        world.end(id, 0, Outcome::Honoured);
+        world.end(id, 0, Outcome::Answered);
     }
 }
 
@@ -159,7 +159,7 @@
         assert_eq!(world.hand_offs(id), 1, "its host rests");
         world.pass(0.05);
         world.rules.taken.entry(id).and_modify(|t| t.answer = Some(Answer::Left));
-        world.gateway.left(world.rules.now, &mut world.rules, id);
+        world.gateway.client_disconnected(world.rules.now, &mut world.rules, id);
         world.pass(0.01);
     }
 }
@@ -184,11 +184,11 @@
     let mut world = World::new(quota(), 2);
     let id = world.arrive(0, 0, 1, 1.0, 2.5);
     world.count_all();
-    world.gateway.reply_began(world.rules.now, &mut world.rules, id, 0);
+    world.gateway.response_started(world.rules.now, &mut world.rules, id, 0);
     world.pass(0.2);
     assert_eq!(world.rules.taken[&id].hand_offs[0].ended, Some(Outcome::Cancelled));
     assert_eq!(world.hand_offs(id), 2, "another host is asked");
-    world.end(id, 1, Outcome::Honoured);
+    world.end(id, 1, Outcome::Answered);
     assert!(world.rules.broken.is_empty(), "{:?}", world.rules.broken);
 }
 
@@ -201,7 +201,7 @@
         world.pass(0.048);
         sent += world.hand_offs(id);
         assert!(world.hand_offs(id) == 1 || world.rules.taken[&id].answer.is_some(), "decided within 50 ms");
-        world.end(id, 0, Outcome::Honoured);
+        world.end(id, 0, Outcome::Answered);
     }
     let quota = 40.0 + 40.0 + 5.0 * world.rules.now;
     assert!(
@@ -251,11 +251,12 @@
 #[test]
 fn a_cold_host_gets_less_and_many_gateways_get_less_each() {
     let out = |gateways: u32, started: f64| {
-        let mut world = World::new(Terms { gateways, plans: vec![PlanTerms::default()], ..terms() }, 0);
+        let mut world =
+            World::new(AdmissionSettings { gateways, plans: vec![PlanLimits::default()], ..terms() }, 0);
         world.pass(100.0);
-        let lines: Vec<HostLine> =
-            (0..4).map(|n| line(n, Standing::Ready, if n == 0 { started } else { 0.0 })).collect();
-        world.list(News::Whole, &lines);
+        let lines: Vec<HostEntry> =
+            (0..4).map(|n| line(n, HostState::Ready, if n == 0 { started } else { 0.0 })).collect();
+        world.list(HostListUpdate::Full, &lines);
         (0..100).for_each(|_| _ = world.arrive(0, 0, 1, 1.0, 2.5));
         (world.out_at(HOST), (0..4).map(|n| world.out_at(HOST + n)).sum::<usize>())
     };
@@ -268,11 +269,12 @@
 #[test]
 fn slow_answers_lower_a_hosts_limit_and_quick_ones_raise_it() {
     let out_after = |took: f64| {
-        let mut world = World::new(Terms { gateways: 1, plans: vec![PlanTerms::default()], ..terms() }, 1);
+        let mut world =
+            World::new(AdmissionSettings { gateways: 1, plans: vec![PlanLimits::default()], ..terms() }, 1);
         for _ in 0..100 {
             let ids: Vec<u32> = (0..80).map(|_| world.arrive(0, 0, 1, 1.0, 2.5)).collect();
             world.pass(took);
-            ids.iter().for_each(|id| world.end(*id, 0, Outcome::Honoured));
+            ids.iter().for_each(|id| world.end(*id, 0, Outcome::Answered));
         }
         (0..80).for_each(|_| _ = world.arrive(0, 0, 1, 1.0, 2.5));
         world.out_at(HOST)
@@ -283,14 +285,14 @@
 
 #[test]
 fn a_silent_host_is_left_and_a_busy_one_is_not_doubted() {
-    let plans = vec![PlanTerms::default()];
-    let mut world = World::new(Terms { plans, gateways: 1, ..terms() }, 2);
+    let plans = vec![PlanLimits::default()];
+    let mut world = World::new(AdmissionSettings { plans, gateways: 1, ..terms() }, 2);
     let ids: Vec<u32> = (0..4).map(|_| world.arrive(0, 0, 1, 1.0, 2.5)).collect();
     let at = |world: &World, id: u32| world.rules.taken[&id].hand_offs.first().map(|h| h.host);
     let dead = at(&world, ids[0]);
     world.pass(0.1);
     let well = *ids.iter().find(|id| at(&world, **id) != dead).unwrap();
-    world.end(well, 0, Outcome::Honoured);
+    world.end(well, 0, Outcome::Answered);
     world.pass(1.6);
     for id in ids {
         let doubted = world.hand_offs(id) > 1;
@@ -313,19 +315,19 @@
 /// Lanes of one kind failed at a host, and it rested for all of them, or none, whatever it served.
 #[test]
 fn a_lane_that_a_host_fails_rests_there_and_the_others_go_first_to_that_host() {
-    let plans = vec![PlanTerms::default()];
-    let mut world = World::new(Terms { plans, gateways: 1, ..terms() }, 2);
+    let plans = vec![PlanLimits::default()];
+    let mut world = World::new(AdmissionSettings { plans, gateways: 1, ..terms() }, 2);
     let at = |world: &World, id: u32| world.rules.taken[&id].hand_offs[0].host;
     let failed = world.arrive(0, 0, 1, 1.0, 2.5);
     let failing = at(&world, failed);
     world.end(failed, 0, Outcome::Error);
     assert_ne!(world.rules.taken[&failed].hand_offs[1].host, failing);
-    world.end(failed, 1, Outcome::Honoured);
+    world.end(failed, 1, Outcome::Answered);
     let mut met = [0; 4];
     for n in 0..20 {
         let id = world.arrive([0, 2][n / 2 % 2], 0, 1, 1.0, 2.5);
         met[(n / 2 % 2) * 2 + usize::from(at(&world, id) == failing)] += 1;
-        world.end(id, 0, Outcome::Honoured);
+        world.end(id, 0, Outcome::Answered);
     }
     assert!(met[1] == 0 && met[3] > met[2], "{met:?}");
 }
@@ -333,14 +335,14 @@
 /// An even part of the ceiling refused customers far inside their quota who came unevenly.
 #[test]
 fn the_counter_keeps_a_ceiling_above_the_quota_and_an_even_part_the_rest() {
-    let plan = PlanTerms {
+    let plan = PlanLimits {
         rate: 2.0,
         burst: 8.0,
-        ceiling_rate: 4.0,
-        ceiling_burst: 16.0,
+        rate_limit: 4.0,
+        rate_limit_burst: 16.0,
         ..quota().plans[0].clone()
     };
-    let mut world = World::new(Terms { plans: vec![plan], gateways: 4, ..terms() }, 5);
+    let mut world = World::new(AdmissionSettings { plans: vec![plan], gateways: 4, ..terms() }, 5);
     world.spread = 4;
     assert!(granted(&mut world, 20) >= 6, "the quota, all through one gateway");
     let mut alone = |seconds: f64| {
@@ -351,7 +353,7 @@
                 let id = world.arrive(0, 0, 2, 1.0, 2.5);
                 world.pass(0.06);
                 let sent = world.hand_offs(id) > 0;
-                world.end(id, 0, Outcome::Honoured);
+                world.end(id, 0, Outcome::Answered);
                 sent
             })
             .count()
@@ -371,7 +373,10 @@
     assert_eq!(hosts.len(), 2);
     assert!(hosts[0] != hosts[1] && hosts[0] % 3 == hosts[1] % 3, "the other host of its cell");
     let other = (0..6).find(|n| n % 3 == hosts[0] % 3 && *n != hosts[0]).unwrap();
-    world.list(News::Changes, &[line(other, Standing::Draining, 0.0), line(hosts[0], Standing::Gone, 0.0)]);
+    world.list(
+        HostListUpdate::Delta,
+        &[line(other, HostState::Draining, 0.0), line(hosts[0], HostState::Removed, 0.0)],
+    );
     world.end(id, 1, Outcome::Error);
     assert_eq!(world.rules.taken[&id].answer, Some(Answer::Terminated), "no host of its cell is left");
 }
@@ -387,13 +392,22 @@
 
 #[test]
 fn true_units_go_along_with_the_next_add() {
-    let mut world = World::new(Terms { settles: true, ..quota() }, 5);
+    let mut world = World::new(AdmissionSettings { settles: true, ..quota() }, 5);
     let id = world.arrive(0, 0, 1, 2.0, 2.5);
     world.count_all();
     let (now, host) = (world.rules.now, world.rules.taken[&id].hand_offs[0].host);
-    let (outcome, load, true_units) = (Outcome::Honoured, Load::default(), 3.0);
-    let ended = Ended { inquiry: id, nth: 0, over: true, outcome, took: 0.1, true_units, host, load };
-    world.gateway.ended(now, &mut world.rules, ended);
+    let (outcome, load, true_units) = (Outcome::Answered, Load::default(), 3.0);
+    let ended = AttemptResult {
+        request: id,
+        attempt: 0,
+        final_attempt: true,
+        outcome,
+        elapsed: 0.1,
+        true_units,
+        host,
+        load,
+    };
+    world.gateway.attempt_ended(now, &mut world.rules, ended);
     world.arrive(0, 0, 1, 2.0, 2.5);
     let asked: Vec<f64> = world.rules.calls.values().flatten().map(|c| c.0).collect();
     assert_eq!(asked, [3.0], "two units and the one that the guess lacked");
@@ -402,7 +416,7 @@
 #[test]
 fn a_soft_plan_may_pass_its_quota_by_its_own_tier_only() {
     let mut terms = quota();
-    terms.plans[0].over_earns = 0.5;
+    terms.plans[0].overage_revenue = 0.5;
     let mut world = World::new(terms, 5);
     let soft = granted(&mut world, 200);
     assert!(soft > 40 && soft <= 80, "{soft}: the quota's burst, then up to one more");
@@ -412,8 +426,11 @@
 fn gateways_do_not_all_turn_to_the_same_host_first() {
     let first = |seed: u64| {
         let mut world = World::new(terms(), 0);
-        world.gateway = Gateway::start(terms(), seed, 0.0, &mut world.rules);
-        world.list(News::Remembered, &(0..5).map(|n| line(n, Standing::Ready, 0.0)).collect::<Vec<_>>());
+        world.gateway = Admission::start(terms(), seed, 0.0, &mut world.rules);
+        world.list(
+            HostListUpdate::Cached,
+            &(0..5).map(|n| line(n, HostState::Ready, 0.0)).collect::<Vec<_>>(),
+        );
         let id = world.arrive(0, 0, 1, 1.0, 2.5);
         world.count_all();
         world.rules.taken[&id].hand_offs[0].host
@@ -425,7 +442,7 @@
 #[test]
 fn a_reset_sends_no_host_to_rest_and_a_failed_connect_does() {
     for (outcome, rests) in [(Outcome::Reset, 0), (Outcome::ConnectFailed, 1)] {
-        let mut world = World::new(Terms { plans: vec![PlanTerms::default()], ..terms() }, 2);
+        let mut world = World::new(AdmissionSettings { plans: vec![PlanLimits::default()], ..terms() }, 2);
         let id = world.arrive(0, 0, 1, 1.0, 2.5);
         world.end(id, 0, outcome);
         world.pass(1.1);
@@ -444,14 +461,14 @@
             (calls, empty) = (calls + 1, empty + usize::from(asked[0].0 == 0.0));
             world.count(name, Some(false));
         }
-        world.end(id, 0, Outcome::Honoured);
+        world.end(id, 0, Outcome::Answered);
     }
     assert!(calls > 5 && calls < 25 && empty == 0, "{calls} calls, {empty} of them empty");
 }
 
 #[test]
 fn alone_a_wide_spread_customer_runs_into_debt() {
-    let mut world = World::new(Terms { may_count: false, ..quota() }, 5);
+    let mut world = World::new(AdmissionSettings { may_count: false, ..quota() }, 5);
     world.spread = 500;
     let mut sent = || {
         world.pass(1.0);
@@ -466,14 +483,15 @@
 
 #[test]
 fn among_many_gateways_a_slow_host_is_told_from_few_answers() {
-    let mut world = World::new(Terms { gateways: 200, plans: vec![PlanTerms::default()], ..terms() }, 4);
+    let mut world =
+        World::new(AdmissionSettings { gateways: 200, plans: vec![PlanLimits::default()], ..terms() }, 4);
     let mut at_slow = [0; 2];
     for n in 0..200 {
         let id = world.arrive(0, 0, 1, 1.0, 2.5);
         let host = world.rules.taken[&id].hand_offs[0].host;
         at_slow[n / 100] += usize::from(host == HOST);
         world.pass(if host == HOST { 0.7 } else { 0.1 });
-        world.end(id, 0, Outcome::Honoured);
+        world.end(id, 0, Outcome::Answered);
         world.pass(4.0);
     }
     assert!(at_slow[0] <= 20 && at_slow[1] <= 5, "{at_slow:?} of a hundred each");
@@ -481,12 +499,12 @@
 
 #[test]
 fn a_gateway_that_stood_still_hears_first_what_came_meanwhile() {
-    let mut world = World::new(Terms { plans: vec![PlanTerms::default()], ..terms() }, 3);
+    let mut world = World::new(AdmissionSettings { plans: vec![PlanLimits::default()], ..terms() }, 3);
     let id = world.arrive(0, 0, 1, 1.0, 2.5);
     world.pass(0.1);
     world.stand_still(1.5);
     assert!(world.rules.cancels.is_empty(), "its answer may have come in the same moment");
-    world.end(id, 0, Outcome::Honoured);
+    world.end(id, 0, Outcome::Answered);
     world.pass(3.0);
     assert!(world.rules.probes.is_empty() && world.hand_offs(id) == 1);
 }
@@ -511,7 +529,7 @@
     world.count_all();
     let patience = *world.rules.wakes.last().unwrap();
     assert!(patience > lapse, "the wait for the counter is over");
-    world.end(id, 0, Outcome::Honoured);
+    world.end(id, 0, Outcome::Answered);
     world.rules.wakes.clear();
     let other = world.arrive(0, 0, 2, 1.0, 2.5);
     world.pass(0.1);
@@ -521,18 +539,18 @@
 /// Among hundreds of gateways each hand-off opened a connection of its own, and a host was heard of once in 20 s.
 #[test]
 fn among_many_gateways_each_turns_to_a_part_of_the_hosts_and_all_hosts_are_turned_to() {
-    let plans = vec![PlanTerms::default()];
-    let lines: Vec<HostLine> = (0..100).map(|n| line(n, Standing::Ready, 0.0)).collect();
+    let plans = vec![PlanLimits::default()];
+    let lines: Vec<HostEntry> = (0..100).map(|n| line(n, HostState::Ready, 0.0)).collect();
     let met = |number: u32, gateways: u32| {
-        let terms = Terms { gateways, my_number: number, plans: plans.clone(), ..terms() };
+        let terms = AdmissionSettings { gateways, gateway_number: number, plans: plans.clone(), ..terms() };
         let mut world = World::new(terms, 0);
-        world.list(News::Whole, &lines);
+        world.list(HostListUpdate::Full, &lines);
         let mut met = std::collections::BTreeMap::new();
         for _ in 0..200 {
             let id = world.arrive(0, 0, 1, 1.0, 2.5);
             *met.entry(world.rules.taken[&id].hand_offs[0].host).or_insert(0) += 1;
             world.pass(0.02);
-            world.end(id, 0, Outcome::Honoured);
+            world.end(id, 0, Outcome::Answered);
         }
         met
     };
@@ -551,7 +569,7 @@
 /// A host that rests, drains or is gone gives its place to the next one in the gateway's order.
 #[test]
 fn a_host_out_of_the_rotation_gives_its_place_to_another() {
-    let terms = Terms { gateways: 300, plans: vec![PlanTerms::default()], ..terms() };
+    let terms = AdmissionSettings { gateways: 300, plans: vec![PlanLimits::default()], ..terms() };
     let mut world = World::new(terms, 60);
     for _ in 0..40 {
         let id = world.arrive(0, 0, 1, 1.0, 2.5);
@@ -559,8 +577,8 @@
         world.end(id, 0, Outcome::ConnectFailed);
         assert_eq!(world.hand_offs(id), 2, "another host is left");
         assert_ne!(world.rules.taken[&id].hand_offs[1].host, host);
-        world.end(id, 1, Outcome::Honoured);
-        world.list(News::Changes, &[line(host - HOST, Standing::Gone, 0.0)]);
+        world.end(id, 1, Outcome::Answered);
+        world.list(HostListUpdate::Delta, &[line(host - HOST, HostState::Removed, 0.0)]);
     }
     assert!(world.rules.broken.is_empty(), "{:?}", world.rules.broken);
 }
@@ -568,8 +586,8 @@
 /// Inquiries of one customer, two units each, at these times, each at a gateway that has never seen it; those let on,
 /// and the calls to the counter.
 fn at_ever_new_gateways(rate: f64, burst: f64, times: impl Iterator<Item = f64>) -> (usize, usize) {
-    let plans = vec![PlanTerms { rate, burst, ..PlanTerms::default() }];
-    let terms = Terms { plans, gateways: 300, ..terms() };
+    let plans = vec![PlanLimits { rate, burst, ..PlanLimits::default() }];
+    let terms = AdmissionSettings { plans, gateways: 300, ..terms() };
     let (mut totals, mut sent, mut calls) = (std::collections::BTreeMap::new(), 0, 0);
     for at in times {
         let mut world = World::new(terms.clone(), 5);
@@ -606,14 +624,14 @@
     for _ in 0..40 {
         let id = world.arrive(0, 0, 1, 1.0, 2.5);
         world.pass(0.05);
-        world.end(id, 0, Outcome::Honoured);
+        world.end(id, 0, Outcome::Answered);
     }
     let mut asked = 0;
     for n in 0..160 {
         let id = world.arrive(0, 0, u64::from(n as u32) + 2, 1.0, 2.5);
         asked += usize::from(n >= 120 && world.rules.calls.values().any(|c| !c.is_empty()));
         world.count_all();
-        world.end(id, 0, Outcome::Honoured);
+        world.end(id, 0, Outcome::Answered);
         world.pass(0.05);
     }
     assert!(asked >= 36, "{asked} of the last 40 were asked about");
@@ -630,13 +648,13 @@
             let name = world.rules.calls.iter().find(|c| !c.1.is_empty()).map(|c| *c.0);
             name.filter(|_| told).into_iter().for_each(|name| world.count(name, None));
             world.rules.calls.clear();
-            world.end(id, 0, Outcome::Honoured);
+            world.end(id, 0, Outcome::Answered);
         }
         let asks = |world: &mut World, n: u64| {
             let id = world.arrive(0, 0, 100 + n, 1.0, 2.5);
             let asked = world.rules.calls.values().any(|c| !c.is_empty());
             world.rules.calls.clear();
-            world.end(id, 0, Outcome::Honoured);
+            world.end(id, 0, Outcome::Answered);
             asked
         };
         (0..400).filter(|n| asks(&mut world, *n)).count()
@@ -648,12 +666,12 @@
 #[test]
 fn a_doubted_host_rests_though_its_inquiry_may_go_nowhere_else() {
     let mut terms =
-        Terms { plans: vec![PlanTerms::default()], second_copies: true, gateways: 300, ..terms() };
-    terms.lanes.iter_mut().for_each(|lane| lane.memory = 15.0);
+        AdmissionSettings { plans: vec![PlanLimits::default()], may_hedge: true, gateways: 300, ..terms() };
+    terms.classes.iter_mut().for_each(|lane| lane.dedup_window = 15.0);
     let mut world = World::new(terms, 3);
     let held: Vec<u32> = (0..3).map(|_| world.arrive(1, 0, 1, 1.0, 8.0)).collect();
     let silent = world.rules.taken[&held[0]].hand_offs[0].host;
-    held[1..].iter().for_each(|id| world.end(*id, 0, Outcome::Honoured));
+    held[1..].iter().for_each(|id| world.end(*id, 0, Outcome::Answered));
     world.pass(1.65);
     let ids: Vec<u32> = (0..2).map(|_| world.arrive(1, 0, 1, 1.0, 2.5)).collect();
     let hosts: Vec<u64> = ids.iter().map(|id| world.rules.taken[id].hand_offs[0].host).collect();
@@ -664,16 +682,16 @@
 /// A host that a gateway never turned to had no place, not even for a repeat that only it may take.
 #[test]
 fn a_repeat_bound_to_a_cell_reaches_hosts_that_the_gateway_does_not_turn_to() {
-    let terms = Terms { gateways: 300, plans: vec![PlanTerms::default()], ..terms() };
+    let terms = AdmissionSettings { gateways: 300, plans: vec![PlanLimits::default()], ..terms() };
     let mut world = World::new(terms, 0);
-    let pairs = (0..60).map(|n| HostLine { cell: (n / 2) as u16, ..line(n, Standing::Ready, 0.0) });
-    world.list(News::Whole, &pairs.collect::<Vec<_>>());
+    let pairs = (0..60).map(|n| HostEntry { cell: (n / 2) as u16, ..line(n, HostState::Ready, 0.0) });
+    world.list(HostListUpdate::Full, &pairs.collect::<Vec<_>>());
     for _ in 0..8 {
         let id = world.arrive(1, 0, 1, 1.0, 2.5);
         world.end(id, 0, Outcome::Error);
         let hosts: Vec<u64> = world.rules.taken[&id].hand_offs.iter().map(|h| h.host - HOST).collect();
         assert!(hosts.len() == 2 && hosts[0] ^ 1 == hosts[1], "{hosts:?}: the other host of its cell");
-        world.end(id, 1, Outcome::Honoured);
+        world.end(id, 1, Outcome::Answered);
         world.pass(6.1);
     }
     assert!(world.rules.broken.is_empty(), "{:?}", world.rules.broken);
@@ -682,11 +700,11 @@
 /// Seventy gateways that were started together asked an overbooked discovery again in step, once a second, for good.
 #[test]
 fn a_discovery_that_turns_the_fleet_away_is_asked_ever_less_often_and_not_in_step() {
-    let terms = Terms { must_subscribe: true, gateways: 100, ..terms() };
+    let terms = AdmissionSettings { must_subscribe: true, gateways: 100, ..terms() };
     let started = |seed| {
         let mut world = World::new(terms.clone(), 3);
         world.rules.asked.clear();
-        world.gateway = Gateway::start(terms.clone(), seed, 0.0, &mut world.rules);
+        world.gateway = Admission::start(terms.clone(), seed, 0.0, &mut world.rules);
         world
     };
     let mut fleet: Vec<World> = (0..70).map(started).collect();
@@ -695,9 +713,9 @@
     for _ in 0..100 {
         let asks: Vec<usize> = (0..fleet.len()).filter(|n| fleet[*n].rules.asked.pop().is_some()).collect();
         for n in &asks {
-            let news = if asks.len() > 4 { News::Failed } else { News::Changes };
+            let news = if asks.len() > 4 { HostListUpdate::Failed } else { HostListUpdate::Delta };
             fleet[*n].list(news, &[]);
-            served += usize::from(news == News::Changes);
+            served += usize::from(news == HostListUpdate::Delta);
         }
         calls += asks.len();
         fleet.iter_mut().for_each(|world| world.pass(0.2));
@@ -713,8 +731,8 @@
 fn alone_what_may_be_inside_is_let_on_the_sooner_the_less_one_beyond_costs() {
     // When the second and the third inquiry are let on that each stand for `spread` units, at one a second.
     let times = |over_costs: f64, spread: u32| {
-        let plan = PlanTerms { rate: 1.0, burst: 4.0, over_costs, ..PlanTerms::default() };
-        let mut world = World::new(Terms { plans: vec![plan], may_count: false, ..terms() }, 5);
+        let plan = PlanLimits { rate: 1.0, burst: 4.0, overage_cost: over_costs, ..PlanLimits::default() };
+        let mut world = World::new(AdmissionSettings { plans: vec![plan], may_count: false, ..terms() }, 5);
         world.spread = spread;
         let mut granted = Vec::new();
         while granted.len() < 3 {
@@ -730,7 +748,7 @@
         assert!((sooner(costs, 40) - wanted).abs() < 0.5, "{} at {costs}, {usual} s else", sooner(costs, 40));
         assert!((times(costs, 40).1 - every).abs() < 0.5, "the rate is the plan's at {costs}");
     }
-    let plan = PlanTerms { rate: 1.0, burst: 4.0, over_costs: 0.5, ..PlanTerms::default() };
-    let mut near = World::new(Terms { plans: vec![plan], may_count: false, ..terms() }, 5);
+    let plan = PlanLimits { rate: 1.0, burst: 4.0, overage_cost: 0.5, ..PlanLimits::default() };
+    let mut near = World::new(AdmissionSettings { plans: vec![plan], may_count: false, ..terms() }, 5);
     assert_eq!(granted(&mut near, 60), 3, "each is half of a burst: a quarter of the spare, one of four");
 }
--- a/crates/admission/tests/all/departures.rs
+++ b/crates/admission/tests/all/departures.rs
@@ -4,13 +4,13 @@
 use archlink_admission::interface::*;
 
 fn world() -> World {
-    let plan = PlanTerms { rate: 5.0, burst: 40.0, ..PlanTerms::default() };
-    World::new(Terms { plans: vec![plan], gateways: 1, ..terms() }, 3)
+    let plan = PlanLimits { rate: 5.0, burst: 40.0, ..PlanLimits::default() };
+    World::new(AdmissionSettings { plans: vec![plan], gateways: 1, ..terms() }, 3)
 }
 
 fn leave(world: &mut World, id: u32) {
     world.rules.taken.entry(id).and_modify(|taken| taken.answer = Some(Answer::Left));
-    world.gateway.left(world.rules.now, &mut world.rules, id);
+    world.gateway.client_disconnected(world.rules.now, &mut world.rules, id);
     world.count_all();
 }
 
--- a/crates/admission/tests/all/rules.rs
+++ b/crates/admission/tests/all/rules.rs
@@ -10,7 +10,7 @@
     End { which: usize, outcome: Outcome },
     Count { which: usize, well: Option<bool> },
     Pass(f64),
-    List { n: u64, standing: Standing, fresh: bool },
+    List { n: u64, standing: HostState, fresh: bool },
     Probed { well: bool },
     Leave { which: usize },
     Begin { which: usize },
@@ -23,8 +23,8 @@
         use Outcome::*;
         let which = usize::arbitrary(g);
         let outcomes =
-            [Honoured, Honoured, Honoured, Error, Full, TimedOut, ConnectFailed, Reset, Cancelled, NeverSent];
-        let standings = [Standing::Ready, Standing::Ready, Standing::Draining, Standing::Gone];
+            [Answered, Answered, Answered, Error, Full, TimedOut, ConnectFailed, Reset, Cancelled, NeverSent];
+        let standings = [HostState::Ready, HostState::Ready, HostState::Draining, HostState::Removed];
         match u8::arbitrary(g) % 16 {
             0..=4 => Deed::Arrive {
                 lane: which % 4,
@@ -75,7 +75,7 @@
         }
         Deed::Begin { which } => {
             if let Some((id, nth)) = live(world, which) {
-                world.gateway.reply_began(world.rules.now, &mut world.rules, id, nth as u16);
+                world.gateway.response_started(world.rules.now, &mut world.rules, id, nth as u16);
             }
         }
         Deed::Count { which, well } => {
@@ -88,11 +88,11 @@
         Deed::Pass(seconds) => world.pass(seconds),
         Deed::List { n, standing, fresh } => {
             let started = if fresh { world.rules.now } else { 0.0 };
-            world.list(News::Changes, &[line(n, standing, started)]);
+            world.list(HostListUpdate::Delta, &[line(n, standing, started)]);
         }
         Deed::Probed { well } => {
             if let Some(host) = world.rules.probes.pop() {
-                world.gateway.probed(world.rules.now, &mut world.rules, host, well, Load::default());
+                world.gateway.probe_finished(world.rules.now, &mut world.rules, host, well, Load::default());
             }
         }
         Deed::Leave { which } => {
@@ -100,7 +100,7 @@
             let ids: Vec<u32> = world.rules.taken.values().filter(open).map(|t| t.inquiry.id).collect();
             if let Some(id) = ids.get(which % ids.len().max(1)) {
                 world.rules.taken.entry(*id).and_modify(|t| t.answer = Some(Answer::Left));
-                world.gateway.left(world.rules.now, &mut world.rules, *id);
+                world.gateway.client_disconnected(world.rules.now, &mut world.rules, *id);
             }
         }
         Deed::EmptyCounter => world.totals.clear(),
@@ -108,7 +108,7 @@
     }
 }
 
-fn run(terms: Terms, deeds: &[Deed]) -> Vec<String> {
+fn run(terms: AdmissionSettings, deeds: &[Deed]) -> Vec<String> {
     let hosts = if terms.gateways > 100 { 300 } else { 5 };
     let mut world = World::new(terms, hosts);
     for deed in deeds {
@@ -122,25 +122,32 @@
     QuickCheck::new().rng(Gen::from_size_and_seed(150, seed)).tests(250).quickcheck(property);
 }
 
-fn verdict(terms: Terms, deeds: Vec<Deed>) -> TestResult {
+fn verdict(terms: AdmissionSettings, deeds: Vec<Deed>) -> TestResult {
     let broken = run(terms, &deeds);
     if broken.is_empty() { TestResult::passed() } else { TestResult::error(broken.join("; ")) }
 }
 
-fn terms_copies() -> Terms {
-    Terms { second_copies: true, drain_grace: 0.0, gateways: 9, ..terms() }
+fn terms_copies() -> AdmissionSettings {
+    AdmissionSettings { may_hedge: true, drain_grace: 0.0, gateways: 9, ..terms() }
 }
 
-fn terms_bare() -> Terms {
-    let bare = Terms { may_count: false, may_cancel: false, may_probe: false, may_advise: false, ..terms() };
-    Terms { gateways: 1, most_hand_offs: 1, ..bare }
+fn terms_bare() -> AdmissionSettings {
+    let bare = AdmissionSettings {
+        may_count: false,
+        may_cancel: false,
+        may_probe: false,
+        may_advise: false,
+        ..terms()
+    };
+    AdmissionSettings { gateways: 1, max_attempts: 1, ..bare }
 }
 
 /// Contradictions and zeros: nothing may panic, divide by 0 or wait for ever.
-fn terms_odd() -> Terms {
-    let odd = Terms { cold_from: 3.0, warm_up: 0.0, count_timeout: 0.0, most_units: 0.0, ..terms() };
-    let mut odd = Terms { gateways: 0, drain_grace: 0.0, tip_multiple: 0.0, tip_for: 0.0, ..odd };
-    odd.lanes.iter_mut().for_each(|l| l.goal = 0.0);
+fn terms_odd() -> AdmissionSettings {
+    let odd =
+        AdmissionSettings { cold_from: 3.0, warm_up: 0.0, count_timeout: 0.0, max_units: 0.0, ..terms() };
+    let mut odd = AdmissionSettings { gateways: 0, drain_grace: 0.0, tip_multiple: 0.0, tip_for: 0.0, ..odd };
+    odd.classes.iter_mut().for_each(|l| l.latency_target = 0.0);
     odd.plans[0].burst = 0.0;
     odd.plans[3].rate = 1e-9;
     odd
@@ -168,7 +175,7 @@
 
 #[test]
 fn rules_hold_at_sizes_beyond_those_to_come() {
-    check(5, |deeds| verdict(Terms { gateways: 1000, ..terms() }, deeds));
+    check(5, |deeds| verdict(AdmissionSettings { gateways: 1000, ..terms() }, deeds));
 }
 
 #[test]
--- a/crates/admission/tests/all/world.rs
+++ b/crates/admission/tests/all/world.rs
@@ -1,47 +1,55 @@
 //! The one helper of all tests: a world that hands events to a gateway, and the plain model of the rules that
 //! watches each action. The world answers nothing by itself; a test says how each hand-off and call ends.
 
+use archlink_admission::admission::Admission;
 use archlink_admission::interface::*;
-use archlink_admission::logic::Gateway;
 use std::collections::{BTreeMap, VecDeque};
 
 pub const HOST: HostId = 100;
 
-pub fn lane(effect: Effect, group: Group) -> LaneTerms {
-    LaneTerms { goal: 0.8, abandon: 2.5, importance: 1.0, late_worth: 1.0, effect, group, memory: 0.3 }
+pub fn lane(effect: Effect, group: DedupScope) -> RequestClass {
+    RequestClass {
+        latency_target: 0.8,
+        client_timeout: 2.5,
+        importance: 1.0,
+        late_value: 1.0,
+        effect,
+        dedup_scope: group,
+        dedup_window: 0.3,
+    }
 }
 
-pub fn terms() -> Terms {
-    Terms {
-        lanes: vec![
-            lane(Effect::Pure, Group::All),
-            lane(Effect::Receipted, Group::Cell),
-            lane(Effect::Effectful, Group::All),
-            lane(Effect::Receipted, Group::All),
+pub fn terms() -> AdmissionSettings {
+    AdmissionSettings {
+        classes: vec![
+            lane(Effect::Pure, DedupScope::All),
+            lane(Effect::Receipted, DedupScope::Cell),
+            lane(Effect::Effectful, DedupScope::All),
+            lane(Effect::Receipted, DedupScope::All),
         ],
         plans: vec![
-            PlanTerms { rate: 5.0, burst: 20.0, price: 1.0, over_costs: 1.0, ..PlanTerms::default() },
-            PlanTerms::default(),
-            PlanTerms { ceiling_rate: 4.0, ceiling_burst: 12.0, price: 1.0, ..PlanTerms::default() },
-            PlanTerms { rate: 2.0, burst: 1.5, price: 1.0, ..PlanTerms::default() },
+            PlanLimits { rate: 5.0, burst: 20.0, price: 1.0, overage_cost: 1.0, ..PlanLimits::default() },
+            PlanLimits::default(),
+            PlanLimits { rate_limit: 4.0, rate_limit_burst: 12.0, price: 1.0, ..PlanLimits::default() },
+            PlanLimits { rate: 2.0, burst: 1.5, price: 1.0, ..PlanLimits::default() },
         ],
         gateways: 2,
-        my_number: 0,
-        my_zone: 0,
+        gateway_number: 0,
+        zone: 0,
         may_count: true,
         count_timeout: 0.08,
         settles: false,
-        most_units: 4.0,
+        max_units: 4.0,
         must_subscribe: false,
         ask_within: 10.0,
         sized: false,
-        most_hand_offs: 4,
-        second_copies: false,
+        max_attempts: 4,
+        may_hedge: false,
         may_cancel: true,
         may_probe: true,
-        may_tell: false,
+        may_message_peers: false,
         may_advise: true,
-        most_advice: 1.0,
+        max_retry_after: 1.0,
         drain_grace: 1.0,
         cold_from: 0.2,
         warm_up: 15.0,
@@ -50,9 +58,9 @@
     }
 }
 
-pub fn line(n: u64, standing: Standing, started: f64) -> HostLine {
+pub fn line(n: u64, standing: HostState, started: f64) -> HostEntry {
     let (zone, cell) = ((n % 2) as u8, (n % 3) as u16);
-    HostLine { host: HOST + n, zone, kind: 0, cell, standing, size: 1.0, started }
+    HostEntry { host: HOST + n, zone, kind: 0, cell, state: standing, size: 1.0, started }
 }
 
 #[derive(Clone, Debug)]
@@ -72,7 +80,7 @@
 
 #[derive(Clone, Debug)]
 pub struct Taken {
-    pub inquiry: Inquiry,
+    pub inquiry: Request,
     pub until: f64,
     pub hand_offs: Vec<HandOff>,
     pub answer: Option<Answer>,
@@ -80,10 +88,10 @@
 
 /// The rules, written out plainly from the wire page. Each action is looked at when it is made.
 pub struct Rules {
-    pub terms: Terms,
+    pub terms: AdmissionSettings,
     pub now: f64,
     pub taken: BTreeMap<u32, Taken>,
-    pub lines: BTreeMap<HostId, (HostLine, f64)>,
+    pub lines: BTreeMap<HostId, (HostEntry, f64)>,
     pub broken: Vec<String>,
     pub calls: BTreeMap<u64, VecDeque<(f64, f64)>>,
     pub probes: Vec<HostId>,
@@ -100,31 +108,33 @@
 
 impl Rules {
     fn may_push_back(&self, taken: &Taken) -> bool {
-        let lane = &self.terms.lanes[taken.inquiry.lane];
+        let lane = &self.terms.classes[taken.inquiry.class];
         let clean = taken.hand_offs.iter().all(|h| h.ended.is_some_and(never_ran));
-        clean || lane.effect == Effect::Pure || (lane.effect == Effect::Receipted && lane.group == Group::All)
+        clean
+            || lane.effect == Effect::Pure
+            || (lane.effect == Effect::Receipted && lane.dedup_scope == DedupScope::All)
     }
 
     /// What is wrong with a hand-off of this inquiry to this host now, if anything.
     pub fn against(&self, id: u32, host: HostId) -> Option<&'static str> {
         let taken = self.taken.get(&id)?;
-        let lane = &self.terms.lanes[taken.inquiry.lane];
+        let lane = &self.terms.classes[taken.inquiry.class];
         let Some((line, told)) = self.lines.get(&host) else { return Some("unknown host") };
-        let away = line.standing != Standing::Ready && self.now > told + self.terms.drain_grace;
+        let away = line.state != HostState::Ready && self.now > told + self.terms.drain_grace;
         let live = taken.hand_offs.iter().any(|h| h.ended.is_none());
         let ran: Vec<&HandOff> = taken.hand_offs.iter().filter(|h| !h.ended.is_some_and(never_ran)).collect();
-        let same = |a: &HandOff| match (lane.group, &self.lines[&a.host].0) {
-            (Group::All, _) => true,
-            (Group::Zone, other) => other.zone == line.zone,
-            (Group::Cell, other) => other.cell == line.cell,
+        let same = |a: &HandOff| match (lane.dedup_scope, &self.lines[&a.host].0) {
+            (DedupScope::All, _) => true,
+            (DedupScope::Zone, other) => other.zone == line.zone,
+            (DedupScope::Cell, other) => other.cell == line.cell,
         };
-        let late = |a: &HandOff| self.now > a.at + lane.memory;
+        let late = |a: &HandOff| self.now > a.at + lane.dedup_window;
         match lane.effect {
             _ if taken.answer.is_some() => Some("sent after its answer"),
             _ if self.now > taken.until => Some("sent after its time"),
             _ if away => Some("sent to a draining host"),
-            _ if live && !self.terms.second_copies => Some("two copies out"),
-            _ if taken.hand_offs.len() >= self.terms.most_hand_offs as usize => Some("too many hand-offs"),
+            _ if live && !self.terms.may_hedge => Some("two copies out"),
+            _ if taken.hand_offs.len() >= self.terms.max_attempts as usize => Some("too many hand-offs"),
             Effect::Effectful if !ran.is_empty() => Some("effect twice"),
             Effect::Receipted if ran.iter().any(|a| !same(a)) => Some("repeat outside its group"),
             Effect::Receipted if ran.iter().any(|a| late(a)) => Some("repeat after its memory"),
@@ -149,51 +159,51 @@
     }
 }
 
-impl Outward for Rules {
-    fn hand_off(&mut self, id: u32, host: HostId, _until: f64) {
+impl Driver for Rules {
+    fn start_attempt(&mut self, id: u32, host: HostId, _until: f64) {
         if let Some(what) = self.against(id, host) {
             self.broken.push(format!("{id} to {host}: {what}"));
         }
         let Some(taken) = self.taken.get_mut(&id) else { return };
-        let Inquiry { customer, units, plan, spread, .. } = taken.inquiry;
+        let Request { customer, units, plan, spread, .. } = taken.inquiry;
         let plan = &self.terms.plans[plan];
-        if taken.hand_offs.is_empty() && plan.ceiling_rate > 0.0 {
+        if taken.hand_offs.is_empty() && plan.rate_limit > 0.0 {
             let sum = self.sent_on.entry(customer).or_insert(0.0);
             *sum += units;
-            if *sum > (plan.ceiling_burst + plan.ceiling_rate * self.now) / f64::from(spread) + 1e-6 {
+            if *sum > (plan.rate_limit_burst + plan.rate_limit * self.now) / f64::from(spread) + 1e-6 {
                 self.broken.push(format!("{id}: more than an even part of a ceiling that no quota keeps"));
             }
         }
         taken.hand_offs.push(HandOff { host, at: self.now, ended: None });
     }
-    fn cancel(&mut self, inquiry: u32, nth: u16) {
+    fn cancel_attempt(&mut self, inquiry: u32, nth: u16) {
         self.cancels.push((inquiry, nth));
     }
-    fn push_back(&mut self, id: u32, come_back_in: f64) {
+    fn reject(&mut self, id: u32, come_back_in: f64) {
         self.answer(id, Answer::PushedBack(come_back_in));
     }
-    fn terminate(&mut self, id: u32) {
+    fn abort(&mut self, id: u32) {
         self.answer(id, Answer::Terminated);
     }
     fn probe(&mut self, host: HostId) {
         self.probes.push(host);
     }
-    fn count(&mut self, name: u64, amount: f64, keep: f64) {
+    fn add_to_counter(&mut self, name: u64, amount: f64, keep: f64) {
         self.calls.entry(name).or_default().push_back((amount, keep));
     }
-    fn tell(&mut self, _gateway: Option<u32>, _words: &[u8]) {}
+    fn send_to_peers(&mut self, _gateway: Option<u32>, _words: &[u8]) {}
     fn subscribe(&mut self) {
         self.asked.push(self.now);
     }
-    fn wake(&mut self, after: f64) {
+    fn set_timer(&mut self, after: f64) {
         self.wakes.push(self.now + after);
     }
-    fn trace(&mut self, _line: &str) {}
+    fn log(&mut self, _line: &str) {}
 }
 
 pub struct World {
     pub rules: Rules,
-    pub gateway: Gateway,
+    pub gateway: Admission,
     /// The counter's names: total, and when it is forgotten.
     pub totals: BTreeMap<u64, (f64, f64)>,
     pub next: u32,
@@ -201,7 +211,7 @@
 }
 
 impl World {
-    pub fn new(terms: Terms, hosts: u64) -> World {
+    pub fn new(terms: AdmissionSettings, hosts: u64) -> World {
         let mut rules = Rules {
             terms: terms.clone(),
             now: 0.0,
@@ -215,34 +225,43 @@
             asked: Vec::new(),
             sent_on: BTreeMap::new(),
         };
-        let gateway = Gateway::start(terms, 7, 0.0, &mut rules);
+        let gateway = Admission::start(terms, 7, 0.0, &mut rules);
         let mut world = World { rules, gateway, totals: BTreeMap::new(), next: 0, spread: 2 };
         world.spread = if world.rules.terms.gateways > 100 { 5000 } else { 2 };
-        let lines: Vec<HostLine> = (0..hosts).map(|n| line(n, Standing::Ready, 0.0)).collect();
-        world.list(News::Remembered, &lines);
+        let lines: Vec<HostEntry> = (0..hosts).map(|n| line(n, HostState::Ready, 0.0)).collect();
+        world.list(HostListUpdate::Cached, &lines);
         world
     }
 
-    pub fn list(&mut self, news: News, lines: &[HostLine]) {
+    pub fn list(&mut self, news: HostListUpdate, lines: &[HostEntry]) {
         let now = self.rules.now;
         for line in lines {
             let told = (line.clone(), now);
             let known = self.rules.lines.entry(line.host).or_insert_with(|| told.clone());
-            if known.0.standing != line.standing || known.0.started != line.started {
+            if known.0.state != line.state || known.0.started != line.started {
                 *known = told;
             }
         }
-        self.gateway.list_news(now, &mut self.rules, news, lines);
+        self.gateway.host_list_updated(now, &mut self.rules, news, lines);
     }
 
     pub fn arrive(&mut self, lane: usize, plan: usize, customer: u64, units: f64, left: f64) -> u32 {
         self.next += 1;
         let id = self.next;
-        let inquiry = Inquiry { id, lane, plan, customer, left, units, spread: self.spread, first: 0 };
+        let inquiry = Request {
+            id,
+            class: lane,
+            plan,
+            customer,
+            remaining: left,
+            units,
+            spread: self.spread,
+            first: 0,
+        };
         let (now, until) = (self.rules.now, self.rules.now + left);
         let taken = Taken { inquiry: inquiry.clone(), until, hand_offs: Vec::new(), answer: None };
         self.rules.taken.insert(id, taken);
-        self.gateway.arrived(now, &mut self.rules, inquiry);
+        self.gateway.request_arrived(now, &mut self.rules, inquiry);
         id
     }
 
@@ -253,12 +272,21 @@
         let Some(hand_off) = taken.hand_offs.get_mut(nth).filter(|h| h.ended.is_none()) else { return };
         hand_off.ended = Some(outcome);
         let (host, took) = (hand_off.host, now - hand_off.at);
-        if outcome == Outcome::Honoured && taken.answer.is_none() {
+        if outcome == Outcome::Answered && taken.answer.is_none() {
             taken.answer = Some(Answer::Honoured);
         }
         let (over, nth, load) = (taken.answer.is_some(), nth as u16, Load::default());
-        let ended = Ended { inquiry: id, nth, over, outcome, took, true_units: 0.0, host, load };
-        self.gateway.ended(now, &mut self.rules, ended);
+        let ended = AttemptResult {
+            request: id,
+            attempt: nth,
+            final_attempt: over,
+            outcome,
+            elapsed: took,
+            true_units: 0.0,
+            host,
+            load,
+        };
+        self.gateway.attempt_ended(now, &mut self.rules, ended);
         while let Some((id, nth)) = self.rules.cancels.pop() {
             self.end(id, usize::from(nth), Outcome::Cancelled);
         }
@@ -274,11 +302,11 @@
         let (total, _) = self.totals.entry(name).or_insert((0.0, now + keep));
         *total += if well == Some(false) { 0.0 } else { amount };
         let answer = match well {
-            Some(true) => Counted::Total(*total),
-            Some(false) => Counted::NotAdded,
-            None => Counted::MayBeAdded,
+            Some(true) => CounterReply::Total(*total),
+            Some(false) => CounterReply::NotAdded,
+            None => CounterReply::Unknown,
         };
-        self.gateway.counted(self.rules.now, &mut self.rules, name, answer);
+        self.gateway.counter_replied(self.rules.now, &mut self.rules, name, answer);
     }
 
     pub fn count_all(&mut self) {
@@ -295,7 +323,7 @@
             let now = self.rules.now;
             if self.rules.wakes.iter().any(|at| *at <= now) {
                 self.rules.wakes.retain(|at| *at > now);
-                self.gateway.woken(now, &mut self.rules);
+                self.gateway.timer_fired(now, &mut self.rules);
             }
             while let Some((id, nth)) = self.rules.cancels.pop() {
                 self.end(id, usize::from(nth), Outcome::Cancelled);
@@ -324,14 +352,14 @@
         self.rules.now += seconds;
         let now = self.rules.now;
         self.rules.wakes.retain(|at| *at > now);
-        self.gateway.woken(now, &mut self.rules);
+        self.gateway.timer_fired(now, &mut self.rules);
         let gone = |t: &&mut Taken| t.until <= now && t.answer.is_none();
         let mut left = Vec::new();
         for taken in self.rules.taken.values_mut().filter(gone) {
             taken.answer = Some(Answer::Left);
             left.push(taken.inquiry.id);
         }
-        left.iter().for_each(|id| self.gateway.left(now, &mut self.rules, *id));
+        left.iter().for_each(|id| self.gateway.client_disconnected(now, &mut self.rules, *id));
     }
 
     pub fn hand_offs(&self, id: u32) -> usize {
--- a/crates/balancer/src/choice.rs
+++ b/crates/balancer/src/balancer.rs
@@ -3,8 +3,8 @@
 //! the region and the region before the rest by what the way costs. Must never choose a host that leaves, whose zone is
 //! evacuated or that lies outside a request's homes, nor give a cold one more than this gateway's part.
 
-use crate::pool::Pool;
-use archlink_messages::{HostLine, Lot, Node};
+use crate::pool_stats::PoolStats;
+use archlink_messages::{HostInstance, NodeId, NodeRank};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::net::SocketAddrV4;
 
@@ -46,56 +46,56 @@
 
 /// The rule for hosts that are cold: requests in any one second, over all gateways.
 #[derive(Clone, Copy, Debug)]
-pub struct ColdRule {
+pub struct WarmUpBound {
     pub overrun: f64,
     pub slack: f64,
 }
 
 /// What a service's configuration says of its hosts.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct ServiceTerms {
+pub struct ServiceLimits {
     /// Requests a second that a cold host bears; 0: no bound.
-    pub cold_rate: f64,
+    pub warm_up_rate: f64,
     /// How long a host may stay cold.
-    pub cold_period: f64,
+    pub warm_up_period: f64,
 }
 
 /// What a request needs.
 #[derive(Clone, Copy, Debug)]
-pub struct Need<'a> {
+pub struct HostRequest<'a> {
     pub service: &'a str,
     /// Regions it may be sent to; empty: all.
-    pub homes: &'a [String],
-    pub goal: f64,
+    pub home_regions: &'a [String],
+    pub latency_target: f64,
     /// Seconds left.
-    pub left: f64,
+    pub remaining: f64,
     /// Hosts that it was sent to before.
     pub tried: &'a [u64],
     /// Not let in yet; `None` where it is.
-    pub door: Option<Door>,
+    pub queue_ticket: Option<QueueTicket>,
 }
 
 /// How a request stands at the door where there are more than the hosts can answer in time.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Door {
+pub struct QueueTicket {
     /// 0 goes first.
-    pub rank: u8,
+    pub priority: u8,
     /// Its chance, from 0 to 1, drawn once.
     pub draw: f64,
 }
 
-impl Door {
+impl QueueTicket {
     /// Is it let in where a part `open` of all is?
     fn lets_in(&self, open: f64) -> bool {
         const BY_RANK: [f64; 3] = [0.5, 1.0, 1.5];
-        let rank = BY_RANK[usize::from(self.rank).min(BY_RANK.len() - 1)];
+        let rank = BY_RANK[usize::from(self.priority).min(BY_RANK.len() - 1)];
         self.draw <= open.powf(rank)
     }
 }
 
 /// A host chosen: `key` names this life of it here.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Chosen {
+pub struct SelectedHost {
     pub key: u64,
     pub id: String,
     pub address: SocketAddrV4,
@@ -105,7 +105,7 @@
 
 /// How a request that went to a host ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum End {
+pub enum AttemptEnd {
     /// Whole; with running, waiting and slots where the host told.
     Answered(Option<(f64, f64, f64)>),
     /// Whole, and a failure of the host's own.
@@ -113,13 +113,13 @@
     /// It says that it did not run it.
     Full(Option<(f64, f64, f64)>),
     /// Another host has the address.
-    Elsewhere,
+    Misdirected,
     /// No connection came up, or not all was written.
-    Unreached,
+    ConnectFailed,
     /// Reset, cut short or spoilt.
     Broken,
     /// No answer in its time.
-    Silent,
+    TimedOut,
     /// Its client left before anything was sent.
     Withdrawn,
     /// It was broken off, as its client had left: all that is known is that the answer would have taken longer.
@@ -127,7 +127,7 @@
 }
 
 struct Host {
-    line: HostLine,
+    line: HostInstance,
     region: String,
     out: f64,
     others: f64,
@@ -174,40 +174,40 @@
 #[derive(Default)]
 struct Fleet {
     keys: Vec<u64>,
-    pools: HashMap<String, Pool>,
+    pools: HashMap<String, PoolStats>,
 }
 
-fn pool_of<'a>(by_service: &'a mut HashMap<String, Fleet>, host: &Host) -> Option<&'a mut Pool> {
+fn pool_of<'a>(by_service: &'a mut HashMap<String, Fleet>, host: &Host) -> Option<&'a mut PoolStats> {
     by_service.get_mut(&host.line.service)?.pools.get_mut(&host.region)
 }
 
-pub struct Berth {
+pub struct Balancer {
     zone: String,
     region: String,
     zones: HashMap<String, String>,
-    cold: ColdRule,
+    cold: WarmUpBound,
     hosts: BTreeMap<u64, Host>,
     by_id: HashMap<String, u64>,
     by_service: HashMap<String, Fleet>,
-    services: HashMap<String, ServiceTerms>,
+    services: HashMap<String, ServiceLimits>,
     evacuated: BTreeSet<String>,
     /// This gateway and all that may be at work.
-    me: Node,
-    gateways: Vec<Node>,
+    me: NodeId,
+    gateways: Vec<NodeId>,
     chance: oorandom::Rand64,
     next: u64,
 }
 
-impl Berth {
+impl Balancer {
     pub fn new(
-        me: Node,
+        me: NodeId,
         zone: String,
         region: String,
         zones: HashMap<String, String>,
-        cold: ColdRule,
+        cold: WarmUpBound,
         seed: u64,
-    ) -> Berth {
-        Berth {
+    ) -> Balancer {
+        Balancer {
             me,
             zone,
             region,
@@ -225,12 +225,12 @@
     }
 
     /// Data gateways that may be at work.
-    pub fn set_gateways(&mut self, gateways: &[Node]) {
+    pub fn set_gateways(&mut self, gateways: &[NodeId]) {
         self.gateways = gateways.to_vec();
         self.choose_own();
     }
 
-    pub fn set_services(&mut self, services: HashMap<String, ServiceTerms>) {
+    pub fn set_services(&mut self, services: HashMap<String, ServiceLimits>) {
         self.services = services;
     }
 
@@ -242,23 +242,26 @@
         for zone in self.evacuated.difference(&zones) {
             for host in self.hosts.values_mut().filter(|h| h.line.zone == *zone) {
                 let terms = self.services.get(&host.line.service).copied().unwrap_or_default();
-                host.cold_until = host.cold_until.max(now + terms.cold_period + LAG);
+                host.cold_until = host.cold_until.max(now + terms.warm_up_period + LAG);
             }
         }
         self.evacuated = zones;
     }
 
     /// The whole list, newest; what it leaves out is gone. Gives back the keys of hosts to which nothing more will go.
-    pub fn list(&mut self, now: f64, lines: &[HostLine]) -> Vec<u64> {
+    pub fn update_hosts(&mut self, now: f64, lines: &[HostInstance]) -> Vec<u64> {
         let mut named = BTreeSet::new();
         for line in lines.iter().take(MOST_HOSTS) {
-            let cold_until = now + f64::from(line.cold_for);
+            let cold_until = now + f64::from(line.warm_up_seconds);
             let fresh = self.next;
             let key = *self.by_id.entry(line.id.clone()).or_insert(fresh);
             named.insert(key);
             if let Some(host) = self.hosts.get_mut(&key) {
-                host.cold_until =
-                    if line.cold_for > 0.0 { host.cold_until.max(cold_until) } else { host.cold_until };
+                host.cold_until = if line.warm_up_seconds > 0.0 {
+                    host.cold_until.max(cold_until)
+                } else {
+                    host.cold_until
+                };
                 host.gone = false;
                 host.line = line.clone();
                 continue;
@@ -309,7 +312,7 @@
     fn choose_own(&mut self) {
         let mut by_zone: BTreeMap<(&str, &str), Vec<(usize, u64)>> = BTreeMap::new();
         for (key, host) in &self.hosts {
-            let place = Lot::of(self.me, &host.line.id, &self.gateways).place;
+            let place = NodeRank::of(self.me, &host.line.id, &self.gateways).rank;
             by_zone.entry((&host.line.service, &host.line.zone)).or_default().push((place, *key));
         }
         let zones = self.zones.len().max(1) as f64;
@@ -324,12 +327,12 @@
     }
 
     /// A line for each service and region that not all requests are let in to.
-    pub fn doors(&self, now: f64) -> Vec<String> {
+    pub fn admission_log_lines(&self, now: f64) -> Vec<String> {
         let pools = self.by_service.iter().flat_map(|(service, fleet)| {
             fleet.pools.iter().map(move |(region, pool)| (service, region, pool))
         });
         let shut = pools.filter(move |(_, _, pool)| pool.open(now) < 0.9);
-        let line = |(service, region, pool): (&String, &String, &Pool)| {
+        let line = |(service, region, pool): (&String, &String, &PoolStats)| {
             let (open, load, work) = (pool.open(now), pool.load(now), pool.work());
             format!("{service} in {region}: {open:.2} let in, {load:.2} a slot, {:.0} ms of work", work * 1e3)
         };
@@ -337,7 +340,7 @@
     }
 
     /// Hosts known, and of these ready ones.
-    pub fn count(&self) -> (usize, usize) {
+    pub fn host_counts(&self) -> (usize, usize) {
         (self.hosts.len(), self.hosts.values().filter(|h| !h.gone && !h.line.draining).count())
     }
 
@@ -348,16 +351,16 @@
         const UNSURE: f64 = 2.0;
         const SECOND: f64 = 1.05;
         let terms = self.services.get(&host.line.service).copied().unwrap_or_default();
-        if terms.cold_rate <= 0.0 {
+        if terms.warm_up_rate <= 0.0 {
             return true;
         }
-        let all = (terms.cold_rate * self.cold.overrun + self.cold.slack - UNSURE).max(0.0) as usize;
-        let part = Lot::of(self.me, &host.line.id, &self.gateways).part(all);
+        let all = (terms.warm_up_rate * self.cold.overrun + self.cold.slack - UNSURE).max(0.0) as usize;
+        let part = NodeRank::of(self.me, &host.line.id, &self.gateways).portion(all);
         host.cold_sent.iter().filter(|at| **at + SECOND > now).count() < part
     }
 
-    fn fits(&self, host: &Host, need: &Need, now: f64) -> bool {
-        let homes = need.homes.is_empty() || need.homes.contains(&host.region);
+    fn fits(&self, host: &Host, need: &HostRequest, now: f64) -> bool {
+        let homes = need.home_regions.is_empty() || need.home_regions.contains(&host.region);
         let stays =
             !host.gone && !host.moved && !host.line.draining && !self.evacuated.contains(&host.line.zone);
         let rests = now < host.rest_until || (host.rests > 0 && host.out > 0.0);
@@ -365,7 +368,7 @@
     }
 
     /// Seconds until an answer is expected, and that with what the way costs.
-    fn weigh(&self, host: &Host, need: &Need, pool: &Pool, now: f64) -> (f64, f64) {
+    fn weigh(&self, host: &Host, need: &HostRequest, pool: &PoolStats, now: f64) -> (f64, f64) {
         let work = if host.work > 0.0 { host.work } else { pool.work() };
         let fresh = (-(now - host.others_at) / OTHERS_LAST).exp();
         let usual = (pool.load(now) * host.slots - host.out).max(0.0);
@@ -373,7 +376,7 @@
         let ahead = (host.out + others + 1.0 - host.slots).max(0.0);
         let cold = if now < host.cold_until { 2.0 } else { 1.0 };
         let expected = work * cold * (1.0 + ahead / host.slots);
-        let goal = if need.goal.is_finite() { need.goal } else { GOAL };
+        let goal = if need.latency_target.is_finite() { need.latency_target } else { GOAL };
         let way = match (host.line.zone == self.zone, host.region == self.region) {
             (true, _) => 0.0,
             (_, true) => TO_ZONE * goal,
@@ -386,10 +389,10 @@
     }
 
     /// The host where a request is expected to be done first; none where none is expected to do it in time.
-    pub fn choose(&mut self, now: f64, need: &Need) -> Option<Chosen> {
+    pub fn select(&mut self, now: f64, need: &HostRequest) -> Option<SelectedHost> {
         let fleet = self.by_service.get(need.service)?;
         let mut best: Option<(f64, u64, f64)> = None;
-        let shuts = |pool: &Pool| need.door.is_some_and(|door| !door.lets_in(pool.open(now)));
+        let shuts = |pool: &PoolStats| need.queue_ticket.is_some_and(|door| !door.lets_in(pool.open(now)));
         let shut: Vec<&str> =
             fleet.pools.iter().filter(|(_, pool)| shuts(pool)).map(|(region, _)| region.as_str()).collect();
         // A copy, as the rest is borrowed meanwhile.
@@ -401,7 +404,7 @@
                 continue;
             }
             let (expected, weight) = self.weigh(host, need, pool, now);
-            if expected > need.left * IN_TIME {
+            if expected > need.remaining * IN_TIME {
                 continue;
             }
             let drawn = weight * (1.0 + SPREAD * chance.rand_float());
@@ -412,11 +415,11 @@
         self.chance = chance;
         let (_, key, expected) = best?;
         let host = self.hosts.get(&key)?;
-        Some(Chosen { key, id: host.line.id.clone(), address: host.line.address, expected })
+        Some(SelectedHost { key, id: host.line.id.clone(), address: host.line.address, expected })
     }
 
     /// A request with that goal time goes to a host now.
-    pub fn sent(&mut self, now: f64, key: u64, goal: f64) {
+    pub fn attempt_started(&mut self, now: f64, key: u64, goal: f64) {
         let Some(host) = self.hosts.get_mut(&key) else { return };
         if let Some(pool) = pool_of(&mut self.by_service, host) {
             pool.sent(if goal.is_finite() { goal } else { GOAL });
@@ -430,31 +433,31 @@
     }
 
     /// May a request that was chosen for a host still go there? What stood still for a while looks again.
-    pub fn still(&self, key: u64) -> bool {
+    pub fn is_listed(&self, key: u64) -> bool {
         let stays =
             |h: &Host| !h.gone && !h.moved && !h.line.draining && !self.evacuated.contains(&h.line.zone);
         self.hosts.get(&key).is_some_and(stays)
     }
 
     /// A request to a host ended, `took` seconds after it was sent.
-    pub fn ended(&mut self, now: f64, key: u64, took: f64, end: End) {
+    pub fn attempt_ended(&mut self, now: f64, key: u64, took: f64, end: AttemptEnd) {
         let Some(host) = self.hosts.get_mut(&key) else { return };
         let mut pool = pool_of(&mut self.by_service, host);
         let before = host.out;
         host.out = (host.out - 1.0).max(0.0);
-        if let End::Answered(_) | End::Failed(_) | End::Full(_) = end {
+        if let AttemptEnd::Answered(_) | AttemptEnd::Failed(_) | AttemptEnd::Full(_) = end {
             host.asked = if host.out > 0.0 { Some(now) } else { None };
             host.rests = 0;
         }
         if let Some(pool) = &mut pool {
             match end {
-                End::Answered(_) => pool.took(now, took),
-                End::Full(_) => pool.took(now, f64::INFINITY),
-                End::Abandoned => pool.took_longer(now, took),
+                AttemptEnd::Answered(_) => pool.took(now, took),
+                AttemptEnd::Full(_) => pool.took(now, f64::INFINITY),
+                AttemptEnd::Abandoned => pool.took_longer(now, took),
                 _ => {}
             }
         }
-        if let End::Answered(load) | End::Failed(load) | End::Full(load) = end
+        if let AttemptEnd::Answered(load) | AttemptEnd::Failed(load) | AttemptEnd::Full(load) = end
             && let Some((running, waiting, slots)) = load
         {
             host.slots = if slots >= 1.0 { slots } else { host.slots };
@@ -468,8 +471,8 @@
         }
         match end {
             // How quickly it fails says nothing of its work.
-            End::Failed(_) => host.fared(now, false),
-            End::Answered(load) => {
+            AttemptEnd::Failed(_) => host.fared(now, false),
+            AttemptEnd::Answered(load) => {
                 host.fared(now, true);
                 let alone = took / ((before + host.others) / host.slots).max(1.0);
                 host.work = if host.work > 0.0 { host.work + WORK_STEP * (alone - host.work) } else { alone };
@@ -479,10 +482,10 @@
                     pool.worked(alone);
                 }
             }
-            End::Full(_) => host.others = host.others.max(host.slots * 2.0),
+            AttemptEnd::Full(_) => host.others = host.others.max(host.slots * 2.0),
             // Nothing bad of the host: whether it would have answered nobody knows.
-            End::Withdrawn => host.stopped_waiting(),
-            End::Abandoned => {
+            AttemptEnd::Withdrawn => host.stopped_waiting(),
+            AttemptEnd::Abandoned => {
                 host.stopped_waiting();
                 let known = if host.work > 0.0 { host.work } else { pool.map_or(0.0, |pool| pool.work()) };
                 let alone = took / ((before + host.others) / host.slots).max(1.0);
@@ -490,15 +493,15 @@
                     host.work = known + WORK_STEP * (alone - known);
                 }
             }
-            End::Elsewhere => host.moved = true,
-            End::Unreached | End::Silent => {
+            AttemptEnd::Misdirected => host.moved = true,
+            AttemptEnd::ConnectFailed | AttemptEnd::TimedOut => {
                 host.rests += 1;
                 let rest = FIRST_REST * f64::from(1 << (host.rests - 1).min(MOST_DOUBLINGS));
                 host.rest_until = host.rest_until.max(now + rest);
                 host.fared(now, false);
                 host.asked = None;
             }
-            End::Broken => {
+            AttemptEnd::Broken => {
                 host.asked = None;
                 host.fared(now, false);
             }
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -2,6 +2,6 @@
 //! whether a further try is within the budget. `choice.rs` shows the whole of it. Does no I/O and reads no clock.
 #![forbid(unsafe_code)]
 
-pub mod budget;
-pub mod choice;
-pub mod pool;
+pub mod balancer;
+pub mod pool_stats;
+pub mod retry_budget;
--- a/crates/balancer/src/pool.rs
+++ b/crates/balancer/src/pool_stats.rs
@@ -22,7 +22,7 @@
 const LEAST_OPEN: f64 = 0.02;
 
 #[derive(Clone, Debug)]
-pub struct Pool {
+pub struct PoolStats {
     load: f64,
     at: f64,
     work: f64,
@@ -32,13 +32,13 @@
     steered: f64,
 }
 
-impl Default for Pool {
-    fn default() -> Pool {
-        Pool { load: 0.0, at: 0.0, work: 0.0, heard: 0.0, goal: 0.0, open: 1.0, steered: 0.0 }
+impl Default for PoolStats {
+    fn default() -> PoolStats {
+        PoolStats { load: 0.0, at: 0.0, work: 0.0, heard: 0.0, goal: 0.0, open: 1.0, steered: 0.0 }
     }
 }
 
-impl Pool {
+impl PoolStats {
     /// A request with that goal time goes there.
     pub fn sent(&mut self, goal: f64) {
         self.goal = if self.goal > 0.0 { self.goal + STEP / 2.0 * (goal - self.goal) } else { goal };
--- a/crates/balancer/src/budget.rs
+++ b/crates/balancer/src/retry_budget.rs
@@ -9,19 +9,19 @@
 
 /// The rule: in any window, further arrivals stay below `ratio` of the requests, and `slack`.
 #[derive(Clone, Copy, Debug)]
-pub struct Rule {
+pub struct RetryBound {
     pub ratio: f64,
     pub slack: f64,
 }
 
 #[derive(Default)]
-pub struct Budget {
+pub struct RetryBudget {
     left: HashMap<String, f64>,
 }
 
-impl Budget {
+impl RetryBudget {
     /// A request of the service was taken on; `gateways` may be at work.
-    pub fn earn(&mut self, rule: &Rule, service: &str, gateways: u32) {
+    pub fn deposit(&mut self, rule: &RetryBound, service: &str, gateways: u32) {
         let most = Self::most(rule, gateways);
         match self.left.get_mut(service) {
             Some(left) => *left = (*left + rule.ratio * GIVEN).min(most),
@@ -32,12 +32,12 @@
 
     /// A window's requests earn on top of what is held: that alone is bounded here. Nothing while it isn't known how many
     /// share.
-    fn most(rule: &Rule, gateways: u32) -> f64 {
+    fn most(rule: &RetryBound, gateways: u32) -> f64 {
         if gateways == 0 { 0.0 } else { rule.slack * GIVEN / f64::from(gateways) }
     }
 
     /// Takes one further try, if there is one.
-    pub fn take(&mut self, service: &str) -> bool {
+    pub fn try_withdraw(&mut self, service: &str) -> bool {
         match self.left.get_mut(service) {
             Some(left) if *left >= 1.0 => {
                 *left -= 1.0;
--- a/crates/balancer/tests/choice.rs
+++ b/crates/balancer/tests/choice.rs
@@ -1,67 +1,85 @@
 //! What hosts must and must not get, in made-up time.
 
-use archlink_balancer::budget::{Budget, Rule};
-use archlink_balancer::choice::{Berth, ColdRule, End, Need, ServiceTerms};
-use archlink_messages::HostLine;
+use archlink_balancer::balancer::{AttemptEnd, Balancer, HostRequest, ServiceLimits, WarmUpBound};
+use archlink_balancer::retry_budget::{RetryBound, RetryBudget};
+use archlink_messages::HostInstance;
 use std::collections::{BTreeSet, HashMap};
 
-fn line(id: &str, zone: &str, cold_for: f32) -> HostLine {
+fn line(id: &str, zone: &str, cold_for: f32) -> HostInstance {
     let address = "10.0.0.1:80".parse().unwrap();
     let (service, capacity) = ("s".into(), 2);
-    HostLine { id: id.into(), service, address, zone: zone.into(), capacity, draining: false, cold_for }
+    HostInstance {
+        id: id.into(),
+        service,
+        address,
+        zone: zone.into(),
+        capacity,
+        draining: false,
+        warm_up_seconds: cold_for,
+    }
 }
 
-fn berth() -> Berth {
+fn berth() -> Balancer {
     let zones = [("a", "x"), ("b", "x"), ("c", "y")].map(|(z, r)| (z.to_string(), r.to_string()));
-    let cold = ColdRule { overrun: 1.5, slack: 5.0 };
-    let mut berth = Berth::new(1, "a".into(), "x".into(), HashMap::from(zones), cold, 7);
+    let cold = WarmUpBound { overrun: 1.5, slack: 5.0 };
+    let mut berth = Balancer::new(1, "a".into(), "x".into(), HashMap::from(zones), cold, 7);
     berth.set_gateways(&[1, 2, 3, 4, 5, 6, 7, 8, 9]);
-    berth.set_services([("s".into(), ServiceTerms { cold_rate: 10.0, cold_period: 3.0 })].into());
+    berth.set_services([("s".into(), ServiceLimits { warm_up_rate: 10.0, warm_up_period: 3.0 })].into());
     berth
 }
 
-fn need() -> Need<'static> {
-    Need { service: "s", homes: &[], goal: 0.3, left: 2.0, tried: &[], door: None }
+fn need() -> HostRequest<'static> {
+    HostRequest {
+        service: "s",
+        home_regions: &[],
+        latency_target: 0.3,
+        remaining: 2.0,
+        tried: &[],
+        queue_ticket: None,
+    }
 }
 
-fn chosen(berth: &mut Berth, now: f64, need: &Need) -> Option<String> {
-    berth.choose(now, need).map(|c| c.id)
+fn chosen(berth: &mut Balancer, now: f64, need: &HostRequest) -> Option<String> {
+    berth.select(now, need).map(|c| c.id)
 }
 
 #[test]
 fn a_drained_gone_moved_or_evacuated_host_gets_nothing_new() {
     let mut berth = berth();
-    berth.list(0.0, &[line("one", "a", 0.0), line("two", "b", 0.0)]);
+    berth.update_hosts(0.0, &[line("one", "a", 0.0), line("two", "b", 0.0)]);
     assert_eq!(chosen(&mut berth, 0.0, &need()).as_deref(), Some("one"));
-    let drained = HostLine { draining: true, ..line("one", "a", 0.0) };
-    assert_eq!(berth.list(0.1, &[drained, line("two", "b", 0.0)]).len(), 1);
+    let drained = HostInstance { draining: true, ..line("one", "a", 0.0) };
+    assert_eq!(berth.update_hosts(0.1, &[drained, line("two", "b", 0.0)]).len(), 1);
     assert_eq!(chosen(&mut berth, 0.1, &need()).as_deref(), Some("two"));
     berth.set_evacuated(0.2, BTreeSet::from(["b".to_string()]));
     assert_eq!(chosen(&mut berth, 0.2, &need()), None);
     // Taken back, its hosts may be cold: two a second from here, as nine gateways share.
     berth.set_evacuated(0.3, BTreeSet::new());
     for _ in 0..2 {
-        let to = berth.choose(0.3, &need()).unwrap();
-        berth.sent(0.3, to.key, 0.3);
-        berth.ended(0.3, to.key, 0.01, End::Answered(None));
+        let to = berth.select(0.3, &need()).unwrap();
+        berth.attempt_started(0.3, to.key, 0.3);
+        berth.attempt_ended(0.3, to.key, 0.01, AttemptEnd::Answered(None));
     }
     assert_eq!(chosen(&mut berth, 1.2, &need()), None);
-    let to = berth.choose(1.4, &need()).unwrap();
-    berth.sent(1.4, to.key, 0.3);
-    berth.ended(1.4, to.key, 0.01, End::Elsewhere);
-    assert!(!berth.still(to.key) && chosen(&mut berth, 9.0, &need()).is_none());
+    let to = berth.select(1.4, &need()).unwrap();
+    berth.attempt_started(1.4, to.key, 0.3);
+    berth.attempt_ended(1.4, to.key, 0.01, AttemptEnd::Misdirected);
+    assert!(!berth.is_listed(to.key) && chosen(&mut berth, 9.0, &need()).is_none());
 }
 
 #[test]
 fn homes_bind_and_the_own_zone_comes_first_until_it_is_full() {
     let mut berth = berth();
-    berth.list(0.0, &[line("near", "a", 0.0), line("next", "b", 0.0), line("far", "c", 0.0)]);
+    berth.update_hosts(0.0, &[line("near", "a", 0.0), line("next", "b", 0.0), line("far", "c", 0.0)]);
     let homes = ["y".to_string()];
-    assert_eq!(chosen(&mut berth, 0.0, &Need { homes: &homes, ..need() }).as_deref(), Some("far"));
+    assert_eq!(
+        chosen(&mut berth, 0.0, &HostRequest { home_regions: &homes, ..need() }).as_deref(),
+        Some("far")
+    );
     let mut order = Vec::new();
     for _ in 0..40 {
-        let to = berth.choose(0.0, &need()).unwrap();
-        berth.sent(0.0, to.key, 0.3);
+        let to = berth.select(0.0, &need()).unwrap();
+        berth.attempt_started(0.0, to.key, 0.3);
         order.push(to.id);
     }
     assert!(order[..2].iter().all(|id| id == "near"), "{order:?}");
@@ -71,15 +89,15 @@
 #[test]
 fn a_host_that_is_not_reached_rests_and_is_tried_by_one_request() {
     let mut berth = berth();
-    berth.list(0.0, &[line("one", "a", 0.0)]);
-    let to = berth.choose(0.0, &need()).unwrap();
-    berth.sent(0.0, to.key, 0.3);
-    berth.ended(0.0, to.key, 0.0, End::Unreached);
+    berth.update_hosts(0.0, &[line("one", "a", 0.0)]);
+    let to = berth.select(0.0, &need()).unwrap();
+    berth.attempt_started(0.0, to.key, 0.3);
+    berth.attempt_ended(0.0, to.key, 0.0, AttemptEnd::ConnectFailed);
     assert_eq!(chosen(&mut berth, 0.1, &need()), None);
-    let again = berth.choose(0.5, &need()).unwrap();
-    berth.sent(0.5, again.key, 0.3);
+    let again = berth.select(0.5, &need()).unwrap();
+    berth.attempt_started(0.5, again.key, 0.3);
     assert_eq!(chosen(&mut berth, 0.5, &need()), None);
-    berth.ended(0.6, again.key, 0.1, End::Answered(None));
+    berth.attempt_ended(0.6, again.key, 0.1, AttemptEnd::Answered(None));
     assert!(chosen(&mut berth, 0.6, &need()).is_some());
 }
 
@@ -87,19 +105,19 @@
 #[test]
 fn a_host_that_fails_gets_a_trickle_and_is_found_well_again() {
     let mut berth = berth();
-    berth.list(0.0, &[line("ill", "a", 0.0), line("well", "a", 0.0)]);
+    berth.update_hosts(0.0, &[line("ill", "a", 0.0), line("well", "a", 0.0)]);
     let mut now = 0.0;
-    let mut to_ill = |berth: &mut Berth, fails: bool| {
+    let mut to_ill = |berth: &mut Balancer, fails: bool| {
         (0..200).fold(0, |count, n| {
             now += 0.05;
-            let to = berth.choose(now, &need()).unwrap();
-            berth.sent(now, to.key, 0.3);
+            let to = berth.select(now, &need()).unwrap();
+            berth.attempt_started(now, to.key, 0.3);
             let ill = to.id == "ill";
             let (took, end) = match ill && fails && n % 2 == 0 {
-                true => (0.002, End::Failed(Some((0.0, 0.0, 2.0)))),
-                false => (0.06, End::Answered(Some((1.0, 0.0, 2.0)))),
+                true => (0.002, AttemptEnd::Failed(Some((0.0, 0.0, 2.0)))),
+                false => (0.06, AttemptEnd::Answered(Some((1.0, 0.0, 2.0)))),
             };
-            berth.ended(now + took, to.key, took, end);
+            berth.attempt_ended(now + took, to.key, took, end);
             count + i32::from(ill)
         })
     };
@@ -111,14 +129,14 @@
 /// Nine gateways that earn and spend all they can keep the rule in any window of requests.
 #[test]
 fn further_tries_of_all_gateways_stay_within_the_rule() {
-    let rule = Rule { ratio: 0.2, slack: 58.0 };
-    let mut budgets: Vec<Budget> = (0..9).map(|_| Budget::default()).collect();
+    let rule = RetryBound { ratio: 0.2, slack: 58.0 };
+    let mut budgets: Vec<RetryBudget> = (0..9).map(|_| RetryBudget::default()).collect();
     let mut tries = 0;
     for request in 0..20_000 {
         let budget = &mut budgets[request % 9];
-        budget.earn(&rule, "s", 9);
+        budget.deposit(&rule, "s", 9);
         // Nobody tries again for a long while, and then all do at once.
-        while request > 10_000 && budget.take("s") {
+        while request > 10_000 && budget.try_withdraw("s") {
             tries += 1;
         }
     }
@@ -128,15 +146,15 @@
 /// What its clients left behind says nothing bad of a host: it does not rest, is not ill, and is not taken for silent.
 #[test]
 fn clients_that_leave_cost_their_host_nothing() {
-    for end in [End::Withdrawn, End::Abandoned] {
+    for end in [AttemptEnd::Withdrawn, AttemptEnd::Abandoned] {
         let mut berth = berth();
-        berth.list(0.0, &[line("near", "a", 0.0), line("next", "b", 0.0)]);
+        berth.update_hosts(0.0, &[line("near", "a", 0.0), line("next", "b", 0.0)]);
         let mut now = 0.0;
         for _ in 0..50 {
-            let to = berth.choose(now, &need()).unwrap();
+            let to = berth.select(now, &need()).unwrap();
             assert_eq!(to.id, "near", "{end:?} at {now}");
-            berth.sent(now, to.key, 0.3);
-            berth.ended(now + 0.03, to.key, 0.03, end);
+            berth.attempt_started(now, to.key, 0.3);
+            berth.attempt_ended(now + 0.03, to.key, 0.03, end);
             now += 1.0;
         }
     }
@@ -146,14 +164,15 @@
 #[test]
 fn runs_that_were_broken_off_late_show_a_slow_host() {
     let mut berth = berth();
-    berth.list(0.0, &[line("near", "a", 0.0), line("next", "b", 0.0)]);
+    berth.update_hosts(0.0, &[line("near", "a", 0.0), line("next", "b", 0.0)]);
     let mut now = 0.0;
     for _ in 0..40 {
-        let to = berth.choose(now, &Need { left: 20.0, ..need() }).unwrap();
-        berth.sent(now, to.key, 0.3);
+        let to = berth.select(now, &HostRequest { remaining: 20.0, ..need() }).unwrap();
+        berth.attempt_started(now, to.key, 0.3);
         now += 1.0;
-        let end = if to.id == "near" { (1.0, End::Abandoned) } else { (0.05, End::Answered(None)) };
-        berth.ended(now, to.key, end.0, end.1);
+        let end =
+            if to.id == "near" { (1.0, AttemptEnd::Abandoned) } else { (0.05, AttemptEnd::Answered(None)) };
+        berth.attempt_ended(now, to.key, end.0, end.1);
     }
     assert_eq!(chosen(&mut berth, now, &need()).as_deref(), Some("next"));
 }
--- a/crates/balancer/tests/crowd.rs
+++ b/crates/balancer/tests/crowd.rs
@@ -1,8 +1,10 @@
 //! Many gateways before few hosts, in made-up time: open-loop clients whose requests are all bound to one service with less
 //! room than they ask for. Looked at is what arrives in its goal time, not that a formula holds.
 
-use archlink_balancer::choice::{Berth, ColdRule, Door, End, Need, ServiceTerms};
-use archlink_messages::{HostLine, Node};
+use archlink_balancer::balancer::{
+    AttemptEnd, Balancer, HostRequest, QueueTicket, ServiceLimits, WarmUpBound,
+};
+use archlink_messages::{HostInstance, NodeId};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 const GOAL: f64 = 0.5;
@@ -69,28 +71,28 @@
 
 fn play(crowd: &Crowd, length: f64, seed: u64) -> Seen {
     let mut chance = oorandom::Rand64::new(u128::from(seed));
-    let nodes: Vec<Node> = (0..crowd.gateways as Node).map(|n| 0x0a01_0000 + n).collect();
+    let nodes: Vec<NodeId> = (0..crowd.gateways as NodeId).map(|n| 0x0a01_0000 + n).collect();
     let address = "10.0.0.1:80".parse().unwrap();
-    let lines: Vec<HostLine> = (0..crowd.hosts)
-        .map(|n| HostLine {
+    let lines: Vec<HostInstance> = (0..crowd.hosts)
+        .map(|n| HostInstance {
             id: format!("i-{n:03}"),
             service: "s".into(),
             address,
             zone: "z".into(),
             capacity: SLOTS as u32,
             draining: false,
-            cold_for: 0.0,
+            warm_up_seconds: 0.0,
         })
         .collect();
     let number: HashMap<String, usize> = lines.iter().enumerate().map(|(n, l)| (l.id.clone(), n)).collect();
-    let mut all: Vec<Berth> = (nodes.iter())
+    let mut all: Vec<Balancer> = (nodes.iter())
         .map(|&node| {
             let zones = HashMap::from([("z".to_string(), "r".to_string())]);
-            let cold = ColdRule { overrun: 1.5, slack: 5.0 };
-            let mut berth = Berth::new(node, "z".into(), "r".into(), zones, cold, u64::from(node));
+            let cold = WarmUpBound { overrun: 1.5, slack: 5.0 };
+            let mut berth = Balancer::new(node, "z".into(), "r".into(), zones, cold, u64::from(node));
             berth.set_gateways(&nodes);
-            berth.set_services([("s".into(), ServiceTerms::default())].into());
-            berth.list(0.0, &lines);
+            berth.set_services([("s".into(), ServiceLimits::default())].into());
+            berth.update_hosts(0.0, &lines);
             berth
         })
         .collect();
@@ -119,18 +121,18 @@
             What::Asks { first, tries } => {
                 seen.asked += u32::from(tries == 0);
                 let gateway = (chance.rand_float() * crowd.gateways as f64) as usize;
-                let door = Door { rank: 1, draw: chance.rand_float() };
-                let need = Need {
+                let door = QueueTicket { priority: 1, draw: chance.rand_float() };
+                let need = HostRequest {
                     service: "s",
-                    homes: &[],
-                    goal: GOAL,
-                    left: GOAL * 0.9,
+                    home_regions: &[],
+                    latency_target: GOAL,
+                    remaining: GOAL * 0.9,
                     tried: &[],
-                    door: Some(door),
+                    queue_ticket: Some(door),
                 };
-                match all[gateway].choose(now, &need) {
+                match all[gateway].select(now, &need) {
                     Some(to) => {
-                        all[gateway].sent(now, to.key, GOAL);
+                        all[gateway].attempt_started(now, to.key, GOAL);
                         let (host, key, sent) = (number[&to.id], to.key, now);
                         let first = (first, now);
                         put(&mut queue, now + crowd.way, What::Arrives { gateway, key, host, sent, first });
@@ -170,8 +172,8 @@
                 put(&mut queue, now + crowd.way, whole);
             }
             What::Answers { gateway, key, sent, first, load, full } => {
-                let end = if full { End::Full(Some(load)) } else { End::Answered(Some(load)) };
-                all[gateway].ended(now, key, now - sent, end);
+                let end = if full { AttemptEnd::Full(Some(load)) } else { AttemptEnd::Answered(Some(load)) };
+                all[gateway].attempt_ended(now, key, now - sent, end);
                 let way_to_client = 0.02;
                 match full {
                     true => {
--- a/crates/bench-adapter/src/main.rs
+++ b/crates/bench-adapter/src/main.rs
@@ -3,8 +3,8 @@
 
 mod wire;
 
+use archlink_admission::admission::Admission;
 use archlink_admission::interface::*;
-use archlink_admission::logic::Gateway;
 use std::collections::BTreeMap;
 use std::io::{BufReader, BufWriter, Read, Write, stdin, stdout};
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -22,52 +22,52 @@
     (seconds * 1e6).round().clamp(0.0, 4.2e9) as u32
 }
 
-impl Outward for Speaker<'_> {
-    fn hand_off(&mut self, inquiry: u32, host: HostId, until: f64) {
+impl Driver for Speaker<'_> {
+    fn start_attempt(&mut self, inquiry: u32, host: HostId, until: f64) {
         let until = if until > 0.0 { (until * 1e6).round() as u64 } else { 0 };
         self.reply.act(0, self.who).u32(inquiry).host(host).u64(until);
     }
-    fn cancel(&mut self, inquiry: u32, nth: u16) {
+    fn cancel_attempt(&mut self, inquiry: u32, nth: u16) {
         self.reply.act(3, self.who).u32(inquiry).u16(nth);
     }
-    fn push_back(&mut self, inquiry: u32, come_back_in: f64) {
+    fn reject(&mut self, inquiry: u32, come_back_in: f64) {
         self.reply.act(1, self.who).u32(inquiry).u32(micros(come_back_in));
     }
-    fn terminate(&mut self, inquiry: u32) {
+    fn abort(&mut self, inquiry: u32) {
         self.reply.act(2, self.who).u32(inquiry);
     }
     fn probe(&mut self, host: HostId) {
         self.reply.act(5, self.who).host(host);
     }
-    fn count(&mut self, name: u64, amount: f64, keep: f64) {
+    fn add_to_counter(&mut self, name: u64, amount: f64, keep: f64) {
         self.reply.act(12, self.who).f32(amount as f32).u32(micros(keep)).u64(name);
     }
-    fn tell(&mut self, gateway: Option<u32>, words: &[u8]) {
+    fn send_to_peers(&mut self, gateway: Option<u32>, words: &[u8]) {
         self.reply.act(7, self.who).u32(gateway.unwrap_or(u32::MAX)).bytes(words);
     }
     fn subscribe(&mut self) {
         self.reply.act(10, self.who).u8(1);
     }
-    fn wake(&mut self, after: f64) {
+    fn set_timer(&mut self, after: f64) {
         let name = (self.now * 1e6) as u64;
         self.reply.act(4, self.who).u32(micros(after).max(1)).u64(name);
     }
-    fn trace(&mut self, line: &str) {
+    fn log(&mut self, line: &str) {
         self.reply.act(8, self.who).bytes(line.as_bytes());
     }
 }
 
 fn outcome(code: u16) -> Option<Outcome> {
     use Outcome::*;
-    let all = [Honoured, Error, Full, TimedOut, ConnectFailed, Reset, Cancelled, NeverSent];
+    let all = [Answered, Error, Full, TimedOut, ConnectFailed, Reset, Cancelled, NeverSent];
     all.get(usize::from(code).checked_sub(1)?).copied()
 }
 
 struct Hall {
-    gateways: BTreeMap<u16, Gateway>,
+    gateways: BTreeMap<u16, Admission>,
     /// Per instance: lanes, plans, and the names of the values in a load report.
     known: BTreeMap<u16, (usize, usize, Vec<String>)>,
-    lists: BTreeMap<u8, Vec<HostLine>>,
+    lists: BTreeMap<u8, Vec<HostEntry>>,
 }
 
 impl Hall {
@@ -80,7 +80,7 @@
         for n in 0..count {
             let value = f64::from(record.f32("report")?);
             if let Some(name) = self.known.get(&who).and_then(|k| k.2.get(n)) {
-                archlink_admission_settings::figure(&mut load, name, value);
+                archlink_admission_settings::set_load_field(&mut load, name, value);
             }
         }
         Ok(load)
@@ -104,9 +104,9 @@
             let seed = record.u64("rng-seed")?;
             let text = frame.text(&mut record, "facts")?;
             let told = archlink_admission_settings::from_lines(&text)?;
-            self.known.insert(who, (told.lanes.len(), told.plans.len(), told.report));
+            self.known.insert(who, (told.classes.len(), told.plans.len(), told.load_report_fields));
             let mut speaker = Speaker { who, now, reply };
-            self.gateways.insert(who, Gateway::start(told.terms, seed, now, &mut speaker));
+            self.gateways.insert(who, Admission::start(told.admission, seed, now, &mut speaker));
             return Ok(());
         }
         if code == 9 {
@@ -130,20 +130,20 @@
             1 => {
                 let _stamp = record.u64("stamp")?;
                 let news = match record.u8("how")? {
-                    0 => News::Changes,
-                    1 => News::Whole,
-                    2 => News::Remembered,
-                    3 => News::Failed,
+                    0 => HostListUpdate::Delta,
+                    1 => HostListUpdate::Full,
+                    2 => HostListUpdate::Cached,
+                    3 => HostListUpdate::Failed,
                     n => return Err(format!("how: {n} is unknown")),
                 };
                 let number = record.u8("list")?;
                 let none = Vec::new();
                 let lines = match self.lists.get(&number) {
-                    _ if news == News::Failed => &none,
+                    _ if news == HostListUpdate::Failed => &none,
                     Some(lines) => lines,
                     None => return Err(format!("list: {number} was never given")),
                 };
-                gateway.list_news(now, out, news, lines);
+                gateway.host_list_updated(now, out, news, lines);
             }
             2 => {
                 let id = record.u32("ticket")?;
@@ -154,12 +154,16 @@
                 let units = record.number("cost-units")?;
                 let spread = record.number("set-size")?.clamp(1.0, 1e6) as u32;
                 let first = record.number("first")?.clamp(0.0, 1e6) as u32;
-                gateway.arrived(now, out, Inquiry { id, lane, plan, customer, left, units, spread, first });
+                gateway.request_arrived(
+                    now,
+                    out,
+                    Request { id, class: lane, plan, customer, remaining: left, units, spread, first },
+                );
             }
             3 => {
                 let inquiry = record.u32("ticket")?;
                 let _nth = (record.u16("go")?, record.u32("took-us")?);
-                gateway.begun(now, inquiry, record.host("host")?);
+                gateway.attempt_started(now, inquiry, record.host("host")?);
             }
             4 => {
                 let inquiry = record.u32("ticket")?;
@@ -171,15 +175,24 @@
                 let true_units = f64::from(record.u16("true-units")?);
                 let _used = record.u16("used")?;
                 let host = record.host("host")?;
-                let ended = Ended { inquiry, nth, over, outcome, took, true_units, host, load };
-                gateway.ended(now, out, ended);
+                let ended = AttemptResult {
+                    request: inquiry,
+                    attempt: nth,
+                    final_attempt: over,
+                    outcome,
+                    elapsed: took,
+                    true_units,
+                    host,
+                    load,
+                };
+                gateway.attempt_ended(now, out, ended);
             }
-            5 => gateway.left(now, out, record.u32("ticket")?),
-            6 => gateway.woken(now, out),
+            5 => gateway.client_disconnected(now, out, record.u32("ticket")?),
+            6 => gateway.timer_fired(now, out),
             7 => {
                 let host = record.host("host")?;
                 let well = record.u16("rc")? == 1;
-                gateway.probed(now, out, host, well, load);
+                gateway.probe_finished(now, out, host, well, load);
             }
             8 => {
                 // The module asks for no words from other gateways, so none are handed on.
@@ -189,12 +202,12 @@
             10 => {
                 let total = record.f32("now-at")?;
                 let answer = match record.u16("rc")? {
-                    1 => Counted::Total(f64::from(total)),
-                    3 | 5 => Counted::NotAdded,
-                    4 => Counted::MayBeAdded,
+                    1 => CounterReply::Total(f64::from(total)),
+                    3 | 5 => CounterReply::NotAdded,
+                    4 => CounterReply::Unknown,
                     n => return Err(format!("rc: {n} is unknown")),
                 };
-                gateway.counted(now, out, record.u64("entry-name")?, answer);
+                gateway.counter_replied(now, out, record.u64("entry-name")?, answer);
             }
             _ => {}
         }
--- a/crates/bench-adapter/src/wire.rs
+++ b/crates/bench-adapter/src/wire.rs
@@ -1,6 +1,6 @@
 //! Frames, records and tails of the wire, read and written with every length checked.
 
-use archlink_admission::interface::{HostId, HostLine, Standing};
+use archlink_admission::interface::{HostEntry, HostId, HostState};
 use std::io::Read;
 
 const RECORD: usize = 48;
@@ -54,20 +54,20 @@
     }
 }
 
-pub fn host_line(bytes: &[u8]) -> Result<HostLine, String> {
+pub fn host_line(bytes: &[u8]) -> Result<HostEntry, String> {
     let mut line = Slice { bytes };
     let host = line.host("host")?;
     let (zone, kind) = (line.u8("zone")?, line.u8("class-of-host")?);
     let cell = line.u16("stripe")?;
     let standing = match line.u8("availability")? {
-        0 => Standing::Gone,
-        1 => Standing::Ready,
-        2 => Standing::Draining,
+        0 => HostState::Removed,
+        1 => HostState::Ready,
+        2 => HostState::Draining,
         n => return Err(format!("availability: {n} is unknown")),
     };
     let size = line.number("nominal")?;
     let started = line.u64("online-since-us")? as f64 / 1e6;
-    Ok(HostLine { host, zone, kind, cell, standing, size, started })
+    Ok(HostEntry { host, zone, kind, cell, state: standing, size, started })
 }
 
 pub struct Frame {
--- a/crates/config/src/configuration.rs
+++ b/crates/config/src/configuration.rs
@@ -2,7 +2,7 @@
 //! the look-ups that a request needs. Owns the field names and what makes a configuration invalid. A configuration is
 //! taken whole or not at all. Must never change the text: read back, it is what was sent.
 
-use crate::words::{ChartError, refuse, seconds};
+use crate::error::{ConfigError, parse_seconds, refuse};
 use error_stack::Report;
 use schematic::{Config, ConfigLoader};
 use serde::Deserialize;
@@ -93,7 +93,7 @@
 
 /// One service of a route and its part of the requests.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Share {
+pub struct WeightedService {
     pub service: String,
     pub weight: f64,
 }
@@ -103,28 +103,28 @@
 pub struct Route {
     pub name: String,
     pub origin: String,
-    pub prefix: String,
+    pub path_prefix: String,
     /// May run more than once.
-    pub repeatable: bool,
+    pub idempotent: bool,
     pub timeout: f64,
-    pub goal: f64,
-    pub rank: u8,
-    pub shares: Vec<Share>,
+    pub latency_target: f64,
+    pub priority: u8,
+    pub distribution: Vec<WeightedService>,
     /// Hosts that one try may be sent to.
-    pub attempts: u32,
+    pub max_attempts: u32,
     pub public: bool,
     /// Regions in which it may be served; none named: all.
-    pub homes: Vec<String>,
+    pub home_regions: Vec<String>,
 }
 
 #[derive(Clone, Debug)]
 pub struct Service {
     pub name: String,
     pub health_path: String,
-    pub connections: usize,
-    pub cold_period: f64,
+    pub max_connections: usize,
+    pub warm_up_period: f64,
     /// Requests a second that a cold host bears; 0: no such bound.
-    pub cold_rate: f64,
+    pub warm_up_rate: f64,
 }
 
 /// `rate` 0 is no limit.
@@ -132,7 +132,7 @@
 pub struct Tenant {
     pub name: String,
     pub keys: Vec<String>,
-    pub rank: Option<u8>,
+    pub priority: Option<u8>,
     pub rate: f64,
     pub burst: f64,
     pub homes: Vec<String>,
@@ -140,14 +140,14 @@
 
 /// A whole checked configuration.
 #[derive(Clone, Debug)]
-pub struct Chart {
+pub struct Configuration {
     pub version: u64,
     pub routes: Vec<Route>,
     pub services: HashMap<String, Service>,
     pub tenants: Vec<Tenant>,
     /// Requests carry a key unless their route is public.
     pub keyed: bool,
-    pub most_body: usize,
+    pub max_body: usize,
     pub header_timeout: f64,
     pub idle_timeout: f64,
     /// Routes of a host name, the longest prefix first.
@@ -156,14 +156,14 @@
 }
 
 /// A version's number from its eight hexadecimal digits.
-pub fn version_of(text: &str) -> Result<u64, Report<ChartError>> {
+pub fn version_of(text: &str) -> Result<u64, Report<ConfigError>> {
     let hex = !text.is_empty() && text.len() <= 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
     let read = hex.then(|| u64::from_str_radix(text, 16).ok()).flatten();
     read.ok_or_else(|| refuse("ConfigVersion", text, "hexadecimal digits"))
 }
 
 /// Rows of a table as typed values; a null means that the field is left out.
-fn rows<T: DeserializeOwned>(key: &str, table: TableFile) -> Result<Vec<T>, Report<ChartError>> {
+fn rows<T: DeserializeOwned>(key: &str, table: TableFile) -> Result<Vec<T>, Report<ConfigError>> {
     let TableFile { column_names, records } = table;
     let mut read = Vec::with_capacity(records.len());
     for (n, record) in records.into_iter().enumerate() {
@@ -178,14 +178,14 @@
     Ok(read)
 }
 
-fn time(key: impl Fn(&str) -> String, name: &str, text: Option<String>) -> Result<f64, Report<ChartError>> {
+fn time(key: impl Fn(&str) -> String, name: &str, text: Option<String>) -> Result<f64, Report<ConfigError>> {
     let Some(text) = text else { return Ok(f64::INFINITY) };
-    seconds(&text).ok_or_else(|| refuse(key(name), &text, "a time such as 1500ms or 2.5s"))
+    parse_seconds(&text).ok_or_else(|| refuse(key(name), &text, "a time such as 1500ms or 2.5s"))
 }
 
-impl Chart {
+impl Configuration {
     /// Reads and checks a configuration as the operator sent it; `Err` names the key that is wrong.
-    pub fn read(text: &[u8]) -> Result<Chart, Report<ChartError>> {
+    pub fn read(text: &[u8]) -> Result<Configuration, Report<ConfigError>> {
         let text = std::str::from_utf8(text).map_err(|e| refuse("configuration", e, "UTF-8"))?;
         let mut loader = ConfigLoader::<File>::new();
         let loaded =
@@ -196,13 +196,13 @@
         // A table that is not there is no empty one: it would take all routes away.
         let there =
             |key: &str, table: Option<TableFile>| table.ok_or_else(|| refuse(key, "nothing", "a table"));
-        let mut chart = Chart {
+        let mut chart = Configuration {
             version: version_of(&config_version)?,
             routes: Vec::new(),
             services: HashMap::new(),
             tenants: Vec::new(),
             keyed: subscribers.is_some(),
-            most_body: 64 << 20,
+            max_body: 64 << 20,
             header_timeout: 3.0,
             idle_timeout: 15.0,
             by_origin: HashMap::new(),
@@ -210,7 +210,7 @@
         };
         if let Some(limits) = limits {
             let key = |name: &str| format!("Limits.{name}");
-            chart.most_body = limits.max_body_bytes.map_or(chart.most_body, |n| n as usize);
+            chart.max_body = limits.max_body_bytes.map_or(chart.max_body, |n| n as usize);
             chart.header_timeout = time(key, "HeaderTimeout", limits.header_timeout)?;
             chart.idle_timeout = time(key, "IdleTimeout", limits.idle_timeout)?;
         }
@@ -222,7 +222,7 @@
         Ok(chart)
     }
 
-    fn take_services(&mut self, rows: Vec<ServiceRow>) -> Result<(), Report<ChartError>> {
+    fn take_services(&mut self, rows: Vec<ServiceRow>) -> Result<(), Report<ConfigError>> {
         for row in rows {
             let key = |field: &str| format!("ServiceTable.{}.{field}", row.designation);
             let cold_rate = row.cold_rate_s.unwrap_or(0.0);
@@ -234,25 +234,26 @@
             let service = Service {
                 name: row.designation.clone(),
                 health_path: row.health_path.unwrap_or_else(|| "/health".into()),
-                connections: row.max_connections.map_or(usize::MAX, |n| n as usize),
-                cold_period,
-                cold_rate,
+                max_connections: row.max_connections.map_or(usize::MAX, |n| n as usize),
+                warm_up_period: cold_period,
+                warm_up_rate: cold_rate,
             };
             self.services.insert(row.designation, service);
         }
         Ok(())
     }
 
-    fn take_routes(&mut self, rows: Vec<RouteRow>) -> Result<(), Report<ChartError>> {
+    fn take_routes(&mut self, rows: Vec<RouteRow>) -> Result<(), Report<ConfigError>> {
         let mut places = HashSet::new();
         for row in rows {
             let name = row.designation;
             let key = |field: &str| format!("RouteTable.{name}.{field}");
-            let shares: Vec<Share> = match (row.service, row.distribution) {
-                (Some(service), None) => vec![Share { service, weight: 1.0 }],
-                (None, Some(shares)) => {
-                    shares.into_iter().map(|s| Share { service: s.service, weight: s.weight }).collect()
-                }
+            let shares: Vec<WeightedService> = match (row.service, row.distribution) {
+                (Some(service), None) => vec![WeightedService { service, weight: 1.0 }],
+                (None, Some(shares)) => shares
+                    .into_iter()
+                    .map(|s| WeightedService { service: s.service, weight: s.weight })
+                    .collect(),
                 _ => return Err(refuse(key("Service"), "both or neither", "Service or Distribution")),
             };
             for share in &shares {
@@ -284,27 +285,27 @@
             }
             let route = Route {
                 origin,
-                prefix: row.path_prefix,
-                repeatable: row.category == Category::Idempotent,
+                path_prefix: row.path_prefix,
+                idempotent: row.category == Category::Idempotent,
                 timeout,
-                goal: time(key, "Target", row.target)?,
-                rank: row.precedence.unwrap_or(u8::MAX),
-                shares,
-                attempts: attempts.min(16) as u32,
+                latency_target: time(key, "Target", row.target)?,
+                priority: row.precedence.unwrap_or(u8::MAX),
+                distribution: shares,
+                max_attempts: attempts.min(16) as u32,
                 public: row.public.unwrap_or(false),
-                homes: row.home_regions.unwrap_or_default(),
+                home_regions: row.home_regions.unwrap_or_default(),
                 name,
             };
             self.by_origin.entry(route.origin.clone()).or_default().push(self.routes.len());
             self.routes.push(route);
         }
         for at in self.by_origin.values_mut() {
-            at.sort_by_key(|&n| std::cmp::Reverse(self.routes[n].prefix.len()));
+            at.sort_by_key(|&n| std::cmp::Reverse(self.routes[n].path_prefix.len()));
         }
         Ok(())
     }
 
-    fn take_tenants(&mut self, rows: Vec<TenantRow>) -> Result<(), Report<ChartError>> {
+    fn take_tenants(&mut self, rows: Vec<TenantRow>) -> Result<(), Report<ConfigError>> {
         for row in rows {
             let key = |field: &str| format!("Subscribers.{}.{field}", row.designation);
             let keys = row.credentials.clone().unwrap_or_default();
@@ -322,7 +323,7 @@
                 return Err(refuse(key("RatePerS"), rate.min(burst), "0 or more"));
             }
             let homes = row.home_regions.unwrap_or_default();
-            let tenant = Tenant { name: row.designation, keys, rank: row.precedence, rate, burst, homes };
+            let tenant = Tenant { name: row.designation, keys, priority: row.precedence, rate, burst, homes };
             self.tenants.push(tenant);
         }
         Ok(())
@@ -334,7 +335,7 @@
             Some(at) => at,
             None => self.by_origin.get(&origin.to_ascii_lowercase())?,
         };
-        at.iter().copied().find(|&n| path.starts_with(&self.routes[n].prefix))
+        at.iter().copied().find(|&n| path.starts_with(&self.routes[n].path_prefix))
     }
 
     /// The tenant that holds a key.
@@ -358,7 +359,7 @@
 
     #[test]
     fn routes_go_by_the_longest_prefix_and_keys_to_their_tenant() {
-        let chart = Chart::read(WHOLE.as_bytes()).unwrap();
+        let chart = Configuration::read(WHOLE.as_bytes()).unwrap();
         assert_eq!(chart.version, 12);
         let name = |path| chart.route("H.example", path).map(|n| chart.routes[n].name.as_str());
         assert_eq!(
@@ -385,11 +386,11 @@
             ("RouteTable", "Routes", "RouteTable"),
         ] {
             let text = WHOLE.replacen(from, to, 1);
-            let refused = Chart::read(text.as_bytes()).unwrap_err();
+            let refused = Configuration::read(text.as_bytes()).unwrap_err();
             assert_eq!(refused.current_context().key, key);
         }
         for cut in (0..WHOLE.len()).step_by(7) {
-            assert!(Chart::read(&WHOLE.as_bytes()[..cut]).is_err(), "cut at {cut}");
+            assert!(Configuration::read(&WHOLE.as_bytes()[..cut]).is_err(), "cut at {cut}");
         }
     }
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -3,9 +3,9 @@
 #![forbid(unsafe_code)]
 
 mod configuration;
+mod error;
 mod settings;
-mod words;
 
-pub use configuration::{Chart, Route, Service, Share, Tenant, version_of};
-pub use settings::{Bounds, Settings};
-pub use words::{ChartError, seconds};
+pub use configuration::{Configuration, Route, Service, Tenant, WeightedService, version_of};
+pub use error::{ConfigError, parse_seconds};
+pub use settings::{Settings, TimingBounds};
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,7 +1,7 @@
 //! The settings file of a process, read whole and checked before anything of it is used. Owns its field names and the
 //! names of the bounds. Unknown fields are ignored, as the operators add to the file. Must never hold a tuned value.
 
-use crate::words::{ChartError, refuse, seconds};
+use crate::error::{ConfigError, parse_seconds, refuse};
 use error_stack::Report;
 use schematic::{Config, ConfigLoader};
 use std::collections::HashMap;
@@ -63,7 +63,7 @@
 
 /// The operators' figures that rules are judged by; times in seconds. A bound that the file leaves out is none.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Bounds {
+pub struct TimingBounds {
     pub ack: f64,
     pub catch_up: f64,
     pub drain: f64,
@@ -77,8 +77,8 @@
     pub quota_window: f64,
     pub quota_overrun: f64,
     pub quota_slack: f64,
-    pub cold_overrun: f64,
-    pub cold_slack: f64,
+    pub warm_up_overrun: f64,
+    pub warm_up_slack: f64,
     pub ttl_max: f64,
 }
 
@@ -91,34 +91,34 @@
     pub region: String,
     /// Region of each zone.
     pub zones: HashMap<String, String>,
-    pub front: Option<SocketAddr>,
-    pub ready: Option<SocketAddr>,
-    pub control: Option<SocketAddr>,
-    pub directory: Option<SocketAddr>,
+    pub client_address: Option<SocketAddr>,
+    pub readiness_address: Option<SocketAddr>,
+    pub operator_address: Option<SocketAddr>,
+    pub directory_address: Option<SocketAddr>,
     /// Port for what the system's own processes say to one another, alike on all machines.
-    pub port: u16,
+    pub internal_port: u16,
     pub seeds: Vec<SocketAddrV4>,
     pub first_start: bool,
     /// Machines with a disk that may be lost at once.
-    pub losses: u32,
-    pub memory: f64,
-    pub descriptors: u64,
-    pub data: Option<PathBuf>,
-    pub bounds: Bounds,
-    pub cloud: Option<SocketAddr>,
+    pub tolerated_losses: u32,
+    pub memory_bytes: f64,
+    pub max_descriptors: u64,
+    pub data_dir: Option<PathBuf>,
+    pub timing_bounds: TimingBounds,
+    pub platform: Option<SocketAddr>,
     /// Calls a second that the platform takes from all gateways together.
-    pub cloud_rate: f64,
+    pub platform_rate: f64,
     /// How far the platform's list runs behind.
-    pub cloud_lag: f64,
+    pub platform_lag: f64,
 }
 
-fn address(key: &str, text: Option<String>) -> Result<Option<SocketAddr>, Report<ChartError>> {
+fn address(key: &str, text: Option<String>) -> Result<Option<SocketAddr>, Report<ConfigError>> {
     text.map(|text| text.parse().map_err(|_| refuse(key, &text, "an IPv4 address and a port"))).transpose()
 }
 
 impl Settings {
     /// Reads the text of a settings file; `Err` names the key that is wrong.
-    pub fn read(text: &str) -> Result<Settings, Report<ChartError>> {
+    pub fn read(text: &str) -> Result<Settings, Report<ConfigError>> {
         let mut loader = ConfigLoader::<File>::new();
         let loaded = loader.code(text, "settings.json").and_then(|loader| loader.load()).map_err(|e| {
             refuse("settings", e.to_full_string().replace('\n', " "), "a whole settings object")
@@ -137,28 +137,28 @@
             return Err(refuse("Zone", &file.zone, "one of Zones"));
         }
         Ok(Settings {
-            bounds: bounds(&file.timing_bounds)?,
+            timing_bounds: bounds(&file.timing_bounds)?,
             name: file.node_name,
             ip,
             zone: file.zone,
             region: file.region,
             zones: file.zones,
-            front: address("Listen.Front", file.listen.front)?,
-            ready: address("Listen.Ready", file.listen.ready)?,
-            control: address("Listen.Control", file.listen.control)?,
-            directory: address("Listen.Directory", file.listen.directory)?,
-            port,
+            client_address: address("Listen.Front", file.listen.front)?,
+            readiness_address: address("Listen.Ready", file.listen.ready)?,
+            operator_address: address("Listen.Control", file.listen.control)?,
+            directory_address: address("Listen.Directory", file.listen.directory)?,
+            internal_port: port,
             seeds,
             first_start: file.first_start,
-            losses: file.tolerance.map_or(1, |tolerance| tolerance.machine_losses).min(8),
-            memory: file.limits.memory_mb.max(1.0) * 1e6,
-            descriptors: file.limits.file_descriptors,
-            data: file.data_dir.map(PathBuf::from),
-            cloud: address("Cloud.Address", file.cloud.address)?,
-            cloud_rate: file.cloud.rate_per_s,
-            cloud_lag: match file.cloud.lag {
+            tolerated_losses: file.tolerance.map_or(1, |tolerance| tolerance.machine_losses).min(8),
+            memory_bytes: file.limits.memory_mb.max(1.0) * 1e6,
+            max_descriptors: file.limits.file_descriptors,
+            data_dir: file.data_dir.map(PathBuf::from),
+            platform: address("Cloud.Address", file.cloud.address)?,
+            platform_rate: file.cloud.rate_per_s,
+            platform_lag: match file.cloud.lag {
                 Some(lag) => {
-                    seconds(&lag).ok_or_else(|| refuse("Cloud.Lag", &lag, "a time such as 800ms"))?
+                    parse_seconds(&lag).ok_or_else(|| refuse("Cloud.Lag", &lag, "a time such as 800ms"))?
                 }
                 None => 0.0,
             },
@@ -166,7 +166,7 @@
     }
 }
 
-fn bounds(texts: &[String]) -> Result<Bounds, Report<ChartError>> {
+fn bounds(texts: &[String]) -> Result<TimingBounds, Report<ConfigError>> {
     let mut named = HashMap::new();
     for text in texts {
         // In a file of lines they all stand on one line.
@@ -178,7 +178,9 @@
     }
     let time = |name: &str| match named.get(name) {
         None => Ok(f64::INFINITY),
-        Some(text) => seconds(text).ok_or_else(|| refuse(format!("TimingBounds.{name}"), text, "a time")),
+        Some(text) => {
+            parse_seconds(text).ok_or_else(|| refuse(format!("TimingBounds.{name}"), text, "a time"))
+        }
     };
     let figure = |name: &str, absent: f64| match named.get(name) {
         None => Ok(absent),
@@ -187,7 +189,7 @@
             read.ok_or_else(|| refuse(format!("TimingBounds.{name}"), text, "a number of 0 or more"))
         }
     };
-    Ok(Bounds {
+    Ok(TimingBounds {
         ack: time("Ack")?,
         catch_up: time("CatchUp")?,
         drain: time("Drain")?,
@@ -201,8 +203,8 @@
         quota_window: time("QuotaWindow")?,
         quota_overrun: figure("QuotaOverrun", 0.0)?,
         quota_slack: figure("QuotaSlack", 0.0)?,
-        cold_overrun: figure("ColdOverrun", 1.0)?,
-        cold_slack: figure("ColdSlack", 0.0)?,
+        warm_up_overrun: figure("ColdOverrun", 1.0)?,
+        warm_up_slack: figure("ColdSlack", 0.0)?,
         ttl_max: time("ttl_max")?,
     })
 }
@@ -220,8 +222,8 @@
     #[test]
     fn a_settings_file_is_read_whole_and_unknown_fields_are_ignored() {
         let read = Settings::read(WHOLE).unwrap();
-        assert_eq!((read.port, read.cloud_lag, read.bounds.ack), (7600, 0.8, 6.0));
-        assert_eq!((read.bounds.quota_overrun, read.bounds.drain), (0.1, f64::INFINITY));
+        assert_eq!((read.internal_port, read.platform_lag, read.timing_bounds.ack), (7600, 0.8, 6.0));
+        assert_eq!((read.timing_bounds.quota_overrun, read.timing_bounds.drain), (0.1, f64::INFINITY));
     }
 
     #[test]
--- a/crates/config/tests/configuration.rs
+++ b/crates/config/tests/configuration.rs
@@ -1,6 +1,6 @@
 //! A configuration as operators send it: every key that is read, where its value goes, and which key an error names.
 
-use archlink_config::{Chart, Route, Service, Share, Tenant};
+use archlink_config::{Configuration, Route, Service, Tenant, WeightedService};
 use serde_json::{Value, json};
 
 fn whole_text() -> Value {
@@ -31,43 +31,66 @@
 
 #[test]
 fn every_key_of_a_configuration_is_read_into_its_field() {
-    let chart = Chart::read(whole_text().to_string().as_bytes()).unwrap();
+    let chart = Configuration::read(whole_text().to_string().as_bytes()).unwrap();
     assert_eq!((chart.version, chart.keyed), (0x1f, true));
-    assert_eq!((chart.most_body, chart.header_timeout, chart.idle_timeout), (1000, 4.0, 20.5));
+    assert_eq!((chart.max_body, chart.header_timeout, chart.idle_timeout), (1000, 4.0, 20.5));
 
     let [read, write] = chart.routes.as_slice() else { panic!("{:?}", chart.routes) };
-    let Route { name, origin, prefix, repeatable, timeout, goal, rank, shares, attempts, public, homes } =
-        read;
+    let Route {
+        name,
+        origin,
+        path_prefix: prefix,
+        idempotent: repeatable,
+        timeout,
+        latency_target: goal,
+        priority: rank,
+        distribution: shares,
+        max_attempts: attempts,
+        public,
+        home_regions: homes,
+    } = read;
     assert_eq!((name.as_str(), origin.as_str(), prefix.as_str()), ("read", "reports.example", "/read/"));
     assert_eq!((*repeatable, *timeout, *goal, *rank), (true, 2.0, 0.5, 2));
-    let share = |service: &str, weight| Share { service: service.into(), weight };
+    let share = |service: &str, weight| WeightedService { service: service.into(), weight };
     assert_eq!(shares, &[share("old", 90.0), share("new", 10.5)]);
     assert_eq!((*attempts, *public), (3, true));
     assert_eq!(homes, &["coast", "inland"]);
-    assert_eq!((write.name.as_str(), write.prefix.as_str()), ("write", "/write/"));
-    assert_eq!((write.repeatable, write.timeout, write.goal), (false, f64::INFINITY, f64::INFINITY));
-    assert_eq!((write.rank, write.attempts, write.public, write.homes.len()), (255, 1, false, 0));
-    assert_eq!(write.shares, [share("old", 1.0)]);
+    assert_eq!((write.name.as_str(), write.path_prefix.as_str()), ("write", "/write/"));
+    assert_eq!(
+        (write.idempotent, write.timeout, write.latency_target),
+        (false, f64::INFINITY, f64::INFINITY)
+    );
+    assert_eq!(
+        (write.priority, write.max_attempts, write.public, write.home_regions.len()),
+        (255, 1, false, 0)
+    );
+    assert_eq!(write.distribution, [share("old", 1.0)]);
 
     assert_eq!(chart.services.len(), 2);
-    let Service { name, health_path, connections, cold_period, cold_rate } = &chart.services["old"];
+    let Service {
+        name,
+        health_path,
+        max_connections: connections,
+        warm_up_period: cold_period,
+        warm_up_rate: cold_rate,
+    } = &chart.services["old"];
     assert_eq!((name.as_str(), health_path.as_str(), *connections), ("old", "/alive", 110));
     assert_eq!((*cold_period, *cold_rate), (3.0, 7.5));
     let new = &chart.services["new"];
     assert_eq!(
-        (new.name.as_str(), new.health_path.as_str(), new.connections),
+        (new.name.as_str(), new.health_path.as_str(), new.max_connections),
         ("new", "/health", usize::MAX)
     );
-    assert_eq!((new.cold_period, new.cold_rate), (0.0, 0.0));
+    assert_eq!((new.warm_up_period, new.warm_up_rate), (0.0, 0.0));
 
     let [lab, guest] = chart.tenants.as_slice() else { panic!("{:?}", chart.tenants) };
-    let Tenant { name, keys, rank, rate, burst, homes } = lab;
+    let Tenant { name, keys, priority: rank, rate, burst, homes } = lab;
     assert_eq!((name.as_str(), *rank, *rate, *burst), ("lab", Some(4), 76.5, 80.0));
     assert_eq!(
         (keys.as_slice(), homes.as_slice()),
         (&["key-1".into(), "key-2".into()][..], &["coast".into()][..])
     );
-    assert_eq!((guest.name.as_str(), guest.rank, guest.rate, guest.burst), ("guest", None, 0.0, 0.0));
+    assert_eq!((guest.name.as_str(), guest.priority, guest.rate, guest.burst), ("guest", None, 0.0, 0.0));
     assert_eq!((guest.keys.len(), guest.homes.len()), (0, 0));
 }
 
@@ -77,8 +100,8 @@
     for key in ["Limits", "Subscribers"] {
         text.as_object_mut().unwrap().remove(key).unwrap();
     }
-    let chart = Chart::read(text.to_string().as_bytes()).unwrap();
-    assert_eq!((chart.keyed, chart.tenants.len(), chart.most_body), (false, 0, 64 << 20));
+    let chart = Configuration::read(text.to_string().as_bytes()).unwrap();
+    assert_eq!((chart.keyed, chart.tenants.len(), chart.max_body), (false, 0, 64 << 20));
     assert_eq!((chart.header_timeout, chart.idle_timeout), (3.0, 15.0));
 }
 
@@ -158,11 +181,11 @@
     ] {
         let mut text = whole_text();
         *text.pointer_mut(at).unwrap() = value;
-        let refused = Chart::read(text.to_string().as_bytes()).unwrap_err();
+        let refused = Configuration::read(text.to_string().as_bytes()).unwrap_err();
         let error = refused.current_context();
         assert_eq!((error.key.as_str(), error.found.as_str(), error.allowed), (key, found, allowed), "{at}");
     }
-    let refused = Chart::read(b"\xff").unwrap_err();
+    let refused = Configuration::read(b"\xff").unwrap_err();
     assert_eq!(
         (refused.current_context().key.as_str(), refused.current_context().allowed),
         ("configuration", "UTF-8")
@@ -177,7 +200,7 @@
         for column in 0..columns {
             let mut text = whole_text();
             text[table]["Records"][0][column] = json!({"Unexpected": 1});
-            let refused = Chart::read(text.to_string().as_bytes()).unwrap_err();
+            let refused = Configuration::read(text.to_string().as_bytes()).unwrap_err();
             let error = refused.current_context();
             let place = format!("{table}.Records.0");
             assert_eq!(
@@ -198,7 +221,7 @@
     ] {
         let mut text = whole_text();
         *text.pointer_mut(&format!("/{}", at.replace('.', "/"))).unwrap() = value;
-        let refused = Chart::read(text.to_string().as_bytes()).unwrap_err();
+        let refused = Configuration::read(text.to_string().as_bytes()).unwrap_err();
         let error = refused.current_context();
         assert_eq!((error.key.as_str(), error.allowed), ("configuration", "a whole configuration"));
         assert!(error.found.contains(&format!("{at}:")), "{at}: {error}");
@@ -217,7 +240,7 @@
             let mut text = whole_text();
             let names = text[table]["ColumnNames"].as_array_mut().unwrap();
             *names.iter_mut().find(|name| *name == column).unwrap() = json!("Other");
-            let refused = Chart::read(text.to_string().as_bytes()).unwrap_err();
+            let refused = Configuration::read(text.to_string().as_bytes()).unwrap_err();
             let error = refused.current_context();
             let expected = (format!("{table}.Records.0"), format!("missing field `{column}`"));
             assert_eq!((error.key.clone(), error.found.clone()), expected);
--- a/crates/config/tests/settings.rs
+++ b/crates/config/tests/settings.rs
@@ -1,6 +1,6 @@
 //! The settings file as operators write it: every key that is read, where its value goes, and which key an error names.
 
-use archlink_config::{Bounds, Settings};
+use archlink_config::{Settings, TimingBounds};
 use serde_json::{Value, json};
 use std::collections::HashMap;
 
@@ -28,21 +28,21 @@
         zone,
         region,
         zones,
-        front,
-        ready,
-        control,
-        directory,
-        port,
+        client_address: front,
+        readiness_address: ready,
+        operator_address: control,
+        directory_address: directory,
+        internal_port: port,
         seeds,
         first_start,
-        losses,
-        memory,
-        descriptors,
-        data,
-        bounds,
-        cloud,
-        cloud_rate,
-        cloud_lag,
+        tolerated_losses: losses,
+        memory_bytes: memory,
+        max_descriptors: descriptors,
+        data_dir: data,
+        timing_bounds: bounds,
+        platform: cloud,
+        platform_rate: cloud_rate,
+        platform_lag: cloud_lag,
     } = Settings::read(&whole_file().to_string()).unwrap();
     assert_eq!((name.as_str(), ip.to_string().as_str()), ("control-7", "10.0.0.7"));
     assert_eq!((zone.as_str(), region.as_str()), ("west", "coast"));
@@ -58,7 +58,7 @@
     assert!(first_start);
     assert_eq!((losses, memory, descriptors), (2, 260.5e6, 4100));
     assert_eq!(data, Some("/data/archlink".into()));
-    let expected = Bounds {
+    let expected = TimingBounds {
         ack: 6.0,
         catch_up: 30.0,
         drain: 4.0,
@@ -72,8 +72,8 @@
         quota_window: 7.0,
         quota_overrun: 0.1,
         quota_slack: 20.0,
-        cold_overrun: 1.5,
-        cold_slack: 5.5,
+        warm_up_overrun: 1.5,
+        warm_up_slack: 5.5,
         ttl_max: 8.0,
     };
     assert_eq!(bounds, expected);
@@ -90,10 +90,16 @@
     file["TimingBounds"] = json!([]);
     file["Cloud"] = json!({"RatePerS": 1.0});
     let read = Settings::read(&file.to_string()).unwrap();
-    assert_eq!((read.front, read.ready, read.control, read.directory), (None, None, None, None));
-    assert_eq!((read.losses, read.data, read.cloud, read.cloud_lag), (1, None, None, 0.0));
+    assert_eq!(
+        (read.client_address, read.readiness_address, read.operator_address, read.directory_address),
+        (None, None, None, None)
+    );
+    assert_eq!(
+        (read.tolerated_losses, read.data_dir, read.platform, read.platform_lag),
+        (1, None, None, 0.0)
+    );
     let none = f64::INFINITY;
-    let expected = Bounds {
+    let expected = TimingBounds {
         ack: none,
         catch_up: none,
         drain: none,
@@ -107,11 +113,11 @@
         quota_window: none,
         quota_overrun: 0.0,
         quota_slack: 0.0,
-        cold_overrun: 1.0,
-        cold_slack: 0.0,
+        warm_up_overrun: 1.0,
+        warm_up_slack: 0.0,
         ttl_max: none,
     };
-    assert_eq!(read.bounds, expected);
+    assert_eq!(read.timing_bounds, expected);
 }
 
 #[test]
--- a/crates/consensus/src/control/gossip.rs
+++ b/crates/consensus/src/control/gossip.rs
@@ -1,113 +1,129 @@
 //! What a control gateway tells others of itself and of what it holds: heartbeats, and the pieces that somebody lacks by a
 //! vector of versions. Must never give out as standing what was chosen under an earlier founding.
 
-use super::Control;
-use crate::Act;
-use crate::journal::Event;
-use archlink_messages::{Beat, Node, Piece, Register, Vector, Word};
+use super::ControlNodeState;
+use crate::Effect;
+use crate::event_log::Event;
+use archlink_messages::{Heartbeat, Message, NodeId, Register, StateUpdate, VersionVector};
 
-impl Control {
-    pub fn greeting(&self) -> Word {
-        Word::Greet { keeper: self.journal.roster.keeper.clone(), muster: self.muster.clone() }
+impl ControlNodeState {
+    pub fn peer_hello(&self) -> Message {
+        Message::PeerHello {
+            control_node: self.event_log.registry.own.clone(),
+            voter_set: self.muster.clone(),
+        }
     }
 
-    pub fn vector(&self, now: f64) -> Vector {
-        let stamp = |register| self.standing(register).map_or(0, |held| held.order());
-        Vector {
-            chart: stamp(Register::Chart),
+    pub fn versions(&self, now: f64) -> VersionVector {
+        let stamp = |register| self.current_value(register).map_or(0, |held| held.ordering_key());
+        VersionVector {
+            configuration: stamp(Register::Configuration),
             evacuations: stamp(Register::Evacuations),
-            hosts: (self.journal.hosts.term, self.journal.hosts.version),
-            keepers: self.journal.roster.keepers_stamp(now),
-            pilots: if self.knows_pilots(now) { self.journal.roster.counted_stamp() } else { 0 },
-            sessions: self.journal.roster.vector(now),
+            hosts: (self.event_log.host_list.term, self.event_log.host_list.version),
+            control_nodes: self.event_log.registry.control_node_fingerprint(now),
+            data_nodes: if self.knows_data_nodes(now) {
+                self.event_log.registry.data_node_fingerprint()
+            } else {
+                0
+            },
+            sessions: self.event_log.registry.session_versions(now),
         }
     }
 
     /// A sign of life; `serial` is the hail that it answers.
-    pub fn beat(&self, now: f64, serial: u64) -> Word {
-        Word::Beat(Beat {
+    pub fn heartbeat(&self, now: f64, serial: u64) -> Message {
+        Message::Heartbeat(Heartbeat {
             serial,
-            clock: self.clock(now),
-            confirmed: self.confirmed().map(|at| now - at),
-            vector: self.vector(now),
-            posts: self.duties.posts(now),
-            muster: self.muster.clone(),
-            whole: self.voter.whole(),
-            missing: self.membership.missing(now),
+            cluster_clock: self.cluster_clock(now),
+            confirmed_age: self.confirmed().map(|at| now - at),
+            versions: self.versions(now),
+            leases: self.leases.holders(now),
+            voter_set: self.muster.clone(),
+            recovered: self.acceptor.is_recovered(),
+            suspected: self.membership.suspected(now),
         })
     }
 
     /// What somebody with that vector lacks of what is held here.
-    pub fn lacking(&self, now: f64, theirs: &Vector, sessions: bool) -> Vec<Piece> {
+    pub fn updates_for(&self, now: f64, theirs: &VersionVector, sessions: bool) -> Vec<StateUpdate> {
         let mut pieces = Vec::new();
         for (register, stamp) in
-            [(Register::Chart, theirs.chart), (Register::Evacuations, theirs.evacuations)]
+            [(Register::Configuration, theirs.configuration), (Register::Evacuations, theirs.evacuations)]
         {
             pieces.extend(
-                self.standing(register)
-                    .filter(|h| h.order() > stamp)
-                    .map(|h| Piece::Chosen(register, h.clone())),
+                self.current_value(register)
+                    .filter(|h| h.ordering_key() > stamp)
+                    .map(|h| StateUpdate::Chosen(register, h.clone())),
             );
         }
-        if (self.journal.hosts.term, self.journal.hosts.version) > theirs.hosts {
-            pieces.push(Piece::Hosts(self.journal.hosts.clone()));
+        if (self.event_log.host_list.term, self.event_log.host_list.version) > theirs.hosts {
+            pieces.push(StateUpdate::HostList(self.event_log.host_list.clone()));
         }
-        if self.journal.roster.keepers_stamp(now) != theirs.keepers {
-            pieces.push(Piece::Keepers(self.journal.roster.named_keepers(now)));
+        if self.event_log.registry.control_node_fingerprint(now) != theirs.control_nodes {
+            pieces.push(StateUpdate::ControlNodes(self.event_log.registry.advertised_control_nodes(now)));
         }
         // Data gateways hear who else there is, control gateways of sessions.
-        if !sessions && self.knows_pilots(now) && self.journal.roster.counted_stamp() != theirs.pilots {
-            pieces.push(Piece::Pilots(self.journal.roster.counted()));
+        if !sessions
+            && self.knows_data_nodes(now)
+            && self.event_log.registry.data_node_fingerprint() != theirs.data_nodes
+        {
+            pieces.push(StateUpdate::DataNodes(self.event_log.registry.possibly_active()));
         }
-        let own = self.journal.roster.sessions();
-        if sessions && !theirs.sessions.contains(&(own.source, own.boot, own.version)) {
-            pieces.push(Piece::Sessions(own));
+        let own = self.event_log.registry.sessions();
+        if sessions && !theirs.sessions.contains(&(own.source, own.incarnation, own.version)) {
+            pieces.push(StateUpdate::Sessions(own));
         }
         if sessions {
-            pieces.extend(self.journal.roster.relayed(now, &theirs.sessions).map(Piece::Sessions));
+            pieces.extend(self.event_log.registry.relayed(now, &theirs.sessions).map(StateUpdate::Sessions));
         }
         pieces
     }
 
     /// Does that vector, of `from`, name anything that is not held here?
-    pub(super) fn lacks(&self, now: f64, from: Node, theirs: &Vector) -> bool {
-        let mine = self.vector(now);
+    pub(super) fn is_behind(&self, now: f64, from: NodeId, theirs: &VersionVector) -> bool {
+        let mine = self.versions(now);
         let theirs_own = theirs.sessions.iter().find(|(node, _, _)| *node == from);
-        theirs.chart > mine.chart
+        theirs.configuration > mine.configuration
             || theirs.evacuations > mine.evacuations
             || theirs.hosts > mine.hosts
-            || theirs.keepers != mine.keepers
+            || theirs.control_nodes != mine.control_nodes
             || theirs_own.is_some_and(|own| !mine.sessions.contains(own))
-            || self.journal.roster.lacks(now, &theirs.sessions)
+            || self.event_log.registry.is_behind(now, &theirs.sessions)
     }
 
-    pub fn take(&mut self, now: f64, pieces: Vec<Piece>) -> Vec<Act> {
+    pub fn apply_updates(&mut self, now: f64, pieces: Vec<StateUpdate>) -> Vec<Effect> {
         let mut acts = Vec::new();
         for piece in pieces {
             match piece {
-                Piece::Chosen(register, held) => acts.extend(self.helm.learn(register, &held)),
-                Piece::Hosts(hosts) => drop(self.journal.append(now, Event::Listed(hosts))),
-                Piece::Keepers(keepers) => {
+                StateUpdate::Chosen(register, held) => acts.extend(self.proposer.learn(register, &held)),
+                StateUpdate::HostList(hosts) => {
+                    self.event_log.append(now, Event::HostListChanged(hosts));
+                }
+                StateUpdate::ControlNodes(keepers) => {
                     for keeper in keepers {
-                        self.journal.append(now, Event::Met(keeper));
+                        self.event_log.append(now, Event::ControlNodeDiscovered(keeper));
                     }
                 }
-                Piece::Sessions(sessions) => drop(self.journal.append(now, Event::Told(sessions))),
+                StateUpdate::Sessions(sessions) => {
+                    self.event_log.append(now, Event::PeerSessions(sessions));
+                }
                 // For data gateways alone.
-                Piece::Chart { .. } | Piece::HostsPatch { .. } | Piece::Pilots(_) => {}
+                StateUpdate::ConfigurationPatch { .. }
+                | StateUpdate::HostListPatch { .. }
+                | StateUpdate::DataNodes(_) => {}
             }
         }
         acts
     }
 
-    pub(super) fn others(&self) -> impl Iterator<Item = Node> {
-        self.journal.roster.keepers().into_iter().map(|k| k.node).filter(|&node| node != self.me)
+    pub(super) fn peers(&self) -> impl Iterator<Item = NodeId> {
+        self.event_log.registry.control_nodes().into_iter().map(|k| k.node).filter(|&node| node != self.id)
     }
 
     /// Signs of life to all other control gateways at once, as something is new here.
-    pub fn beat_all(&mut self, now: f64) -> Vec<Act> {
-        self.beat_at = now;
-        let beat = self.beat(now, 0);
-        self.others().map(|node| Act::Send(node, beat.clone())).collect()
+    pub fn broadcast_heartbeat(&mut self, now: f64) -> Vec<Effect> {
+        self.last_heartbeat_at = now;
+        let beat = self.heartbeat(now, 0);
+        self.peers().map(|node| Effect::Send(node, beat.clone())).collect()
     }
 }
--- a/crates/consensus/src/journal.rs
+++ b/crates/consensus/src/event_log.rs
@@ -2,8 +2,8 @@
 //! and the order in which views see them; a view changes in no other way. Must never grow without bound: what brought
 //! nothing new is folded and not kept, and of the rest the last ones are.
 
-use crate::roster::Roster;
-use archlink_messages::{Hosts, Keeper, Node, Pilot, Sessions};
+use crate::registry::Registry;
+use archlink_messages::{ControlNode, DataNode, HostList, NodeId, SessionTable};
 use std::collections::VecDeque;
 
 /// Events kept, for operators to look at.
@@ -12,63 +12,65 @@
 #[derive(Clone, Debug)]
 pub enum Event {
     /// Another control gateway said who it is.
-    Met(Keeper),
+    ControlNodeDiscovered(ControlNode),
     /// A sign of life of a data gateway in session here.
-    Hailed(Pilot),
+    SessionRenewed(DataNode),
     /// The connection of a data gateway's session ended.
-    Lost(Node),
+    SessionClosed(NodeId),
     /// Another control gateway told of its sessions.
-    Told(Sessions),
+    PeerSessions(SessionTable),
     /// A sign of life of another control gateway, and whose sessions it hears of.
-    Heard(Node, Vec<Node>),
+    PeerHeartbeat(NodeId, Vec<NodeId>),
     /// A list of hosts.
-    Listed(Hosts),
+    HostListChanged(HostList),
     /// Time passed: what went without a sign of life for long is over. `contact`: is a majority of the voters heard?
-    Passed { contact: bool },
+    TimePassed { contact: bool },
 }
 
 impl Event {
     /// One line for people.
-    pub fn line(&self) -> String {
-        let address = |node: &Node| std::net::Ipv4Addr::from(*node);
+    pub fn describe(&self) -> String {
+        let address = |node: &NodeId| std::net::Ipv4Addr::from(*node);
         match self {
-            Event::Met(keeper) => format!("control gateway {} in {}", keeper.control, keeper.zone),
-            Event::Hailed(pilot) => {
-                format!("data gateway {} in {}, ready {}", pilot.front, pilot.zone, pilot.ready)
+            Event::ControlNodeDiscovered(keeper) => {
+                format!("control gateway {} in {}", keeper.operator_address, keeper.zone)
             }
-            Event::Lost(node) => format!("session of {} ended", address(node)),
-            Event::Told(s) => format!("{} has {} sessions", address(&s.source), s.pilots.len()),
-            Event::Heard(node, _) => format!("{} lives", address(node)),
-            Event::Listed(hosts) => {
-                format!("list {}.{} of {} hosts", hosts.term, hosts.version, hosts.lines.len())
+            Event::SessionRenewed(pilot) => {
+                format!("data gateway {} in {}, ready {}", pilot.client_address, pilot.zone, pilot.ready)
             }
-            Event::Passed { .. } => "a session fell silent".to_string(),
+            Event::SessionClosed(node) => format!("session of {} ended", address(node)),
+            Event::PeerSessions(s) => format!("{} has {} sessions", address(&s.source), s.data_nodes.len()),
+            Event::PeerHeartbeat(node, _) => format!("{} lives", address(node)),
+            Event::HostListChanged(hosts) => {
+                format!("list {}.{} of {} hosts", hosts.term, hosts.version, hosts.instances.len())
+            }
+            Event::TimePassed { .. } => "a session fell silent".to_string(),
         }
     }
 }
 
-pub struct Journal {
+pub struct EventLog {
     events: VecDeque<(f64, Event)>,
-    pub roster: Roster,
-    pub hosts: Hosts,
+    pub registry: Registry,
+    pub host_list: HostList,
 }
 
-impl Journal {
-    pub fn new(roster: Roster) -> Journal {
-        Journal { events: VecDeque::new(), roster, hosts: Hosts::default() }
+impl EventLog {
+    pub fn new(registry: Registry) -> EventLog {
+        EventLog { events: VecDeque::new(), registry, host_list: HostList::default() }
     }
 
     /// Folds an event into the views; true where it brought something new.
     pub fn append(&mut self, now: f64, event: Event) -> bool {
         let news = match &event {
-            Event::Listed(hosts) => {
-                let newer = (hosts.term, hosts.version) > (self.hosts.term, self.hosts.version);
+            Event::HostListChanged(hosts) => {
+                let newer = (hosts.term, hosts.version) > (self.host_list.term, self.host_list.version);
                 if newer {
-                    self.hosts = hosts.clone();
+                    self.host_list = hosts.clone();
                 }
                 newer
             }
-            other => self.roster.fold(now, other),
+            other => self.registry.fold(now, other),
         };
         if news {
             self.events.push_back((now, event));
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -3,30 +3,30 @@
 //! each other. `control.rs` shows the whole life of one control gateway.
 #![forbid(unsafe_code)]
 
+pub mod acceptor;
 pub mod control;
-pub mod duties;
-pub mod helm;
-pub mod journal;
+pub mod event_log;
+pub mod failure_detector;
+pub mod leases;
 pub mod membership;
-pub mod news;
-pub mod pace;
-pub mod presence;
-pub mod roster;
-mod texts;
-pub mod voter;
+mod patch_cache;
+pub mod proposer;
+pub mod registry;
+pub mod repair_timing;
+pub mod update_delivery;
 
-use archlink_messages::{Mark, Muster, Node, Post, Register, Slot, Word};
+use archlink_messages::{AcceptorState, LeaseGrant, Message, NodeId, Register, VersionDigest, VoterSet};
 
 /// What a core wants done.
 #[derive(Clone, Debug)]
-pub enum Act {
-    Send(Node, Word),
+pub enum Effect {
+    Send(NodeId, Message),
     /// Bring this to disk, synced, in the order of the acts; only then send the words.
-    Store(Record, Vec<(Node, Word)>),
+    Store(DurableRecord, Vec<(NodeId, Message)>),
     /// A register's chosen value is newer than before.
     Learned(Register),
     /// What became of the operator's order with this token.
-    Done(u64, Outcome),
+    ProposalResolved(u64, Outcome),
 }
 
 /// What became of an order.
@@ -35,47 +35,47 @@
     /// It holds: a majority of disks has it, or what makes it alter nothing.
     Chosen,
     /// It may or may not come to be: the same order sent again tells.
-    Unclear,
+    Unknown,
     /// Another text stands under its number, and this is the one; nothing was altered.
-    Stands(Mark),
+    VersionConflict(VersionDigest),
     /// It was not begun, and never will be.
-    Refused(Refusal),
+    Rejected(MembershipError),
 }
 
 /// Why an order about who votes is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum MembershipError {
     /// Who votes isn't known here yet.
     Unknown,
     /// Another change is under way.
-    UnderWay,
+    ChangeInProgress,
     /// The one that is to go has no seat.
-    NoSeat,
+    NotAVoter,
     /// The one that is to come has a seat already.
-    Seated,
+    AlreadyAVoter,
     /// The one that is to come isn't heard of.
-    Absent,
+    Unreachable,
     /// Too many voters are not there, or not whole.
-    NotWhole,
+    NotRecovered,
     /// The epoch that the order names is not the one that stands.
-    Epoch,
+    WrongEpoch,
 }
 
 /// An operator's order about who votes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Reseat {
+pub enum MembershipChange {
     /// `new` takes the seat of `old`, by agreement.
-    Replace { old: Node, new: Node },
+    Replace { old: NodeId, new: NodeId },
     /// This gateway founds anew with those seats, as a majority of the set of `epoch` is gone for good.
-    Refound { epoch: u64, seats: Vec<Node> },
+    ForceNewGeneration { epoch: u64, voters: Vec<NodeId> },
 }
 
 /// What a voter has changed of what it keeps.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Record {
-    pub slots: Vec<(Register, Slot)>,
+pub struct DurableRecord {
+    pub acceptors: Vec<(Register, AcceptorState)>,
     /// Duties granted in a new term.
-    pub posts: Vec<Post>,
+    pub grants: Vec<LeaseGrant>,
     /// Who votes, where that changed.
-    pub muster: Option<Muster>,
+    pub voter_set: Option<VoterSet>,
 }
