--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -6,19 +6,19 @@
 
 mod plan;
 
-use crate::duties::SPAN;
-use crate::helm::Change;
-use crate::pace::Pace;
-use crate::presence::{MOST_HEARD, Presence};
-use crate::{Act, Outcome, Refusal};
-use archlink_messages::{Ballot, Keeper, Muster, Node, REGISTERS, Register};
+use crate::failure_detector::{FailureDetector, MAX_PEERS};
+use crate::leases::LEASE_DURATION;
+use crate::proposer::Change;
+use crate::repair_timing::RepairTiming;
+use crate::{Effect, MembershipError, Outcome};
+use archlink_messages::{ControlNode, NodeId, ProposalNumber, REGISTERS, Register, VoterSet};
 use std::collections::BTreeMap;
 
 /// Orders of the membership itself are told of under tokens from here on; callers' tokens are below.
-pub const OWN_TOKENS: u64 = 1 << 63;
+pub const FIRST_INTERNAL_TOKEN: u64 = 1 << 63;
 /// A joint epoch lasts so long from when the first register was settled in it: enough of those that granted duties before are
 /// in it then and grant nothing in the old epoch, and clocks may run apart by a quarter until the last such grant is over.
-const GRANTS_END: f64 = 1.25 * SPAN;
+const GRANTS_END: f64 = 1.25 * LEASE_DURATION;
 /// A newcomer that has not taken all registers by then is left out, and the old set stands, also where nobody else could take
 /// the seat. A large configuration over a narrow link onto a slow disk takes half of it.
 const TAKES_IN: f64 = 10.0;
@@ -39,85 +39,85 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Attempt {
     /// The value of a register as it stands, in this epoch.
-    Settle(Register),
+    Commit(Register),
     /// The next epoch.
-    Next,
+    NextVoterSet,
 }
 
 #[derive(Clone, Debug)]
-struct Order {
+struct ReplaceRequest {
     token: u64,
     until: f64,
-    seats: Vec<Node>,
+    seats: Vec<NodeId>,
 }
 
 /// How the last change ended, as this gateway saw it.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Ended {
+pub enum ChangeResult {
     /// The set that was to come stands.
-    Came,
+    Committed,
     /// The set from before stands: who was to come did not take all registers in time.
-    TakenBack,
+    RolledBack,
 }
 
 /// What the membership is decided by besides what it owns.
-pub struct View<'a> {
-    pub keepers: &'a [Keeper],
+pub struct MembershipContext<'a> {
+    pub control_nodes: &'a [ControlNode],
     /// When the question was asked to which enough answered who votes.
     pub confirmed: Option<f64>,
     /// The same of all registers.
-    pub all: Option<f64>,
+    pub all_confirmed: Option<f64>,
     /// Chosen under a founding before this one.
     pub stale: Vec<Register>,
     /// Is this gateway's voter whole?
-    pub whole: bool,
+    pub recovered: bool,
     /// Somebody held a duty once, as far as is known.
-    pub duties: bool,
+    pub leases_known: bool,
 }
 
 pub struct Membership {
-    me: Node,
+    id: NodeId,
     needed: usize,
-    muster: Muster,
+    voter_set: VoterSet,
     began: f64,
     /// When this epoch began here.
-    stood: f64,
-    pub presence: Presence,
-    pace: Pace,
+    epoch_started: f64,
+    pub failure_detector: FailureDetector,
+    timing: RepairTiming,
     attempts: BTreeMap<u64, Attempt>,
     tokens: u64,
     /// Under which ballot each register was first settled in this epoch, by this gateway, and when the first one was.
-    settled: BTreeMap<Register, Ballot>,
-    settled_at: f64,
+    committed: BTreeMap<Register, ProposalNumber>,
+    first_commit_at: f64,
     again_at: f64,
     /// What newcomers said in this epoch that their disks hold.
-    holds: BTreeMap<(Node, Register), Ballot>,
+    holds: BTreeMap<(NodeId, Register), ProposalNumber>,
     /// Since when there is something to begin.
     due: Option<f64>,
-    order: Option<Order>,
+    order: Option<ReplaceRequest>,
     /// Named at a founding anew, not taken in yet.
-    named: Vec<Node>,
+    named: Vec<NodeId>,
     named_at: f64,
     founding: Option<(u64, f64)>,
-    last: Option<(f64, Ended)>,
+    last: Option<(f64, ChangeResult)>,
     /// Newcomers that did not take all registers in time, and when: others are tried first.
-    failed: BTreeMap<Node, f64>,
+    failed: BTreeMap<NodeId, f64>,
 }
 
 impl Membership {
-    pub fn new(now: f64, me: Node, needed: usize, pace: Pace) -> Membership {
+    pub fn new(now: f64, id: NodeId, needed: usize, timing: RepairTiming) -> Membership {
         Membership {
-            me,
+            id,
             needed,
-            muster: Muster::default(),
+            voter_set: VoterSet::default(),
             began: now,
-            stood: now,
-            presence: Presence::new(now, me, pace),
-            pace,
+            epoch_started: now,
+            failure_detector: FailureDetector::new(now, id, timing),
+            timing,
             attempts: BTreeMap::new(),
-            tokens: OWN_TOKENS,
-            settled: BTreeMap::new(),
-            settled_at: now,
+            tokens: FIRST_INTERNAL_TOKEN,
+            committed: BTreeMap::new(),
+            first_commit_at: now,
             again_at: now,
             holds: BTreeMap::new(),
             due: None,
@@ -132,128 +132,133 @@
 
     /// May orders be taken and duties be held? At a first start with fewer seeds than are needed only once the set has been
     /// changed: nothing is ever chosen by those few. Told by epochs alone, so that all are of one mind, after any restart too.
-    pub fn founded(&self) -> bool {
-        self.muster.epoch > 2 || self.needed <= self.muster.seats.len()
+    pub fn is_established(&self) -> bool {
+        self.voter_set.epoch > 2 || self.needed <= self.voter_set.voters.len()
     }
 
     /// Another epoch begins here: what was seen in the one before counts for nothing.
-    pub fn stand(&mut self, now: f64, muster: &Muster) -> Vec<Act> {
-        let before = std::mem::replace(&mut self.muster, muster.clone());
-        self.stood = now;
+    pub fn epoch_adopted(&mut self, now: f64, muster: &VoterSet) -> Vec<Effect> {
+        let before = std::mem::replace(&mut self.voter_set, muster.clone());
+        self.epoch_started = now;
         self.attempts.clear();
-        self.settled.clear();
-        self.settled_at = now;
+        self.committed.clear();
+        self.first_commit_at = now;
         self.again_at = now;
         self.holds.clear();
         self.due = None;
-        if before.changing() && !muster.changing() {
-            let ended = if before.coming == muster.seats { Ended::Came } else { Ended::TakenBack };
-            if ended == Ended::TakenBack {
-                let newcomers = before.coming.iter().filter(|node| !before.seats.contains(node));
+        if before.is_joint() && !muster.is_joint() {
+            let ended = if before.incoming == muster.voters {
+                ChangeResult::Committed
+            } else {
+                ChangeResult::RolledBack
+            };
+            if ended == ChangeResult::RolledBack {
+                let newcomers = before.incoming.iter().filter(|node| !before.voters.contains(node));
                 self.failed.extend(newcomers.map(|node| (*node, now)));
             }
             self.last = Some((now, ended));
         }
-        self.named.retain(|node| !muster.votes(*node));
+        self.named.retain(|node| !muster.contains(*node));
         let Some(order) = &self.order else { return Vec::new() };
-        let outcome = match order.seats == muster.seats {
-            true if !muster.changing() => Outcome::Chosen,
-            _ if order.seats == muster.coming => return Vec::new(),
+        let outcome = match order.seats == muster.voters {
+            true if !muster.is_joint() => Outcome::Chosen,
+            _ if order.seats == muster.incoming => return Vec::new(),
             // Another change came first, or this one was taken back.
-            _ if muster.changing() => Outcome::Refused(Refusal::UnderWay),
-            _ => Outcome::Unclear,
+            _ if muster.is_joint() => Outcome::Rejected(MembershipError::ChangeInProgress),
+            _ => Outcome::Unknown,
         };
-        self.order.take().map(|order| Act::Done(order.token, outcome)).into_iter().collect()
+        self.order.take().map(|order| Effect::ProposalResolved(order.token, outcome)).into_iter().collect()
     }
 
     /// A voter said in this epoch that its disk holds a register under that ballot.
-    pub fn holds(&mut self, from: Node, register: Register, ballot: Ballot) {
-        if self.muster.coming.contains(&from) {
+    pub fn record_accepted(&mut self, from: NodeId, register: Register, ballot: ProposalNumber) {
+        if self.voter_set.incoming.contains(&from) {
             let held = self.holds.entry((from, register)).or_default();
             *held = ballot.max(*held);
         }
     }
 
-    pub fn last(&self) -> Option<&(f64, Ended)> {
+    pub fn last_change(&self) -> Option<&(f64, ChangeResult)> {
         self.last.as_ref()
     }
 
     /// Voters that are to be replaced, as far as this gateway can tell.
-    pub fn missing(&self, now: f64) -> Vec<Node> {
-        self.presence.missing(now, &self.muster)
+    pub fn suspected(&self, now: f64) -> Vec<NodeId> {
+        self.failure_detector.suspected(now, &self.voter_set)
     }
 
     /// This gateway is told to end: its seat goes to another one, and it takes none.
     pub fn leave(&mut self) {
-        self.presence.leave();
+        self.failure_detector.leave();
     }
 
     /// May this gateway end, as far as its seat goes? Either nobody could take it and all other voters are sound, or it is gone
     /// and all others that are there know: one that alone could tell of the new set must not end with that.
-    pub fn may_end(&self, now: f64) -> bool {
-        if self.muster.votes(self.me) {
-            let sound = |node: &Node| *node == self.me || self.presence.sound(now, *node);
-            let nobody = self.presence.spares(now, &self.muster).is_empty();
-            return nobody && !self.muster.changing() && self.muster.seats.iter().all(sound);
+    pub fn may_shut_down(&self, now: f64) -> bool {
+        if self.voter_set.contains(self.id) {
+            let sound = |node: &NodeId| *node == self.id || self.failure_detector.is_healthy(now, *node);
+            let nobody = self.failure_detector.spare_nodes(now, &self.voter_set).is_empty();
+            return nobody && !self.voter_set.is_joint() && self.voter_set.voters.iter().all(sound);
         }
-        let here = self.muster.seats.iter().filter(|node| self.presence.here(now, **node));
-        here.into_iter().all(|node| self.presence.stands(*node, self.muster.epoch))
+        let here =
+            self.voter_set.voters.iter().filter(|node| self.failure_detector.is_reachable(now, **node));
+        here.into_iter().all(|node| self.failure_detector.has_reached_epoch(*node, self.voter_set.epoch))
     }
 
     /// An operator's order that `new` take the seat of `old`; what it ends with at once, if it does.
-    pub fn replace(&mut self, now: f64, token: u64, old: Node, new: Node) -> Option<Outcome> {
-        let refused = |refusal| Some(Outcome::Refused(refusal));
-        let seats = &self.muster.seats;
-        let mut next: Vec<Node> = seats.iter().filter(|node| **node != old).copied().collect();
+    pub fn replace(&mut self, now: f64, token: u64, old: NodeId, new: NodeId) -> Option<Outcome> {
+        let refused = |refusal| Some(Outcome::Rejected(refusal));
+        let seats = &self.voter_set.voters;
+        let mut next: Vec<NodeId> = seats.iter().filter(|node| **node != old).copied().collect();
         next.push(new);
         next.sort_unstable();
-        if !self.muster.known() {
-            return refused(Refusal::Unknown);
+        if !self.voter_set.is_known() {
+            return refused(MembershipError::Unknown);
         }
-        let same = self.muster.changing() && self.muster.coming == next;
-        if self.order.is_some() || (self.muster.changing() && !same) || !self.founded() {
-            return refused(Refusal::UnderWay);
+        let same = self.voter_set.is_joint() && self.voter_set.incoming == next;
+        if self.order.is_some() || (self.voter_set.is_joint() && !same) || !self.is_established() {
+            return refused(MembershipError::ChangeInProgress);
         }
         match (seats.contains(&old), seats.contains(&new)) {
             // Sent again.
-            (false, true) if !self.muster.changing() => return Some(Outcome::Chosen),
-            (_, true) => return refused(Refusal::Seated),
-            (false, _) => return refused(Refusal::NoSeat),
+            (false, true) if !self.voter_set.is_joint() => return Some(Outcome::Chosen),
+            (_, true) => return refused(MembershipError::AlreadyAVoter),
+            (false, _) => return refused(MembershipError::NotAVoter),
             _ => {}
         }
-        if !self.presence.here(now, new) {
-            return refused(Refusal::Absent);
+        if !self.failure_detector.is_reachable(now, new) {
+            return refused(MembershipError::Unreachable);
         }
         if !self.can_change(now, &next) {
-            return refused(Refusal::NotWhole);
+            return refused(MembershipError::NotRecovered);
         }
-        self.order = Some(Order { token, until: now + ORDER_WAITS, seats: next });
+        self.order = Some(ReplaceRequest { token, until: now + ORDER_WAITS, seats: next });
         None
     }
 
     /// Those that a person named when founding anew, this gateway among them.
     /// The order ends once all registers stand under the new founding, which is after this gateway's disk has it.
-    pub fn found(&mut self, now: f64, token: u64, seats: Vec<Node>) {
+    pub fn generation_forced(&mut self, now: f64, token: u64, seats: Vec<NodeId>) {
         self.founding = Some((token, now + ORDER_WAITS));
         self.named = seats;
-        self.named.retain(|node| !self.muster.votes(*node));
-        self.named.truncate(MOST_HEARD);
+        self.named.retain(|node| !self.voter_set.contains(*node));
+        self.named.truncate(MAX_PEERS);
         self.named_at = now;
     }
 
     /// How an own order of the membership ended; `chosen` tells under which ballot a register is known to be chosen now.
-    pub fn done(
+    pub fn proposal_resolved(
         &mut self,
         now: f64,
         token: u64,
         outcome: Outcome,
-        chosen: impl Fn(Register) -> Option<Ballot>,
+        chosen: impl Fn(Register) -> Option<ProposalNumber>,
     ) {
-        let Some(Attempt::Settle(register)) = self.attempts.remove(&token) else { return };
-        if outcome == Outcome::Chosen && !self.settled.contains_key(&register) {
+        let Some(Attempt::Commit(register)) = self.attempts.remove(&token) else { return };
+        if outcome == Outcome::Chosen && !self.committed.contains_key(&register) {
             // The first one shows already that enough of the old set grant nothing in their old epoch any more.
-            self.settled_at = if self.settled.is_empty() { now } else { self.settled_at };
-            self.settled.insert(register, chosen(register).unwrap_or_default());
+            self.first_commit_at = if self.committed.is_empty() { now } else { self.first_commit_at };
+            self.committed.insert(register, chosen(register).unwrap_or_default());
             self.again_at = now + SETTLE_AGAIN;
         }
     }
@@ -268,33 +273,34 @@
     }
 
     fn settle(&mut self, register: Register) -> Option<(u64, Change)> {
-        self.propose(Attempt::Settle(register), Change::Settle(register))
+        self.propose(Attempt::Commit(register), Change::Commit(register))
     }
 
-    fn next(&mut self, muster: Muster) -> Vec<(u64, Change)> {
-        self.propose(Attempt::Next, Change::Muster(muster)).into_iter().collect()
+    fn next(&mut self, muster: VoterSet) -> Vec<(u64, Change)> {
+        self.propose(Attempt::NextVoterSet, Change::VoterSet(muster)).into_iter().collect()
     }
 
     /// What is to be proposed now; called now and then. What comes of it is told to `done` and `stand`.
-    pub fn tick(&mut self, now: f64, view: &View) -> (Vec<Act>, Vec<(u64, Change)>) {
-        self.presence.look(now, &self.muster, view.whole);
+    pub fn tick(&mut self, now: f64, view: &MembershipContext) -> (Vec<Effect>, Vec<(u64, Change)>) {
+        self.failure_detector.check(now, &self.voter_set, view.recovered);
         self.forget_failures(now);
         let late = self.order.take_if(|order| now > order.until);
-        let mut acts: Vec<Act> =
-            late.map(|order| Act::Done(order.token, Outcome::Unclear)).into_iter().collect();
+        let mut acts: Vec<Effect> =
+            late.map(|order| Effect::ProposalResolved(order.token, Outcome::Unknown)).into_iter().collect();
         if let Some((token, until)) = self.founding {
-            let stands = view.all.is_some_and(|at| at > self.stood) && view.stale.is_empty();
+            let stands =
+                view.all_confirmed.is_some_and(|at| at > self.epoch_started) && view.stale.is_empty();
             if stands || now > until {
                 self.founding = None;
-                let outcome = if stands { Outcome::Chosen } else { Outcome::Unclear };
-                acts.push(Act::Done(token, outcome));
+                let outcome = if stands { Outcome::Chosen } else { Outcome::Unknown };
+                acts.push(Effect::ProposalResolved(token, outcome));
             }
         }
-        let changes = if !self.muster.known() {
+        let changes = if !self.voter_set.is_known() {
             Vec::new()
-        } else if self.muster.changing() {
+        } else if self.voter_set.is_joint() {
             self.finish(now, view)
-        } else if !self.founded() {
+        } else if !self.is_established() {
             self.begin_first(now, view)
         } else {
             self.look_after(now, view)
@@ -302,79 +308,83 @@
         (acts, changes)
     }
 
-    fn newcomers(&self) -> impl Iterator<Item = Node> {
-        self.muster.coming.iter().copied().filter(|node| !self.muster.seats.contains(node))
+    fn newcomers(&self) -> impl Iterator<Item = NodeId> {
+        self.voter_set.incoming.iter().copied().filter(|node| !self.voter_set.voters.contains(node))
     }
 
     /// Has that newcomer said that its disk holds all that was settled?
-    fn taken_in(&self, node: Node) -> bool {
+    fn taken_in(&self, node: NodeId) -> bool {
         let held = |register| self.holds.get(&(node, register)).copied().unwrap_or_default();
-        self.settled.iter().all(|(register, ballot)| held(*register) >= *ballot)
+        self.committed.iter().all(|(register, ballot)| held(*register) >= *ballot)
     }
 
     /// Is a newcomer that has not taken all registers waited for no longer?
     fn given_up(&self, now: f64) -> bool {
-        if self.muster.epoch == 2 && !self.founded() {
-            return now >= self.stood + TAKES_IN_FIRST;
+        if self.voter_set.epoch == 2 && !self.is_established() {
+            return now >= self.epoch_started + TAKES_IN_FIRST;
         }
-        let gone = |node: Node| !self.presence.here(now, node) || self.presence.ends(node);
-        let others = !self.presence.spares(now, &self.muster).is_empty();
-        let most = if others { self.pace.take_in } else { TAKES_IN };
-        let silent = now >= self.stood + self.pace.silent && self.newcomers().any(gone);
-        silent || now >= self.stood + most
+        let gone = |node: NodeId| {
+            !self.failure_detector.is_reachable(now, node) || self.failure_detector.is_leaving(node)
+        };
+        let others = !self.failure_detector.spare_nodes(now, &self.voter_set).is_empty();
+        let most = if others { self.timing.joining_timeout } else { TAKES_IN };
+        let silent = now >= self.epoch_started + self.timing.silence_timeout && self.newcomers().any(gone);
+        silent || now >= self.epoch_started + most
     }
 
     /// How long this gateway leaves the end of a change to others: the first voter of those heard of just now ends it, whoever
     /// began it. None where it has no part in it.
     fn end_turn(&self, now: f64) -> Option<f64> {
-        let able = |node: &Node| self.presence.able(now, *node) && !self.presence.ends(*node);
-        let voters: Vec<Node> = self.muster.voters().into_iter().filter(able).collect();
-        let place = voters.iter().position(|&node| node == self.me)?;
-        Some(self.pace.takeover * place as f64)
+        let able = |node: &NodeId| {
+            self.failure_detector.is_active(now, *node) && !self.failure_detector.is_leaving(*node)
+        };
+        let voters: Vec<NodeId> = self.voter_set.all_voters().into_iter().filter(able).collect();
+        let place = voters.iter().position(|&node| node == self.id)?;
+        Some(self.timing.finish_stagger * place as f64)
     }
 
-    fn finish(&mut self, now: f64, view: &View) -> Vec<(u64, Change)> {
-        if self.end_turn(now).is_none_or(|turn| now < self.stood + turn) {
+    fn finish(&mut self, now: f64, view: &MembershipContext) -> Vec<(u64, Change)> {
+        if self.end_turn(now).is_none_or(|turn| now < self.epoch_started + turn) {
             return Vec::new();
         }
         let open: Vec<Register> =
-            REGISTERS.into_iter().filter(|register| !self.settled.contains_key(register)).collect();
+            REGISTERS.into_iter().filter(|register| !self.committed.contains_key(register)).collect();
         if !open.is_empty() {
             return open.into_iter().filter_map(|register| self.settle(register)).collect();
         }
-        let lacking: Vec<Node> = self.newcomers().filter(|node| !self.taken_in(*node)).collect();
+        let lacking: Vec<NodeId> = self.newcomers().filter(|node| !self.taken_in(*node)).collect();
         let given_up = !lacking.is_empty() && self.given_up(now);
         if !lacking.is_empty() && !given_up {
-            let ready = lacking.iter().any(|node| self.presence.whole(*node) == Some(true));
+            let ready = lacking.iter().any(|node| self.failure_detector.is_recovered(*node) == Some(true));
             if !ready || now < self.again_at {
                 return Vec::new();
             }
             self.again_at = now + SETTLE_AGAIN;
             return REGISTERS.into_iter().filter_map(|register| self.settle(register)).collect();
         }
-        if now < self.settled_at + self.grants_last(view) {
+        if now < self.first_commit_at + self.grants_last(view) {
             return Vec::new();
         }
-        let seats = if given_up { self.muster.seats.clone() } else { self.muster.coming.clone() };
-        self.next(self.muster.end(&seats))
+        let seats = if given_up { self.voter_set.voters.clone() } else { self.voter_set.incoming.clone() };
+        self.next(self.voter_set.leave_joint(&seats))
     }
 
     /// So long after the settling a grant of the epoch before may last. Before the first change nothing was granted where
     /// nothing could be, and enough of the old set say so.
-    fn grants_last(&self, view: &View) -> f64 {
-        let bare = |register| self.settled.get(&register) == Some(&Ballot::default());
-        let nothing = !view.duties && bare(Register::Chart) && bare(Register::Evacuations);
-        if self.muster.epoch == 2 && !self.founded() && nothing { 0.0 } else { GRANTS_END }
+    fn grants_last(&self, view: &MembershipContext) -> f64 {
+        let bare = |register| self.committed.get(&register) == Some(&ProposalNumber::default());
+        let nothing = !view.leases_known && bare(Register::Configuration) && bare(Register::Evacuations);
+        if self.voter_set.epoch == 2 && !self.is_established() && nothing { 0.0 } else { GRANTS_END }
     }
 
     /// The first change, from the seeds to as many as are needed; or to the seeds, where no others come.
-    fn begin_first(&mut self, now: f64, view: &View) -> Vec<(u64, Change)> {
-        let others = self.presence.spares(now, &self.muster);
-        let set = self.grown(&others, view.keepers).unwrap_or(self.muster.seats.clone());
+    fn begin_first(&mut self, now: f64, view: &MembershipContext) -> Vec<(u64, Change)> {
+        let others = self.failure_detector.spare_nodes(now, &self.voter_set);
+        let set = self.grown(&others, view.control_nodes).unwrap_or(self.voter_set.voters.clone());
         if set.len() < self.needed && now < self.began + FIRST_WAIT {
             return Vec::new();
         }
-        let seats = self.muster.seats.clone();
+        let seats = self.voter_set.voters.clone();
         self.begin_in_turn(now, FIRST_TURN, &seats, set)
     }
 
@@ -383,38 +393,38 @@
         &mut self,
         now: f64,
         turn: f64,
-        proposers: &[Node],
-        set: Vec<Node>,
+        proposers: &[NodeId],
+        set: Vec<NodeId>,
     ) -> Vec<(u64, Change)> {
-        let Some(place) = proposers.iter().position(|&node| node == self.me) else { return Vec::new() };
+        let Some(place) = proposers.iter().position(|&node| node == self.id) else { return Vec::new() };
         let due = *self.due.get_or_insert(now);
         if now < due + turn * place as f64 {
             return Vec::new();
         }
-        self.next(self.muster.begin(set))
+        self.next(self.voter_set.enter_joint(set))
     }
 
-    fn look_after(&mut self, now: f64, view: &View) -> Vec<(u64, Change)> {
+    fn look_after(&mut self, now: f64, view: &MembershipContext) -> Vec<(u64, Change)> {
         if let Some(order) = &self.order {
-            let next = self.muster.begin(order.seats.clone());
+            let next = self.voter_set.enter_joint(order.seats.clone());
             return self.next(next);
         }
         // In touch with a majority of this epoch.
-        let sure = Presence::in_touch(now, view.confirmed, self.stood);
-        if !sure || !self.muster.seats.contains(&self.me) {
+        let sure = FailureDetector::has_quorum_contact(now, view.confirmed, self.epoch_started);
+        if !sure || !self.voter_set.voters.contains(&self.id) {
             self.due = None;
             return Vec::new();
         }
         if !view.stale.is_empty() {
             return view.stale.iter().filter_map(|&register| self.settle(register)).collect();
         }
-        let lost = self.presence.lost(now, &self.muster);
-        let Some(set) = self.plan(now, &lost, view.keepers) else {
+        let lost = self.failure_detector.failed_voters(now, &self.voter_set);
+        let Some(set) = self.plan(now, &lost, view.control_nodes) else {
             self.due = None;
             return Vec::new();
         };
-        let able = |node: &Node| !lost.contains(node) && self.presence.sound(now, *node);
-        let proposers: Vec<Node> = self.muster.seats.iter().copied().filter(able).collect();
-        self.begin_in_turn(now, self.pace.begin, &proposers, set)
+        let able = |node: &NodeId| !lost.contains(node) && self.failure_detector.is_healthy(now, *node);
+        let proposers: Vec<NodeId> = self.voter_set.voters.iter().copied().filter(able).collect();
+        self.begin_in_turn(now, self.timing.begin_stagger, &proposers, set)
     }
 }
--- a/crates/consensus/src/membership/plan.rs
+++ b/crates/consensus/src/membership/plan.rs
@@ -1,27 +1,27 @@
 //! Which set of voters should stand: as many seats as the losses to be borne need, none of them lost, from as many zones as
 //! can be. Must never ask for a set in which a majority is not there.
 
-use super::{MOST_HEARD, Membership, NAMED_WAIT};
-use archlink_messages::{Keeper, Node};
+use super::{MAX_PEERS, Membership, NAMED_WAIT};
+use archlink_messages::{ControlNode, NodeId};
 use std::collections::BTreeSet;
 
 /// A newcomer that failed to take all registers is the last choice for so long, in seconds.
 const FAILED_LATELY: f64 = 30.0;
 
-fn zone(keepers: &[Keeper], node: Node) -> Option<&str> {
+fn zone(keepers: &[ControlNode], node: NodeId) -> Option<&str> {
     keepers.iter().find(|keeper| keeper.node == node).map(|keeper| keeper.zone.as_str())
 }
 
-fn zones(keepers: &[Keeper], set: &[Node]) -> usize {
+fn zones(keepers: &[ControlNode], set: &[NodeId]) -> usize {
     set.iter().map(|&node| zone(keepers, node)).collect::<BTreeSet<_>>().len()
 }
 
 /// `set` and others, the first of them where zones don't tell, from as many zones as can be, up to `most`.
-fn filled(set: &[Node], others: &[Node], keepers: &[Keeper], most: usize) -> Vec<Node> {
+fn filled(set: &[NodeId], others: &[NodeId], keepers: &[ControlNode], most: usize) -> Vec<NodeId> {
     let mut set = set.to_vec();
     while set.len() < most {
         let crowd =
-            |node: Node| set.iter().filter(|&&seat| zone(keepers, seat) == zone(keepers, node)).count();
+            |node: NodeId| set.iter().filter(|&&seat| zone(keepers, seat) == zone(keepers, node)).count();
         let free = others.iter().copied().filter(|node| !set.contains(node));
         let Some(next) = free.min_by_key(|&node| crowd(node)) else { break };
         set.push(next);
@@ -32,68 +32,74 @@
 
 impl Membership {
     /// Is there a majority of both sets, whole but for those that come?
-    pub(super) fn can_change(&self, now: f64, next: &[Node]) -> bool {
-        let joint = self.muster.begin(next.to_vec());
-        let comes = |node| !self.muster.seats.contains(&node) && self.presence.here(now, node);
-        joint.enough(|node| comes(node) || self.presence.sound(now, node))
+    pub(super) fn can_change(&self, now: f64, next: &[NodeId]) -> bool {
+        let joint = self.voter_set.enter_joint(next.to_vec());
+        let comes =
+            |node| !self.voter_set.voters.contains(&node) && self.failure_detector.is_reachable(now, node);
+        joint.has_quorum(|node| comes(node) || self.failure_detector.is_healthy(now, node))
     }
 
     /// The seats and more of `others`, where more losses can be borne then.
-    pub(super) fn grown(&self, others: &[Node], keepers: &[Keeper]) -> Option<Vec<Node>> {
-        let seats = &self.muster.seats;
+    pub(super) fn grown(&self, others: &[NodeId], keepers: &[ControlNode]) -> Option<Vec<NodeId>> {
+        let seats = &self.voter_set.voters;
         let most = self.needed.min(seats.len() + others.len());
         let odd = most - usize::from(most.is_multiple_of(2));
         (odd > seats.len()).then(|| filled(seats, others, keepers, odd))
     }
 
     /// The set that should be, where that is another one than stands and can be had; `lost` are seats to be given to others.
-    pub(super) fn plan(&self, now: f64, lost: &[Node], keepers: &[Keeper]) -> Option<Vec<Node>> {
+    pub(super) fn plan(&self, now: f64, lost: &[NodeId], keepers: &[ControlNode]) -> Option<Vec<NodeId>> {
         if !self.named.is_empty() {
             return self.with_named(now, keepers);
         }
-        let mut spares = self.presence.spares(now, &self.muster);
+        let mut spares = self.failure_detector.spare_nodes(now, &self.voter_set);
         spares.sort_by_key(|node| self.failed.get(node).is_some_and(|at| now < at + FAILED_LATELY));
-        let seats = &self.muster.seats;
+        let seats = &self.voter_set.voters;
         let set = if lost.is_empty() {
             self.grown(&spares, keepers).or_else(|| self.spread(now, &spares, keepers))
         } else {
             // A seat that nobody takes stays: fewer would bear no more.
-            let left: Vec<Node> = seats.iter().copied().filter(|node| !lost.contains(node)).collect();
+            let left: Vec<NodeId> = seats.iter().copied().filter(|node| !lost.contains(node)).collect();
             Some(filled(&filled(&left, &spares, keepers, seats.len()), lost, keepers, seats.len()))
         };
         // Whether a seat that was not heard of lately is lost will be known soon: one change is better than two.
-        let known = seats.iter().all(|node| lost.contains(node) || self.presence.here(now, *node));
+        let known =
+            seats.iter().all(|node| lost.contains(node) || self.failure_detector.is_reachable(now, *node));
         set.filter(|set| known && set != seats && self.can_change(now, set))
     }
 
     /// All seats, and those that a person named and that are there.
-    fn with_named(&self, now: f64, keepers: &[Keeper]) -> Option<Vec<Node>> {
-        let seats = &self.muster.seats;
-        let there: Vec<Node> =
-            self.named.iter().copied().filter(|&node| self.presence.here(now, node)).collect();
+    fn with_named(&self, now: f64, keepers: &[ControlNode]) -> Option<Vec<NodeId>> {
+        let seats = &self.voter_set.voters;
+        let there: Vec<NodeId> = self
+            .named
+            .iter()
+            .copied()
+            .filter(|&node| self.failure_detector.is_reachable(now, node))
+            .collect();
         let waited = there.len() == self.named.len() || now > self.named_at + NAMED_WAIT;
         let all = filled(seats, &there, keepers, seats.len() + there.len());
         Some(all).filter(|all| waited && all.len() > seats.len() && self.can_change(now, all))
     }
 
     /// One seat of a zone with several goes to a steady spare of a zone with none: the loss of a zone costs fewer seats.
-    fn spread(&self, now: f64, spares: &[Node], keepers: &[Keeper]) -> Option<Vec<Node>> {
-        let seats = &self.muster.seats;
-        let steady: Vec<Node> =
-            spares.iter().copied().filter(|&node| self.presence.steady(now, node)).collect();
+    fn spread(&self, now: f64, spares: &[NodeId], keepers: &[ControlNode]) -> Option<Vec<NodeId>> {
+        let seats = &self.voter_set.voters;
+        let steady: Vec<NodeId> =
+            spares.iter().copied().filter(|&node| self.failure_detector.is_stable(now, node)).collect();
         let swapped = seats.iter().rev().map(|old| {
-            let left: Vec<Node> = seats.iter().copied().filter(|node| node != old).collect();
+            let left: Vec<NodeId> = seats.iter().copied().filter(|node| node != old).collect();
             filled(&left, &steady, keepers, seats.len())
         });
         let better =
-            |set: &Vec<Node>| set.len() == seats.len() && zones(keepers, set) > zones(keepers, seats);
+            |set: &Vec<NodeId>| set.len() == seats.len() && zones(keepers, set) > zones(keepers, seats);
         swapped.into_iter().find(better)
     }
 
     /// What `failed` needs not keep.
     pub(super) fn forget_failures(&mut self, now: f64) {
         self.failed.retain(|_, at| now < *at + FAILED_LATELY);
-        while self.failed.len() > MOST_HEARD {
+        while self.failed.len() > MAX_PEERS {
             self.failed.pop_first();
         }
     }
--- a/crates/consensus/src/texts.rs
+++ b/crates/consensus/src/patch_cache.rs
@@ -2,7 +2,7 @@
 //! change on the text that it holds, packed once for all that hold the same. Must never make a patch on a text that it does
 //! not know whole.
 
-use archlink_messages::pack;
+use archlink_messages::patch;
 use bytes::Bytes;
 use std::collections::{HashMap, VecDeque};
 use std::hash::Hash;
@@ -10,22 +10,22 @@
 /// Texts kept to make patches on: a data gateway is rarely further behind.
 const MOST: usize = 8;
 
-pub struct Texts<S> {
+pub struct PatchCache<S> {
     /// The newest at the back.
     texts: VecDeque<(S, Vec<u8>)>,
     /// Patches to the newest, by the stamp of the text that they are made on.
     patches: HashMap<S, Bytes>,
 }
 
-impl<S> Default for Texts<S> {
-    fn default() -> Texts<S> {
-        Texts { texts: VecDeque::new(), patches: HashMap::new() }
+impl<S> Default for PatchCache<S> {
+    fn default() -> PatchCache<S> {
+        PatchCache { texts: VecDeque::new(), patches: HashMap::new() }
     }
 }
 
-impl<S: Copy + Eq + Hash> Texts<S> {
+impl<S: Copy + Eq + Hash> PatchCache<S> {
     /// A text came into force.
-    pub fn learned(&mut self, stamp: S, text: Vec<u8>) {
+    pub fn insert(&mut self, stamp: S, text: Vec<u8>) {
         self.texts.push_back((stamp, text));
         if self.texts.len() > MOST {
             self.texts.pop_front();
@@ -45,7 +45,7 @@
         }
         let (_, new) = self.texts.back()?;
         let (_, old) = self.texts.iter().find(|(known, _)| *known == base)?;
-        let packed = Bytes::from(pack::pack(new, old).ok()?);
+        let packed = Bytes::from(patch::compress(new, old).ok()?);
         self.patches.insert(base, packed.clone());
         Some(packed)
     }
--- a/crates/consensus/src/helm/ask.rs
+++ b/crates/consensus/src/proposer/quorum_read.rs
@@ -3,75 +3,75 @@
 //! one to a question of another life or epoch; nor must questions, however many are wanted, keep each other from being
 //! answered.
 
-use archlink_messages::{Ballot, Muster, Node, REGISTERS, Register};
+use archlink_messages::{NodeId, ProposalNumber, REGISTERS, Register, VoterSet};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Between two questions whether what is held here is the newest.
-const EVERY: f64 = 0.4;
+const READ_INTERVAL: f64 = 0.4;
 /// The same while nothing is confirmed: after a start the links come up one by one, and nobody can be served before.
-const AT_FIRST: f64 = 0.1;
+const STARTUP_READ_INTERVAL: f64 = 0.1;
 /// While a reader waits and no majority has answered: a lost answer costs it no more, and slow disks are not asked oftener.
-const AGAIN: f64 = 0.1;
+const READ_RETRY: f64 = 0.1;
 /// A reader has given up by then (`LIFE` of a change is as long).
-const READS: f64 = 0.9;
+const READER_TIMEOUT: f64 = 0.9;
 /// Questions that may still be answered, 16 bytes each: 25 s of them while a majority answers none, many times the slowest
 /// answer from which a lease could follow.
-const MOST_OUT: usize = 256;
+const MAX_OUTSTANDING: usize = 256;
 /// An older answer counts no more: a voter that lost its disk since, and read from others, is back after more than this
 /// (`voter::FORGET`), and what it had accepted may be accepted by another one only then.
-const OLD: f64 = 2.0;
+const REPLY_LIFETIME: f64 = 2.0;
 /// What a majority names and is not held here is fetched again after this.
-const FETCH_AGAIN: f64 = 0.25;
+const FETCH_RETRY: f64 = 0.25;
 /// Answers to questions asked longer ago are not put together with later ones to know what a majority holds: a voter that
 /// answered may have lost its disk since, and be back (2.5 s later at the soonest) without what it had accepted.
-const TOGETHER: f64 = 2.4;
+const AGREEMENT_WINDOW: f64 = 2.4;
 /// So many times in a row a majority answered, each with something else: nobody is about to finish it.
-const SPLIT: u32 = 2;
+const MAX_DISAGREEMENTS: u32 = 2;
 
 /// A voter's newest answer, by when its question was asked.
 #[derive(Clone, Debug)]
-struct Answer {
+struct ReadReply {
     at: f64,
-    ballots: BTreeMap<Register, Ballot>,
+    ballots: BTreeMap<Register, ProposalNumber>,
 }
 
 #[derive(Clone, Debug)]
-pub(super) struct Asking {
+pub(super) struct QuorumRead {
     /// By chance in each life: an answer to an earlier life's question fits none of this one.
     serial: u64,
     /// Serial and time of each question that may still be answered, the newest at the back.
-    out: VecDeque<(u64, f64)>,
-    answers: BTreeMap<Node, Answer>,
+    outstanding: VecDeque<(u64, f64)>,
+    replies: BTreeMap<NodeId, ReadReply>,
     confirmed: BTreeMap<Register, f64>,
     /// When the last reader came that is not served yet.
-    wanted: Option<f64>,
-    fetched: BTreeMap<Register, (Ballot, f64)>,
-    split: BTreeMap<Register, u32>,
-    judged: f64,
+    reader_since: Option<f64>,
+    fetched: BTreeMap<Register, (ProposalNumber, f64)>,
+    disagreements: BTreeMap<Register, u32>,
+    checked_at: f64,
 }
 
-impl Asking {
-    pub fn new(chance: u64) -> Asking {
+impl QuorumRead {
+    pub fn new(chance: u64) -> QuorumRead {
         // Few bytes on the wire, and still no two lives alike.
         const BITS: u32 = 40;
-        Asking {
+        QuorumRead {
             serial: chance >> (u64::BITS - BITS),
-            out: VecDeque::new(),
-            answers: BTreeMap::new(),
+            outstanding: VecDeque::new(),
+            replies: BTreeMap::new(),
             confirmed: BTreeMap::new(),
-            wanted: None,
+            reader_since: None,
             fetched: BTreeMap::new(),
-            split: BTreeMap::new(),
-            judged: f64::NEG_INFINITY,
+            disagreements: BTreeMap::new(),
+            checked_at: f64::NEG_INFINITY,
         }
     }
 
     /// Another epoch: nothing that was answered in the one before counts.
-    pub fn anew(&mut self) {
-        self.out.clear();
-        self.answers.clear();
+    pub fn reset_epoch(&mut self) {
+        self.outstanding.clear();
+        self.replies.clear();
         self.fetched.clear();
-        self.split.clear();
+        self.disagreements.clear();
     }
 
     pub fn confirmed(&self, register: Register) -> Option<f64> {
@@ -79,68 +79,68 @@
     }
 
     /// A register is at another content than before, of which nothing is confirmed.
-    pub fn doubt(&mut self, register: Register) {
+    pub fn invalidate(&mut self, register: Register) {
         self.confirmed.remove(&register);
     }
 
-    fn asked(&self) -> f64 {
-        self.out.back().map_or(f64::NEG_INFINITY, |(_, at)| *at)
+    fn last_request_at(&self) -> f64 {
+        self.outstanding.back().map_or(f64::NEG_INFINITY, |(_, at)| *at)
     }
 
-    fn answered_since(&self, muster: &Muster, at: f64) -> bool {
-        muster.enough(|node| self.answers.get(&node).is_some_and(|answer| answer.at >= at))
+    fn quorum_replied_since(&self, muster: &VoterSet, at: f64) -> bool {
+        muster.has_quorum(|node| self.replies.get(&node).is_some_and(|answer| answer.at >= at))
     }
 
     /// Somebody wants to know what holds from now on. All that come while a question is out share the next one.
-    pub fn want(&mut self, now: f64) {
-        if self.asked() < now {
-            self.wanted = Some(now);
+    pub fn request_confirmation(&mut self, now: f64) {
+        if self.last_request_at() < now {
+            self.reader_since = Some(now);
         }
     }
 
     /// Is it time for a question?
-    pub fn due(&mut self, now: f64, muster: &Muster) -> bool {
+    pub fn due(&mut self, now: f64, muster: &VoterSet) -> bool {
         let confirmed = |at| REGISTERS.iter().all(|r| self.confirmed(*r).is_some_and(|c| c >= at));
-        self.wanted = self.wanted.filter(|&at| now <= at + READS && !confirmed(at));
-        let asked = self.asked();
-        let every = match self.wanted {
-            Some(at) if asked < at && self.answered_since(muster, asked) => return true,
-            Some(_) => AGAIN,
-            None => self.pace(),
+        self.reader_since = self.reader_since.filter(|&at| now <= at + READER_TIMEOUT && !confirmed(at));
+        let asked = self.last_request_at();
+        let every = match self.reader_since {
+            Some(at) if asked < at && self.quorum_replied_since(muster, asked) => return true,
+            Some(_) => READ_RETRY,
+            None => self.interval(),
         };
         now >= asked + every
     }
 
-    fn pace(&self) -> f64 {
-        if self.confirmed(Register::Chart).is_some() { EVERY } else { AT_FIRST }
+    fn interval(&self) -> f64 {
+        if self.confirmed(Register::Configuration).is_some() { READ_INTERVAL } else { STARTUP_READ_INTERVAL }
     }
 
     /// The number of the next question.
-    pub fn ask(&mut self, now: f64) -> u64 {
+    pub fn next_request(&mut self, now: f64) -> u64 {
         self.serial += 1;
-        self.out.push_back((self.serial, now));
-        if self.out.len() > MOST_OUT {
-            self.out.pop_front();
+        self.outstanding.push_back((self.serial, now));
+        if self.outstanding.len() > MAX_OUTSTANDING {
+            self.outstanding.pop_front();
         }
         self.serial
     }
 
     /// Registers on which the voters stay apart; looked at before each question.
-    pub fn apart(&mut self, now: f64, muster: &Muster) -> Vec<Register> {
-        if now < self.judged + self.pace() || !self.answered_since(muster, self.judged) {
+    pub fn diverged_registers(&mut self, now: f64, muster: &VoterSet) -> Vec<Register> {
+        if now < self.checked_at + self.interval() || !self.quorum_replied_since(muster, self.checked_at) {
             return Vec::new();
         }
-        self.judged = now;
+        self.checked_at = now;
         let mut apart = Vec::new();
         for register in REGISTERS {
-            let mut named = self.answers.values().filter_map(|a| a.ballots.get(&register));
-            if named.any(|ballot| self.names(now, muster, register, *ballot)) {
-                self.split.remove(&register);
+            let mut named = self.replies.values().filter_map(|a| a.ballots.get(&register));
+            if named.any(|ballot| self.quorum_holds(now, muster, register, *ballot)) {
+                self.disagreements.remove(&register);
                 continue;
             }
-            let split = self.split.entry(register).or_default();
+            let split = self.disagreements.entry(register).or_default();
             *split += 1;
-            if *split >= SPLIT {
+            if *split >= MAX_DISAGREEMENTS {
                 *split = 0;
                 apart.push(register);
             }
@@ -149,46 +149,59 @@
     }
 
     /// Answers that are too old to be counted with newer ones are dropped.
-    pub fn forget(&mut self, now: f64) {
-        self.answers.retain(|_, answer| now < answer.at + OLD);
+    pub fn expire_replies(&mut self, now: f64) {
+        self.replies.retain(|_, answer| now < answer.at + REPLY_LIFETIME);
     }
 
     /// Takes a voter's answer; false where it tells nothing new.
-    pub fn answered(&mut self, from: Node, serial: u64, ballots: &[(Register, Ballot)]) -> bool {
-        let Some(&(_, at)) = self.out.iter().find(|(number, _)| *number == serial) else { return false };
-        if self.answers.get(&from).is_some_and(|known| known.at >= at) {
+    pub fn receive_reply(
+        &mut self,
+        from: NodeId,
+        serial: u64,
+        ballots: &[(Register, ProposalNumber)],
+    ) -> bool {
+        let Some(&(_, at)) = self.outstanding.iter().find(|(number, _)| *number == serial) else {
+            return false;
+        };
+        if self.replies.get(&from).is_some_and(|known| known.at >= at) {
             return false;
         }
-        self.answers.insert(from, Answer { at, ballots: ballots.iter().copied().collect() });
+        self.replies.insert(from, ReadReply { at, ballots: ballots.iter().copied().collect() });
         true
     }
 
     /// Does a majority hold this ballot, by their newest answers?
-    pub fn names(&self, now: f64, muster: &Muster, register: Register, ballot: Ballot) -> bool {
-        let named = |answer: &Answer| answer.ballots.get(&register) == Some(&ballot);
-        let fresh = |answer: &Answer| now < answer.at + TOGETHER && named(answer);
-        muster.enough(|node| self.answers.get(&node).is_some_and(fresh))
+    pub fn quorum_holds(
+        &self,
+        now: f64,
+        muster: &VoterSet,
+        register: Register,
+        ballot: ProposalNumber,
+    ) -> bool {
+        let named = |answer: &ReadReply| answer.ballots.get(&register) == Some(&ballot);
+        let fresh = |answer: &ReadReply| now < answer.at + AGREEMENT_WINDOW && named(answer);
+        muster.has_quorum(|node| self.replies.get(&node).is_some_and(fresh))
     }
 
     /// `mine` is held here, and chosen. It is confirmed from the time on since which a majority was asked and named nothing
     /// greater, each voter to whichever question: had a newer one been chosen before that, one of them would have.
-    pub fn confirm(&mut self, muster: &Muster, register: Register, mine: Ballot) {
-        let since = |answer: &Answer| {
+    pub fn confirm(&mut self, muster: &VoterSet, register: Register, mine: ProposalNumber) {
+        let since = |answer: &ReadReply| {
             let theirs = answer.ballots.get(&register)?;
             (*theirs <= mine).then_some(answer.at)
         };
-        let mut times: Vec<f64> = self.answers.values().filter_map(since).collect();
+        let mut times: Vec<f64> = self.replies.values().filter_map(since).collect();
         times.sort_by(|a, b| b.total_cmp(a));
-        let known = |node, at| self.answers.get(&node).and_then(since).is_some_and(|since| since >= at);
-        if let Some(at) = times.into_iter().find(|at| muster.enough(|node| known(node, *at))) {
+        let known = |node, at| self.replies.get(&node).and_then(since).is_some_and(|since| since >= at);
+        if let Some(at) = times.into_iter().find(|at| muster.has_quorum(|node| known(node, *at))) {
             let confirmed = self.confirmed.entry(register).or_insert(at);
             *confirmed = confirmed.max(at);
         }
     }
 
     /// May this ballot's value be fetched now? Not over and over: it may be long on its way.
-    pub fn fetches(&mut self, now: f64, register: Register, ballot: Ballot) -> bool {
-        let again = |(b, at): &(Ballot, f64)| *b != ballot || now >= at + FETCH_AGAIN;
+    pub fn may_fetch(&mut self, now: f64, register: Register, ballot: ProposalNumber) -> bool {
+        let again = |(b, at): &(ProposalNumber, f64)| *b != ballot || now >= at + FETCH_RETRY;
         let may = self.fetched.get(&register).is_none_or(again);
         if may {
             self.fetched.insert(register, (ballot, now));
--- a/crates/consensus/tests/contact.rs
+++ b/crates/consensus/tests/contact.rs
@@ -3,10 +3,13 @@
 
 mod roads;
 
-use archlink_consensus::Act;
-use archlink_consensus::helm::Helm;
-use archlink_consensus::journal::Event;
-use archlink_messages::{Ballot, Beat, Held, Hosts, Muster, Node, Piece, Poll, Register, Vector, Word};
+use archlink_consensus::Effect;
+use archlink_consensus::event_log::Event;
+use archlink_consensus::proposer::Proposer;
+use archlink_messages::{
+    AcceptedValue, ConsensusMessage, Heartbeat, HostList, Message, NodeId, ProposalNumber, Register,
+    StateUpdate, VersionVector, VoterSet,
+};
 use roads::Roads;
 
 /// Longest search for a smaller case of a failure.
@@ -29,14 +32,14 @@
     let until = roads.now + 2.0;
     while roads.now < until {
         for _ in 0..2 {
-            roads.step(1, |control, now| control.helm.ask_now(now));
+            roads.step(1, |control, now| control.proposer.request_confirmation(now));
             waiting.push(roads.now);
         }
         roads.turn();
-        let confirmed = roads.now - roads.age(1, Register::Chart);
+        let confirmed = roads.now - roads.age(1, Register::Configuration);
         waiting.iter().filter(|at| **at <= confirmed).for_each(|at| slowest = slowest.max(roads.now - at));
         waiting.retain(|at| *at > confirmed);
-        let age = roads.age(1, Register::Chart);
+        let age = roads.age(1, Register::Configuration);
         assert!(age < 3.0 * ROUND_TRIP || roads.now < until - 1.9, "{age}");
     }
     let (asks, bytes) = (roads.asks - before.0, roads.bytes - before.1);
@@ -59,39 +62,39 @@
         for turn in 0..4000 {
             // And whether somebody reads all the while makes no difference.
             if turn > 2000 {
-                roads.step(1, |control, now| control.helm.ask_now(now));
+                roads.step(1, |control, now| control.proposer.request_confirmation(now));
             }
             roads.turn();
-            oldest = oldest.max(roads.age(1, Register::Chart));
+            oldest = oldest.max(roads.age(1, Register::Configuration));
         }
         println!("a sync of {sync} s: confirmed at most {oldest:.2} s ago");
         assert!(oldest < 0.4 + 2.0 * 1.2 * sync + 0.1, "{oldest} with {sync}");
     }
 }
 
-fn ballot(round: u64) -> Ballot {
-    Ballot { round, node: 9, nonce: 0 }
+fn ballot(round: u64) -> ProposalNumber {
+    ProposalNumber { round, node: 9, nonce: 0 }
 }
 
-fn held(round: u64) -> Held {
-    Held { ballot: ballot(round), stamp: round, ..Held::default() }
+fn held(round: u64) -> AcceptedValue {
+    AcceptedValue { proposal: ballot(round), revision: round, ..AcceptedValue::default() }
 }
 
 /// One that asks and three voters that are asked, of which any two make a value chosen by holding it.
 struct Asked {
     now: f64,
-    helm: Helm,
+    helm: Proposer,
     voters: [u64; 3],
     newest: u64,
     /// Each value and since when it is chosen.
     chosen: Vec<(u64, f64)>,
-    way: Vec<(f64, Node, Poll)>,
+    way: Vec<(f64, NodeId, ConsensusMessage)>,
 }
 
 impl Asked {
-    fn helm(seed: u64) -> Helm {
-        let mut helm = Helm::new(9, seed);
-        helm.set_muster(0.0, &Muster::first(&[1, 2, 3]));
+    fn helm(seed: u64) -> Proposer {
+        let mut helm = Proposer::new(9, seed);
+        helm.set_voter_set(0.0, &VoterSet::initial(&[1, 2, 3]));
         helm
     }
 
@@ -104,17 +107,21 @@
     }
 
     /// A voter answers with what it holds now; `late` is how long the answer takes, lost where none.
-    fn act(&mut self, acts: Vec<Act>, mut late: impl FnMut() -> Option<f64>) {
+    fn act(&mut self, acts: Vec<Effect>, mut late: impl FnMut() -> Option<f64>) {
         for act in acts {
-            let Act::Send(to, Word::Poll(_, poll)) = act else { continue };
+            let Effect::Send(to, Message::Consensus(_, poll)) = act else { continue };
             let (holds, Some(late)) = (self.voters[to as usize - 1], late()) else { continue };
             let answer = match poll {
-                Poll::Ask(serial) => {
-                    let of = |register| if register == Register::Chart { ballot(holds) } else { ballot(0) };
-                    let of = |r| (r, if holds == 0 { Ballot::default() } else { of(r) });
-                    Poll::Answer(serial, archlink_messages::REGISTERS.map(of).to_vec())
+                ConsensusMessage::ReadRequest(serial) => {
+                    let of = |register| {
+                        if register == Register::Configuration { ballot(holds) } else { ballot(0) }
+                    };
+                    let of = |r| (r, if holds == 0 { ProposalNumber::default() } else { of(r) });
+                    ConsensusMessage::ReadReply(serial, archlink_messages::REGISTERS.map(of).to_vec())
+                }
+                ConsensusMessage::FetchValue(Register::Configuration) if holds > 0 => {
+                    ConsensusMessage::FetchedValue(Register::Configuration, held(holds))
                 }
-                Poll::Fetch(Register::Chart) if holds > 0 => Poll::Fetched(Register::Chart, held(holds)),
                 _ => continue,
             };
             self.way.push((self.now + late, to, answer));
@@ -128,13 +135,13 @@
             let now = self.now;
             let due: Vec<_> = self.way.extract_if(.., |word| word.0 <= now).collect();
             for (_, from, poll) in due {
-                let acts = self.helm.hear(now, from, &poll);
+                let acts = self.helm.step(now, from, &poll);
                 self.act(acts, &mut late);
             }
             let acts = self.helm.tick(now);
             self.act(acts, &mut late);
-            let mine = self.helm.chosen(Register::Chart).map_or(0, |held| held.stamp);
-            let confirmed = self.helm.confirmed(Register::Chart).unwrap_or(f64::NEG_INFINITY);
+            let mine = self.helm.chosen(Register::Configuration).map_or(0, |held| held.revision);
+            let confirmed = self.helm.confirmed(Register::Configuration).unwrap_or(f64::NEG_INFINITY);
             let missed = self.chosen.iter().find(|(value, at)| *value > mine && *at < confirmed);
             assert!(missed.is_none(), "{mine} was confirmed as of {confirmed}, but {missed:?} stood by then");
         }
@@ -160,7 +167,7 @@
                     n @ 1..=3 => asked.hold(usize::from(n) - 1),
                     4 => asked.helm = Asked::helm(chance.rand_u64()),
                     _ => {
-                        let acts = asked.helm.ask_now(asked.now);
+                        let acts = asked.helm.request_confirmation(asked.now);
                         asked.act(acts, || Some(0.3));
                     }
                 }
@@ -174,24 +181,27 @@
             asked.run(4.0, &mut late);
             for _ in 0..100 {
                 asked.run(0.02, &mut late);
-                let age = asked.now - asked.helm.confirmed(Register::Chart).expect("confirmed");
+                let age = asked.now - asked.helm.confirmed(Register::Configuration).expect("confirmed");
                 assert!(age < 0.4 + ANSWERED + 0.03, "{age}");
-                assert_eq!(asked.helm.chosen(Register::Chart).map_or(0, |held| held.stamp), asked.newest);
+                assert_eq!(
+                    asked.helm.chosen(Register::Configuration).map_or(0, |held| held.revision),
+                    asked.newest
+                );
             }
         });
 }
 
 /// The number of the question that is asked at that time.
-fn question(helm: &mut Helm, now: f64) -> u64 {
-    let serial = |act: Act| match act {
-        Act::Send(_, Word::Poll(_, Poll::Ask(serial))) => Some(serial),
+fn question(helm: &mut Proposer, now: f64) -> u64 {
+    let serial = |act: Effect| match act {
+        Effect::Send(_, Message::Consensus(_, ConsensusMessage::ReadRequest(serial))) => Some(serial),
         _ => None,
     };
     helm.tick(now).into_iter().find_map(serial).expect("a question")
 }
 
-fn answer(serial: u64, round: u64) -> Poll {
-    Poll::Answer(serial, vec![(Register::Chart, ballot(round))])
+fn answer(serial: u64, round: u64) -> ConsensusMessage {
+    ConsensusMessage::ReadReply(serial, vec![(Register::Configuration, ballot(round))])
 }
 
 /// Guards against an answer that hung at a voter's disk through the asker's restart: questions were numbered from nought in
@@ -204,20 +214,24 @@
     // The asker starts anew; meanwhile 2 is chosen in the place of 1.
     let mut helm = Asked::helm(2);
     let first = question(&mut helm, 9.0);
-    helm.set_muster(9.0, &Muster::first(&[1, 2, 3]).begin(vec![1, 2, 4]));
+    helm.set_voter_set(9.0, &VoterSet::initial(&[1, 2, 3]).enter_joint(vec![1, 2, 4]));
     let new = question(&mut helm, 9.1);
-    helm.learn(Register::Chart, &held(1));
+    helm.learn(Register::Configuration, &held(1));
     for voter in [1, 2, 4] {
-        helm.hear(9.2, voter, &answer(old, 1));
-        helm.hear(9.2, voter, &answer(first, 1));
+        helm.step(9.2, voter, &answer(old, 1));
+        helm.step(9.2, voter, &answer(first, 1));
     }
-    assert_eq!(helm.confirmed(Register::Chart), None);
+    assert_eq!(helm.confirmed(Register::Configuration), None);
     for voter in [1, 2] {
-        helm.hear(9.2, voter, &answer(new, 2));
+        helm.step(9.2, voter, &answer(new, 2));
     }
-    assert_eq!(helm.confirmed(Register::Chart), None, "what is held was replaced");
-    helm.learn(Register::Chart, &held(2));
-    assert_eq!(helm.confirmed(Register::Chart), Some(9.1), "since the question, not since the answers");
+    assert_eq!(helm.confirmed(Register::Configuration), None, "what is held was replaced");
+    helm.learn(Register::Configuration, &held(2));
+    assert_eq!(
+        helm.confirmed(Register::Configuration),
+        Some(9.1),
+        "since the question, not since the answers"
+    );
 }
 
 /// Guards against confirmation that starves under changes in quick succession, as the voters are apart at each question:
@@ -227,9 +241,9 @@
     for (named, confirmed) in [([1, 2, 2], true), ([1, 2, 3], true), ([3, 2, 3], false)] {
         let mut helm = Asked::helm(1);
         let serial = question(&mut helm, 1.0);
-        (1..=3).for_each(|voter| drop(helm.hear(1.1, voter, &answer(serial, named[voter as usize - 1]))));
-        helm.learn(Register::Chart, &held(2));
-        assert_eq!(helm.confirmed(Register::Chart), confirmed.then_some(1.0), "{named:?}");
+        (1..=3).for_each(|voter| drop(helm.step(1.1, voter, &answer(serial, named[voter as usize - 1]))));
+        helm.learn(Register::Configuration, &held(2));
+        assert_eq!(helm.confirmed(Register::Configuration), confirmed.then_some(1.0), "{named:?}");
     }
 }
 
@@ -239,15 +253,19 @@
     for (later, together) in [(1.0, true), (2.6, false), (9.0, false)] {
         let mut helm = Asked::helm(1);
         let mut serial = question(&mut helm, 1.0);
-        helm.hear(1.1, 1, &answer(serial, 5));
+        helm.step(1.1, 1, &answer(serial, 5));
         let mut now = 1.0;
         while now < 1.0 + later {
             now += 0.4;
             serial = question(&mut helm, now);
         }
-        let fetches = !helm.hear(now, 2, &answer(serial, 5)).is_empty();
-        helm.hear(now, 2, &Poll::Fetched(Register::Chart, held(5)));
-        assert_eq!((fetches, helm.chosen(Register::Chart).is_some()), (together, together), "{later}");
+        let fetches = !helm.step(now, 2, &answer(serial, 5)).is_empty();
+        helm.step(now, 2, &ConsensusMessage::FetchedValue(Register::Configuration, held(5)));
+        assert_eq!(
+            (fetches, helm.chosen(Register::Configuration).is_some()),
+            (together, together),
+            "{later}"
+        );
     }
 }
 
@@ -259,12 +277,12 @@
     roads.replace(2, 1, 7, 1);
     roads.evacuate(3, 2, true);
     hailed(&mut roads, 6.0, 0, |_| {});
-    assert_eq!(roads.stamp(6, Register::Chart), 8);
+    assert_eq!(roads.stamp(6, Register::Configuration), 8);
     roads
 }
 
 /// Time passes while data gateways hail their control gateways; `more` of them have come to the sixth one.
-fn hailed(roads: &mut Roads, seconds: f64, more: Node, mut look: impl FnMut(&Roads)) {
+fn hailed(roads: &mut Roads, seconds: f64, more: NodeId, mut look: impl FnMut(&Roads)) {
     let until = roads.now + seconds;
     let mut at = roads.now;
     while roads.now < until {
@@ -276,8 +294,14 @@
                 let (pilot, front) =
                     (100 * node + n, std::net::SocketAddrV4::new((100 * node + n).into(), 80));
                 let (zone, region) = (format!("z{node}"), "r".to_string());
-                let pilot = archlink_messages::Pilot { node: pilot, zone, region, front, ready: true };
-                roads.step(node, |control, now| control.happened(now, Event::Hailed(pilot)));
+                let pilot = archlink_messages::DataNode {
+                    node: pilot,
+                    zone,
+                    region,
+                    client_address: front,
+                    ready: true,
+                };
+                roads.step(node, |control, now| control.record_event(now, Event::SessionRenewed(pilot)));
             }
         }
         at = if roads.now >= at { roads.now + 0.4 } else { at };
@@ -286,9 +310,9 @@
     }
 }
 
-fn beat(roads: &Roads, node: Node) -> Beat {
-    match roads.live[&node].beat(roads.now, 0) {
-        Word::Beat(beat) => beat,
+fn beat(roads: &Roads, node: NodeId) -> Heartbeat {
+    match roads.live[&node].heartbeat(roads.now, 0) {
+        Message::Heartbeat(beat) => beat,
         _ => panic!("no beat"),
     }
 }
@@ -308,25 +332,25 @@
                 roads.evacuate(1, 10 + (roads.now * 100.0) as u64, roads.now % 2.0 < 1.0);
                 // Both take themselves for the lookout, each in its term.
                 term += 1;
-                let list = |term, version| Hosts { term, version, lines: Vec::new() };
-                roads.step(6, |control, now| control.list(now, list(term, 9)));
-                roads.step(1, |control, now| control.list(now, list(term + 1, 1)));
+                let list = |term, version| HostList { term, version, instances: Vec::new() };
+                roads.step(6, |control, now| control.set_host_list(now, list(term, 9)));
+                roads.step(1, |control, now| control.set_host_list(now, list(term + 1, 1)));
                 hailed(&mut roads, length, 0, |roads| {
                     let (theirs, other) = (beat(roads, 6), beat(roads, 1));
-                    let age = theirs.confirmed.expect("confirmed before");
+                    let age = theirs.confirmed_age.expect("confirmed before");
                     assert!(age >= roads.now - began, "confirmed {age} s ago");
-                    assert!(theirs.vector.chart <= other.vector.chart);
-                    assert!(theirs.vector.evacuations <= other.vector.evacuations);
-                    for post in &theirs.posts {
-                        let known = (1..6).flat_map(|node| beat(roads, node).posts);
-                        let newest = known.filter(|p| p.duty == post.duty).map(|p| p.term).max();
+                    assert!(theirs.versions.configuration <= other.versions.configuration);
+                    assert!(theirs.versions.evacuations <= other.versions.evacuations);
+                    for post in &theirs.leases {
+                        let known = (1..6).flat_map(|node| beat(roads, node).leases);
+                        let newest = known.filter(|p| p.role == post.role).map(|p| p.term).max();
                         assert!(newest.is_none_or(|term| term >= post.term), "{post:?}, not {newest:?}");
                     }
                 });
                 roads.cut.clear();
                 hailed(&mut roads, 1.5, 0, |_| {});
-                assert!(beat(&roads, 6).confirmed.is_some_and(|age| age < 1.0));
-                let (theirs, other) = (beat(&roads, 6).vector, beat(&roads, 1).vector);
+                assert!(beat(&roads, 6).confirmed_age.is_some_and(|age| age < 1.0));
+                let (theirs, other) = (beat(&roads, 6).versions, beat(&roads, 1).versions);
                 assert_eq!((theirs.evacuations, theirs.hosts), (other.evacuations, (term + 1, 1)));
             }
         }
@@ -348,16 +372,16 @@
     roads.start(1);
     hailed(&mut roads, 8.0, 0, |roads| {
         let control = &roads.live[&1];
-        assert_eq!(beat(roads, 1).confirmed, None);
-        let pieces = control.lacking(roads.now, &Vector::default(), false);
-        let given = pieces.iter().any(|p| matches!(p, Piece::Chosen(..) | Piece::Pilots(_)));
+        assert_eq!(beat(roads, 1).confirmed_age, None);
+        let pieces = control.updates_for(roads.now, &VersionVector::default(), false);
+        let given = pieces.iter().any(|p| matches!(p, StateUpdate::Chosen(..) | StateUpdate::DataNodes(_)));
         assert!(!given, "{pieces:?}");
     });
     // Now it hears of them from 2, which had learned them, and may be behind by now.
-    let told = roads.live[&2].lacking(roads.now, &Vector::default(), true);
-    assert!(told.iter().any(|p| matches!(p, Piece::Chosen(Register::Chart, _))));
-    roads.step(1, |control, now| control.take(now, told));
-    assert_eq!((roads.stamp(1, Register::Chart), beat(&roads, 1).confirmed), (8, None));
+    let told = roads.live[&2].updates_for(roads.now, &VersionVector::default(), true);
+    assert!(told.iter().any(|p| matches!(p, StateUpdate::Chosen(Register::Configuration, _))));
+    roads.step(1, |control, now| control.apply_updates(now, told));
+    assert_eq!((roads.stamp(1, Register::Configuration), beat(&roads, 1).confirmed_age), (8, None));
 }
 
 /// Guards against a gateway that vouches for the configuration before it knows which zones are evacuated.
@@ -365,14 +389,15 @@
 fn who_started_vouches_for_nothing_before_it_knows_all_registers() {
     for seed in 0..40 {
         let mut roads = six(seed);
-        let stands = beat(&roads, 1).vector;
+        let stands = beat(&roads, 1).versions;
         roads.kill(6);
         roads.start(6);
         roads.lossy = 0.6;
         hailed(&mut roads, 2.0, 0, |roads| {
             let told = beat(roads, 6);
-            let all = told.vector.chart == stands.chart && told.vector.evacuations == stands.evacuations;
-            assert!(all || told.confirmed.is_none(), "seed {seed}: {:?}", told.vector);
+            let all = told.versions.configuration == stands.configuration
+                && told.versions.evacuations == stands.evacuations;
+            assert!(all || told.confirmed_age.is_none(), "seed {seed}: {:?}", told.versions);
         });
     }
 }
@@ -384,13 +409,13 @@
     let all = |least: usize| {
         move |roads: &Roads| {
             for (node, control) in &roads.live {
-                if control.vector(roads.now).pilots != 0 {
-                    let count = control.journal.roster.counted().len();
+                if control.versions(roads.now).data_nodes != 0 {
+                    let count = control.event_log.registry.possibly_active().len();
                     assert!(
                         count >= least,
                         "{node} tells of {count} at {} {:?}",
                         roads.now,
-                        control.journal.roster.counted()
+                        control.event_log.registry.possibly_active()
                     );
                 }
             }
@@ -403,11 +428,11 @@
     // What comes to the other one meanwhile is heard of in a roundabout way.
     hailed(&mut roads, 1.5, 3, all(12));
     hailed(&mut roads, 5.0, 3, all(15));
-    assert!(roads.live[&1].vector(roads.now).pilots != 0, "1 is in contact");
+    assert!(roads.live[&1].versions(roads.now).data_nodes != 0, "1 is in contact");
     // Where half of the control gateways are gone for good, those of the majority of voters still tell.
     (4..=6).for_each(|node| roads.kill(node));
     hailed(&mut roads, 5.0, 0, all(15));
-    assert!(roads.live[&1].vector(roads.now).pilots != 0);
+    assert!(roads.live[&1].versions(roads.now).data_nodes != 0);
     // From all, through a start in the middle of it or not.
     for restarted in [false, true] {
         let mut roads = six(2);
@@ -418,18 +443,20 @@
             roads.start(6);
         }
         hailed(&mut roads, 40.0, 0, all(12));
-        assert_eq!(roads.live[&6].vector(roads.now).pilots, 0, "cut off it tells nobody");
+        assert_eq!(roads.live[&6].versions(roads.now).data_nodes, 0, "cut off it tells nobody");
         roads.cut.clear();
         // Their links come up anew.
         for node in 1..6 {
-            let greeting = roads.live[&node].greeting();
-            roads.step(6, |control, now| control.hear(now, node, greeting));
-            let greeting = roads.live[&6].greeting();
-            roads.step(node, |control, now| control.hear(now, 6, greeting));
+            let greeting = roads.live[&node].peer_hello();
+            roads.step(6, |control, now| control.step(now, node, greeting));
+            let greeting = roads.live[&6].peer_hello();
+            roads.step(node, |control, now| control.step(now, 6, greeting));
         }
         hailed(&mut roads, 5.0, 0, all(12));
-        let count = |node: Node| roads.live[&node].journal.roster.counted().len();
-        assert!((1..=6).all(|node| count(node) == 12 && roads.live[&node].vector(roads.now).pilots != 0));
+        let count = |node: NodeId| roads.live[&node].event_log.registry.possibly_active().len();
+        assert!(
+            (1..=6).all(|node| count(node) == 12 && roads.live[&node].versions(roads.now).data_nodes != 0)
+        );
     }
 }
 
@@ -437,36 +464,36 @@
 /// was lost, or the same with another text.
 #[test]
 fn what_is_founded_anew_comes_after_all_before() {
-    let of = |founding: u64, round, stamp, text: &'static str| Held {
-        ballot: ballot(Muster { epoch: founding << 32, ..Muster::default() }.least_round() + round),
-        stamp,
+    let of = |founding: u64, round, stamp, text: &'static str| AcceptedValue {
+        proposal: ballot(VoterSet { epoch: founding << 32, ..VoterSet::default() }.first_round() + round),
+        revision: stamp,
         value: text.into(),
-        ..Held::default()
+        ..AcceptedValue::default()
     };
     let mut roads = Roads::new(1, 3, 3);
     roads.run(0.5);
-    let hear = |roads: &mut Roads, held: Held| {
+    let hear = |roads: &mut Roads, held: AcceptedValue| {
         let mut learned = false;
         roads.step(1, |control, now| {
-            let acts = control.take(now, vec![Piece::Chosen(Register::Chart, held)]);
+            let acts = control.apply_updates(now, vec![StateUpdate::Chosen(Register::Configuration, held)]);
             learned = !acts.is_empty();
             acts
         });
         learned
     };
     assert!(hear(&mut roads, of(0, 900, 9, "lost")));
-    let before = roads.live[&1].vector(roads.now);
+    let before = roads.live[&1].versions(roads.now);
     for (round, stamp, text, news) in
         [(1, 8, "older", true), (2, 9, "another", true), (3, 9, "another", false)]
     {
         assert_eq!(hear(&mut roads, of(1, round, stamp, text)), news, "{text}");
-        let held = roads.live[&1].helm.chosen(Register::Chart).expect("held");
-        assert_eq!((held.stamp, held.value.as_ref()), (stamp, text.as_bytes()));
-        assert!(roads.live[&1].vector(roads.now).chart > before.chart);
+        let held = roads.live[&1].proposer.chosen(Register::Configuration).expect("held");
+        assert_eq!((held.revision, held.value.as_ref()), (stamp, text.as_bytes()));
+        assert!(roads.live[&1].versions(roads.now).configuration > before.configuration);
     }
-    let lacking = roads.live[&1].lacking(roads.now, &before, false);
-    assert!(lacking.iter().any(|piece| matches!(piece, Piece::Chosen(Register::Chart, _))));
-    let mine = roads.live[&1].vector(roads.now);
-    let lacking = roads.live[&1].lacking(roads.now, &mine, false);
-    assert!(!lacking.iter().any(|piece| matches!(piece, Piece::Chosen(..))), "once is enough");
+    let lacking = roads.live[&1].updates_for(roads.now, &before, false);
+    assert!(lacking.iter().any(|piece| matches!(piece, StateUpdate::Chosen(Register::Configuration, _))));
+    let mine = roads.live[&1].versions(roads.now);
+    let lacking = roads.live[&1].updates_for(roads.now, &mine, false);
+    assert!(!lacking.iter().any(|piece| matches!(piece, StateUpdate::Chosen(..))), "once is enough");
 }
--- a/crates/consensus/tests/duties.rs
+++ b/crates/consensus/tests/duties.rs
@@ -1,12 +1,14 @@
 //! Duties: stories that the models found, and an abstract model of grants, gone through to its end.
 
-use archlink_consensus::Act;
-use archlink_consensus::duties::Duties;
-use archlink_messages::{Duty, Muster, Poll, Post, Word};
+use archlink_consensus::Effect;
+use archlink_consensus::leases::Leases;
+use archlink_messages::{ConsensusMessage, LeaseGrant, Message, SingletonRole, VoterSet};
 
-fn bid(acts: &[Act]) -> Option<(Post, u64)> {
+fn bid(acts: &[Effect]) -> Option<(LeaseGrant, u64)> {
     acts.iter().find_map(|act| match act {
-        Act::Send(_, Word::Poll(_, Poll::Bid(post, serial))) if post.duty == Duty::Tally => {
+        Effect::Send(_, Message::Consensus(_, ConsensusMessage::LeaseRequest(post, serial)))
+            if post.role == SingletonRole::QuotaCounter =>
+        {
             Some((*post, *serial))
         }
         _ => None,
@@ -17,15 +19,15 @@
 /// word that gave it back came late, or twice, and freed a voter that the holder counted on.
 #[test]
 fn a_term_that_was_given_back_is_not_bid_for_again() {
-    let mut duties = Duties::new(0.0, 4, 1, &[]);
-    duties.set_muster(&Muster::first(&[1, 2, 3]));
+    let mut duties = Leases::new(0.0, 4, 1, &[]);
+    duties.set_voter_set(&VoterSet::initial(&[1, 2, 3]));
     let mut terms = Vec::new();
     for n in 0..100 {
         let now = f64::from(n) * 0.05;
         if let Some((post, serial)) = bid(&duties.tick(now)) {
             terms.push(post.term);
             // One voter of three grants: not enough.
-            duties.hear(now, 1, &Poll::Grant(post, serial));
+            duties.step(now, 1, &ConsensusMessage::LeaseGranted(post, serial));
         }
     }
     assert!(terms.len() > 3 && terms.windows(2).all(|two| two[0] < two[1]), "{terms:?}");
@@ -35,24 +37,30 @@
 /// power, and granted another the next term while the holder counted on the renewal.
 #[test]
 fn a_renewal_waits_for_the_disk_until_the_term_is_on_it() {
-    let mut duties = Duties::new(0.0, 1, 1, &[]);
-    duties.set_muster(&Muster::first(&[1, 2, 3]));
-    let post = Post { duty: Duty::Tally, holder: 2, term: 1 };
-    let said_at_once =
-        |acts: &[Act]| acts.iter().any(|act| matches!(act, Act::Send(_, Word::Poll(_, Poll::Grant(..)))));
-    let bid = duties.hear(0.0, 2, &Poll::Bid(post, 7));
-    let Some(Act::Store(record, then)) = bid.first() else { panic!("{bid:?}") };
-    assert_eq!(record.posts, [post]);
-    assert!(!said_at_once(&duties.hear(0.2, 2, &Poll::Renew(post, 8))));
+    let mut duties = Leases::new(0.0, 1, 1, &[]);
+    duties.set_voter_set(&VoterSet::initial(&[1, 2, 3]));
+    let post = LeaseGrant { role: SingletonRole::QuotaCounter, holder: 2, term: 1 };
+    let said_at_once = |acts: &[Effect]| {
+        acts.iter().any(|act| {
+            matches!(act, Effect::Send(_, Message::Consensus(_, ConsensusMessage::LeaseGranted(..))))
+        })
+    };
+    let bid = duties.step(0.0, 2, &ConsensusMessage::LeaseRequest(post, 7));
+    let Some(Effect::Store(record, then)) = bid.first() else { panic!("{bid:?}") };
+    assert_eq!(record.grants, [post]);
+    assert!(!said_at_once(&duties.step(0.2, 2, &ConsensusMessage::LeaseRenewal(post, 8))));
     // Nobody else's word stands for the disk.
-    duties.hear(0.2, 2, &Poll::Kept(post));
-    assert!(!said_at_once(&duties.hear(0.3, 2, &Poll::Renew(post, 9))));
+    duties.step(0.2, 2, &ConsensusMessage::GrantPersisted(post));
+    assert!(!said_at_once(&duties.step(0.3, 2, &ConsensusMessage::LeaseRenewal(post, 9))));
     for (to, word) in then {
-        if let (1, Word::Poll(_, poll)) = (*to, word) {
-            duties.hear(0.4, 1, poll);
+        if let (1, Message::Consensus(_, poll)) = (*to, word) {
+            duties.step(0.4, 1, poll);
         }
     }
-    assert!(said_at_once(&duties.hear(0.5, 2, &Poll::Renew(post, 10))), "renewals cost no disk after that");
+    assert!(
+        said_at_once(&duties.step(0.5, 2, &ConsensusMessage::LeaseRenewal(post, 10))),
+        "renewals cost no disk after that"
+    );
 }
 
 /// Grants as an abstract model: lengths in ticks that each clock counts down by itself, no moments; words late or never;
--- a/crates/consensus/tests/fleet.rs
+++ b/crates/consensus/tests/fleet.rs
@@ -3,7 +3,7 @@
 //! was acknowledged is lost; no duty has two holders; whoever has something confirmed holds nothing older.
 
 use archlink_consensus::Outcome;
-use archlink_messages::{DUTIES, Duty, Mark, Node, Register};
+use archlink_messages::{NodeId, Register, SINGLETON_ROLES, SingletonRole, VersionDigest};
 use archlink_simulation::Fleet;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,8 +18,8 @@
     (1..=4).for_each(|node| fleet.start(node, false));
     fleet.run(1.5);
     for control in fleet.live.values() {
-        assert_eq!(control.helm.chosen(Register::Chart).map(|held| held.stamp), Some(8));
-        assert!(control.helm.confirmed(Register::Chart).is_some_and(|at| at > fleet.now - 1.0));
+        assert_eq!(control.proposer.chosen(Register::Configuration).map(|held| held.revision), Some(8));
+        assert!(control.proposer.confirmed(Register::Configuration).is_some_and(|at| at > fleet.now - 1.0));
     }
 }
 
@@ -34,7 +34,9 @@
         fleet.run(0.004 * (seed % 5) as f64);
         fleet.replace(3, 2, 5);
         fleet.run(1.5);
-        let stands = |token| Outcome::Stands(Mark { version: 5, digest: archlink_simulation::digest(token) });
+        let stands = |token| {
+            Outcome::VersionConflict(VersionDigest { version: 5, digest: archlink_simulation::digest(token) })
+        };
         let one = BTreeMap::from([(1, Outcome::Chosen), (2, stands(1))]);
         let other = BTreeMap::from([(1, stands(2)), (2, Outcome::Chosen)]);
         assert!(fleet.done == one || fleet.done == other, "seed {seed}: {:?}", fleet.done);
@@ -42,7 +44,7 @@
         fleet.run(1.0);
         assert_eq!(fleet.done.get(&3), Some(&Outcome::Chosen));
         let stamps: BTreeSet<u64> =
-            fleet.checks.lines[&Register::Chart].values.values().map(|v| v.stamp).collect();
+            fleet.checks.lines[&Register::Configuration].values.values().map(|v| v.stamp).collect();
         assert_eq!(stamps.len(), 1, "seed {seed}");
     }
 }
@@ -74,9 +76,9 @@
         );
         fleet.start(2, false);
         fleet.run(5.0);
-        let held = fleet.live[&3].helm.chosen(Register::Chart).map(|held| held.stamp);
+        let held = fleet.live[&3].proposer.chosen(Register::Configuration).map(|held| held.revision);
         assert_eq!(held, Some(10), "seed {seed}");
-        assert!(fleet.live[&1].voter.whole(), "seed {seed}");
+        assert!(fleet.live[&1].acceptor.is_recovered(), "seed {seed}");
     }
 }
 
@@ -87,11 +89,14 @@
     for seed in 0..40 {
         let mut fleet = Fleet::new(seed);
         fleet.run(2.0);
-        let holder = fleet.agreed(Duty::Tally).expect("a holder that all know");
+        let holder = fleet.agreed(SingletonRole::QuotaCounter).expect("a holder that all know");
         fleet.freeze(holder, 2.0 + (seed % 7) as f64 * 0.1);
         fleet.run(5.0);
-        let agreed = fleet.agreed(Duty::Tally).expect("one that all know again");
-        assert!(fleet.live[&agreed].duties.holds(fleet.now, Duty::Tally).is_some(), "seed {seed}");
+        let agreed = fleet.agreed(SingletonRole::QuotaCounter).expect("one that all know again");
+        assert!(
+            fleet.live[&agreed].leases.held_lease(fleet.now, SingletonRole::QuotaCounter).is_some(),
+            "seed {seed}"
+        );
     }
 }
 
@@ -101,8 +106,8 @@
     let mut fleet = Fleet::new(3);
     fleet.run(2.0);
     let terms = |fleet: &Fleet| {
-        let posts = fleet.live.values().flat_map(|c| c.duties.posts(fleet.now));
-        posts.map(|post| (post.duty, post.term)).collect::<BTreeMap<_, _>>()
+        let posts = fleet.live.values().flat_map(|c| c.leases.holders(fleet.now));
+        posts.map(|post| (post.role, post.term)).collect::<BTreeMap<_, _>>()
     };
     let before = terms(&fleet);
     (1..=4).for_each(|node| fleet.kill(node, false));
@@ -110,7 +115,7 @@
     // A holder without a vote has nothing on disk that names it: its grants are waited out.
     fleet.run(1.3);
     let after = terms(&fleet);
-    for duty in DUTIES {
+    for duty in SINGLETON_ROLES {
         assert!(after.get(&duty) > before.get(&duty), "{before:?} {after:?}");
     }
 }
@@ -124,11 +129,14 @@
         // All ways alike: the successor's bid comes to no voter before the word that makes room for it.
         fleet.net.spread = 0.0;
         fleet.run(2.0);
-        let holder = fleet.agreed(Duty::Lookout).expect("a holder");
+        let holder = fleet.agreed(SingletonRole::HostDiscovery).expect("a holder");
         fleet.step(holder, |control, now| control.leave(now));
         fleet.run(0.15);
         fleet.kill(holder, false);
-        let next = fleet.live.iter().find(|(_, c)| c.duties.holds(fleet.now, Duty::Lookout).is_some());
+        let next = fleet
+            .live
+            .iter()
+            .find(|(_, c)| c.leases.held_lease(fleet.now, SingletonRole::HostDiscovery).is_some());
         assert!(next.is_some(), "seed {seed}");
     }
 }
@@ -143,7 +151,7 @@
         fleet.net.lossy = 0.05;
         let mut token = 0;
         for &(what, who, length) in plan.iter().take(16) {
-            let (node, other) = (Node::from(who % 4) + 1, Node::from(who / 4 % 4) + 1);
+            let (node, other) = (NodeId::from(who % 4) + 1, NodeId::from(who / 4 % 4) + 1);
             token += 1;
             match what % 7 {
                 0 | 1 => fleet.replace(node, token, token + u64::from(what) % 3),
@@ -151,7 +159,7 @@
                 3 => fleet.freeze(node, f64::from(length) / 64.0),
                 4 => fleet.kill(node, false),
                 // One lost disk is borne at a time: the next one only once this one has read from the others.
-                5 if fleet.live.values().all(|control| control.voter.whole()) => {
+                5 if fleet.live.values().all(|control| control.acceptor.is_recovered()) => {
                     fleet.kill(node, true);
                 }
                 _ => {
@@ -160,19 +168,20 @@
                 }
             }
             fleet.run(f64::from(length) / 128.0);
-            let down: Vec<Node> = (1..=4).filter(|node| !fleet.live.contains_key(node)).collect();
+            let down: Vec<NodeId> = (1..=4).filter(|node| !fleet.live.contains_key(node)).collect();
             down.into_iter().for_each(|node| fleet.start(node, false));
         }
         fleet.heal();
         fleet.run(6.0);
         let newest = fleet.checks.acknowledged();
         for control in fleet.live.values() {
-            let held = control.helm.chosen(Register::Chart).map_or(0, |held| held.stamp);
+            let held = control.proposer.chosen(Register::Configuration).map_or(0, |held| held.revision);
             assert!(held >= newest, "{held} is held, {newest} was acknowledged");
         }
         // Guards against voters that grant themselves again and again, so that none ever wins.
-        for duty in DUTIES {
-            let holder = fleet.agreed(duty).and_then(|node| fleet.live[&node].duties.holds(fleet.now, duty));
+        for duty in SINGLETON_ROLES {
+            let holder =
+                fleet.agreed(duty).and_then(|node| fleet.live[&node].leases.held_lease(fleet.now, duty));
             assert!(holder.is_some(), "nobody holds {duty:?}");
         }
     });
@@ -196,8 +205,8 @@
         (1..=2).for_each(|node| fleet.start(node, false));
         fleet.run(6.0);
         for (node, control) in &fleet.live {
-            let held = control.helm.chosen(Register::Chart).map(|held| held.stamp);
-            assert!(held == Some(8) && control.voter.whole(), "seed {seed}, node {node}");
+            let held = control.proposer.chosen(Register::Configuration).map(|held| held.revision);
+            assert!(held == Some(8) && control.acceptor.is_recovered(), "seed {seed}, node {node}");
         }
     }
 }
--- a/crates/consensus/tests/late.rs
+++ b/crates/consensus/tests/late.rs
@@ -1,40 +1,43 @@
 //! Words that come very late, and a disk that is lost meanwhile: stories that the models found, each with the very cores and
 //! nothing else, so that the order of words is the test's.
 
-use archlink_consensus::helm::{Change, Helm};
-use archlink_consensus::voter::Voter;
-use archlink_consensus::{Act, Outcome};
-use archlink_messages::{Ballot, Held, Muster, Node, Poll, Register, Slot, Word};
+use archlink_consensus::acceptor::Acceptor;
+use archlink_consensus::proposer::{Change, Proposer};
+use archlink_consensus::{Effect, Outcome};
+use archlink_messages::{
+    AcceptedValue, AcceptorState, ConsensusMessage, Message, NodeId, ProposalNumber, Register, VoterSet,
+};
 use bytes::Bytes;
 use std::collections::BTreeMap;
 
-const R: Register = Register::Chart;
+const R: Register = Register::Configuration;
 
-fn muster() -> Muster {
-    Muster::first(&[1, 2, 3])
+fn muster() -> VoterSet {
+    VoterSet::initial(&[1, 2, 3])
 }
 
-fn polls(acts: &[Act]) -> Vec<Poll> {
-    let word = |word: &Word| if let Word::Poll(_, poll) = word { vec![poll.clone()] } else { Vec::new() };
-    let of = |act: &Act| match act {
-        Act::Send(_, sent) => word(sent),
-        Act::Store(_, then) => then.iter().flat_map(|(_, sent)| word(sent)).collect(),
+fn polls(acts: &[Effect]) -> Vec<ConsensusMessage> {
+    let word =
+        |word: &Message| if let Message::Consensus(_, poll) = word { vec![poll.clone()] } else { Vec::new() };
+    let of = |act: &Effect| match act {
+        Effect::Send(_, sent) => word(sent),
+        Effect::Store(_, then) => then.iter().flat_map(|(_, sent)| word(sent)).collect(),
         _ => Vec::new(),
     };
     acts.iter().flat_map(of).collect()
 }
 
-fn ballot(round: u64, node: Node) -> Ballot {
-    Ballot { round, node, nonce: 7 }
+fn ballot(round: u64, node: NodeId) -> ProposalNumber {
+    ProposalNumber { round, node, nonce: 7 }
 }
 
-fn held(ballot: Ballot, text: &'static str) -> Held {
-    Held { ballot, stamp: 8, value: Bytes::from(text), marks: Vec::new() }
+fn held(ballot: ProposalNumber, text: &'static str) -> AcceptedValue {
+    AcceptedValue { proposal: ballot, revision: 8, value: Bytes::from(text), recent_versions: Vec::new() }
 }
 
-fn voter(node: Node, slots: Option<BTreeMap<Register, Slot>>) -> Voter {
-    let mut voter = Voter::new(0.0, node, slots);
-    voter.set_muster(&muster());
+fn voter(node: NodeId, slots: Option<BTreeMap<Register, AcceptorState>>) -> Acceptor {
+    let mut voter = Acceptor::new(0.0, node, slots);
+    voter.set_voter_set(&muster());
     voter
 }
 
@@ -42,19 +45,21 @@
 /// others, and only then the second took it; a writer that stood still meanwhile counted both.
 #[test]
 fn what_was_accepted_counts_only_while_its_attempt_lives() {
-    let mut helm = Helm::new(4, 1);
-    helm.set_muster(0.0, &muster());
-    let change = Change::Chart { version: 7, digest: [1; 16], text: Bytes::from("text") };
-    let Some(Poll::Prepare(_, ballot)) = polls(&helm.propose(0.0, change, 1)).first().cloned() else {
+    let mut helm = Proposer::new(4, 1);
+    helm.set_voter_set(0.0, &muster());
+    let change = Change::Configuration { version: 7, digest: [1; 16], text: Bytes::from("text") };
+    let Some(ConsensusMessage::Prepare(_, ballot)) = polls(&helm.propose(0.0, change, 1)).first().cloned()
+    else {
         panic!("an attempt begins with a question")
     };
     for node in [1, 2] {
-        helm.hear(0.05, node, &Poll::Promise(R, ballot, None));
+        helm.step(0.05, node, &ConsensusMessage::Promise(R, ballot, None));
     }
-    helm.hear(0.1, 1, &Poll::Accepted(R, ballot));
+    helm.step(0.1, 1, &ConsensusMessage::Accepted(R, ballot));
     // No tick: the process stood still, and the words that came are heard first.
-    let acts = helm.hear(5.0, 2, &Poll::Accepted(R, ballot));
-    let chosen = |act: &Act| matches!(act, Act::Learned(_) | Act::Done(_, Outcome::Chosen));
+    let acts = helm.step(5.0, 2, &ConsensusMessage::Accepted(R, ballot));
+    let chosen =
+        |act: &Effect| matches!(act, Effect::Learned(_) | Effect::ProposalResolved(_, Outcome::Chosen));
     assert!(!acts.iter().any(chosen), "{acts:?}");
 }
 
@@ -67,25 +72,29 @@
     let (mut two, mut three) = (voter(2, Some(BTreeMap::new())), voter(3, Some(BTreeMap::new())));
     // The early attempt is accepted by voter 2 alone, and given up. The late one has promises of voter 1, whose disk is lost
     // right after, and of voter 3: nobody holds anything, so it is free to choose, and its words are on their way.
-    two.hear(4, &Poll::Prepare(R, early));
-    two.hear(4, &Poll::Accept(R, held(early, "early")));
-    three.hear(3, &Poll::Prepare(R, late));
+    two.step(4, &ConsensusMessage::Prepare(R, early));
+    two.step(4, &ConsensusMessage::Accept(R, held(early, "early")));
+    three.step(3, &ConsensusMessage::Prepare(R, late));
     let mut one = voter(1, None);
     let mut asked = Vec::new();
     for n in 0..100 {
         asked.extend(one.tick(f64::from(n) * 0.05));
     }
-    let Some(Poll::Recall(serial)) = polls(&asked).last().cloned() else { panic!("it asks") };
+    let Some(ConsensusMessage::StateTransferRequest(serial)) = polls(&asked).last().cloned() else {
+        panic!("it asks")
+    };
     for (node, teller) in [(2, &two), (3, &three)] {
-        one.hear(node, &Poll::Recalled(serial, teller.slots(), Vec::new()));
+        one.step(node, &ConsensusMessage::StateTransferReply(serial, teller.registers(), Vec::new()));
     }
-    let names = |voter: &mut Voter, ballot| {
-        let answers = polls(&voter.hear(4, &Poll::Ask(1)));
-        answers.iter().any(|p| matches!(p, Poll::Answer(_, held) if held.contains(&(R, ballot))))
+    let names = |voter: &mut Acceptor, ballot| {
+        let answers = polls(&voter.step(4, &ConsensusMessage::ReadRequest(1)));
+        answers
+            .iter()
+            .any(|p| matches!(p, ConsensusMessage::ReadReply(_, held) if held.contains(&(R, ballot))))
     };
     let early_chosen = names(&mut one, early) && names(&mut two, early);
-    one.hear(3, &Poll::Accept(R, held(late, "late")));
-    three.hear(3, &Poll::Accept(R, held(late, "late")));
+    one.step(3, &ConsensusMessage::Accept(R, held(late, "late")));
+    three.step(3, &ConsensusMessage::Accept(R, held(late, "late")));
     let late_chosen = names(&mut one, late) && names(&mut three, late);
     assert!(!(early_chosen && late_chosen), "both are taken for chosen");
 }
--- a/crates/consensus/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -2,31 +2,33 @@
 //! which everything late may still arrive. The states are those of the very voter and writer; only the network is made up:
 //! any message on its way may come next, or never. Must find the planted fault: a voter with an emptied disk that is counted.
 
-use archlink_consensus::helm::{Change, Helm};
-use archlink_consensus::voter::Voter;
-use archlink_consensus::{Act, Record};
-use archlink_messages::{Ballot, Muster, Node, Poll, Register, Slot, Word};
+use archlink_consensus::acceptor::Acceptor;
+use archlink_consensus::proposer::{Change, Proposer};
+use archlink_consensus::{DurableRecord, Effect};
+use archlink_messages::{
+    AcceptorState, ConsensusMessage, Message, NodeId, ProposalNumber, Register, VoterSet,
+};
 use stateright::{Checker, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
 use std::hash::{Hash, Hasher};
 
-const VOTERS: [Node; 3] = [1, 2, 3];
+const VOTERS: [NodeId; 3] = [1, 2, 3];
 /// Later than any attempt lives, and than an emptied voter waits.
 const LATER: f64 = 5.0;
 
 #[derive(Clone, Debug)]
 struct State {
     now: f64,
-    voters: BTreeMap<Node, Voter>,
-    helms: BTreeMap<Node, Helm>,
-    disks: BTreeMap<Node, BTreeMap<Register, Slot>>,
-    way: Vec<(Node, Node, Word)>,
+    voters: BTreeMap<NodeId, Acceptor>,
+    helms: BTreeMap<NodeId, Proposer>,
+    disks: BTreeMap<NodeId, BTreeMap<Register, AcceptorState>>,
+    way: Vec<(NodeId, NodeId, Message)>,
     wiped: bool,
     later: bool,
     proposed: u32,
     /// Which voters ever accepted what: a ballot that a majority has accepted is chosen.
-    accepted: BTreeMap<Ballot, (u64, Vec<u8>, BTreeSet<Node>)>,
+    accepted: BTreeMap<ProposalNumber, (u64, Vec<u8>, BTreeSet<NodeId>)>,
 }
 
 /// What is written goes into a hash and is kept nowhere.
@@ -67,28 +69,33 @@
 }
 
 impl State {
-    fn act(&mut self, node: Node, acts: Vec<Act>) {
+    fn act(&mut self, node: NodeId, acts: Vec<Effect>) {
         for act in acts {
             match act {
-                Act::Send(to, word) => self.way.push((node, to, word)),
-                Act::Store(Record { slots, .. }, then) => {
+                Effect::Send(to, word) => self.way.push((node, to, word)),
+                Effect::Store(DurableRecord { acceptors: slots, .. }, then) => {
                     for (register, slot) in slots {
-                        if let Some(held) = &slot.held {
-                            let fresh = (held.stamp, held.value.to_vec(), BTreeSet::new());
-                            self.accepted.entry(held.ballot).or_insert(fresh).2.insert(node);
+                        if let Some(held) = &slot.accepted {
+                            let fresh = (held.revision, held.value.to_vec(), BTreeSet::new());
+                            self.accepted.entry(held.proposal).or_insert(fresh).2.insert(node);
                         }
                         self.disks.entry(node).or_default().insert(register, slot);
                     }
                     self.way.extend(then.into_iter().map(|(to, word)| (node, to, word)));
                 }
-                Act::Learned(_) | Act::Done(..) => {}
+                Effect::Learned(_) | Effect::ProposalResolved(..) => {}
             }
         }
         // Which of two is on its way first makes no difference here, and what was said to nobody who acts on it is gone.
         let helms = &self.helms;
-        let acts = |poll: &Poll| matches!(poll, Poll::Promise(..) | Poll::Accepted(..) | Poll::Refuse(..));
+        let acts = |poll: &ConsensusMessage| {
+            matches!(
+                poll,
+                ConsensusMessage::Promise(..) | ConsensusMessage::Accepted(..) | ConsensusMessage::Reject(..)
+            )
+        };
         self.way.retain(
-            |(_, to, word)| !matches!(word, Word::Poll(_, poll) if acts(poll) && !helms.contains_key(to)),
+            |(_, to, word)| !matches!(word, Message::Consensus(_, poll) if acts(poll) && !helms.contains_key(to)),
         );
         self.way.sort_by_cached_key(|word| format!("{word:?}"));
     }
@@ -96,23 +103,26 @@
     fn deliver(&mut self, n: usize) {
         let (from, to, word) = self.way.remove(n);
         let now = self.now;
-        let Word::Poll(_, poll) = &word else { return };
+        let Message::Consensus(_, poll) = &word else { return };
         let acts = match poll {
-            Poll::Promise(..) | Poll::Accepted(..) | Poll::Refuse(..) => match self.helms.get_mut(&to) {
-                Some(helm) => helm.hear(now, from, poll),
-                None => Vec::new(),
-            },
-            Poll::Recall(serial) if self.voters[&to].whole() => {
-                let slots = self.voters[&to].slots();
-                let told = Word::Poll(1, Poll::Recalled(*serial, slots, Vec::new()));
-                vec![Act::Store(Record::default(), vec![(from, told)])]
+            ConsensusMessage::Promise(..) | ConsensusMessage::Accepted(..) | ConsensusMessage::Reject(..) => {
+                match self.helms.get_mut(&to) {
+                    Some(helm) => helm.step(now, from, poll),
+                    None => Vec::new(),
+                }
+            }
+            ConsensusMessage::StateTransferRequest(serial) if self.voters[&to].is_recovered() => {
+                let slots = self.voters[&to].registers();
+                let told =
+                    Message::Consensus(1, ConsensusMessage::StateTransferReply(*serial, slots, Vec::new()));
+                vec![Effect::Store(DurableRecord::default(), vec![(from, told)])]
             }
-            _ => self.voters.get_mut(&to).map_or(Vec::new(), |voter| voter.hear(from, poll)),
+            _ => self.voters.get_mut(&to).map_or(Vec::new(), |voter| voter.step(from, poll)),
         };
         self.act(to, acts);
     }
 
-    fn chosen(&self) -> Vec<(&Ballot, u64, &[u8])> {
+    fn chosen(&self) -> Vec<(&ProposalNumber, u64, &[u8])> {
         let all = self.accepted.iter().filter(|(_, (_, _, who))| who.len() > VOTERS.len() / 2);
         all.map(|(ballot, (stamp, value, _))| (ballot, *stamp, value.as_slice())).collect()
     }
@@ -129,14 +139,14 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        let voter = |node: &Node| {
-            let mut voter = Voter::new(0.0, *node, Some(BTreeMap::new()));
-            voter.set_muster(&Muster::first(&VOTERS));
+        let voter = |node: &NodeId| {
+            let mut voter = Acceptor::new(0.0, *node, Some(BTreeMap::new()));
+            voter.set_voter_set(&VoterSet::initial(&VOTERS));
             (*node, voter)
         };
-        let helm = |node: &Node| {
-            let mut helm = Helm::new(*node, u64::from(*node));
-            helm.set_muster(0.0, &Muster::first(&VOTERS));
+        let helm = |node: &NodeId| {
+            let mut helm = Proposer::new(*node, u64::from(*node));
+            helm.set_voter_set(0.0, &VoterSet::initial(&VOTERS));
             (*node, helm)
         };
         vec![State {
@@ -174,7 +184,7 @@
                 state.proposed += 1;
                 let node = state.proposed;
                 let text = format!("by {node}").into();
-                let change = Change::Chart { version: 7, digest: [node as u8; 16], text };
+                let change = Change::Configuration { version: 7, digest: [node as u8; 16], text };
                 let now = state.now;
                 let acts = state.helms.get_mut(&node)?.propose(now, change, u64::from(node));
                 state.act(node, acts);
@@ -182,8 +192,8 @@
             Action::Wipe => {
                 state.wiped = true;
                 state.disks.remove(&1);
-                let mut voter = Voter::new(state.now, 1, self.forgetful.then(BTreeMap::new));
-                voter.set_muster(&Muster::first(&VOTERS));
+                let mut voter = Acceptor::new(state.now, 1, self.forgetful.then(BTreeMap::new));
+                voter.set_voter_set(&VoterSet::initial(&VOTERS));
                 state.voters.insert(1, voter);
             }
             Action::Later => {
@@ -202,7 +212,7 @@
             Property::always("chosen values form one line", |_, state: &State| state.one_line()),
             Property::sometimes("something is chosen", |_, state: &State| !state.chosen().is_empty()),
             Property::sometimes("an emptied voter is whole again", |_, state: &State| {
-                state.later && state.voters[&1].whole()
+                state.later && state.voters[&1].is_recovered()
             }),
         ]
     }
--- a/crates/consensus/tests/numbers.rs
+++ b/crates/consensus/tests/numbers.rs
@@ -3,23 +3,25 @@
 
 mod roads;
 
-use archlink_consensus::helm::{Change, Helm, LIFE, MARKS};
-use archlink_consensus::{Act, Outcome};
-use archlink_messages::{Mark, Muster, Node, Poll, Register, Word, evacuated};
+use archlink_consensus::proposer::{Change, MAX_RECENT_VERSIONS, PROPOSAL_TIMEOUT, Proposer};
+use archlink_consensus::{Effect, Outcome};
+use archlink_messages::{
+    ConsensusMessage, Message, NodeId, Register, VersionDigest, VoterSet, decode_evacuated_zones,
+};
 use roads::Roads;
 use std::collections::BTreeMap;
 
 /// Longest search for a smaller case of a failure.
 const SHRINK: std::time::Duration = std::time::Duration::from_secs(5);
 
-const GATEWAYS: Node = 8;
+const GATEWAYS: NodeId = 8;
 const NUMBER: u64 = 5;
 /// A caller that is not answered moves on after this, which is longer than any order lives.
 const SILENCE: f64 = 1.0;
 
 struct Caller {
     text: u8,
-    at: Node,
+    at: NodeId,
     token: u64,
     since: f64,
     /// What it was told in the end.
@@ -39,7 +41,7 @@
 
 impl Race {
     fn new(seed: u64, texts: u8) -> Race {
-        let mut roads = Roads::new(seed, 3 + 2 * (seed % 2) as Node, GATEWAYS);
+        let mut roads = Roads::new(seed, 3 + 2 * (seed % 2) as NodeId, GATEWAYS);
         roads.run(0.5);
         (roads.lossy, roads.twice, roads.sync, roads.fine) = (0.1, 0.2, 0.02, 0.005);
         let mut race =
@@ -54,7 +56,7 @@
 
     fn send(&mut self, n: usize) {
         self.tokens += 1;
-        let at = 1 + self.roads.chance.rand_range(0..u64::from(GATEWAYS)) as Node;
+        let at = 1 + self.roads.chance.rand_range(0..u64::from(GATEWAYS)) as NodeId;
         let caller = &mut self.callers[n];
         (caller.at, caller.token, caller.since) = (at, self.tokens, self.roads.now);
         self.texts.insert(self.tokens, caller.text);
@@ -69,13 +71,13 @@
             let text = self.texts[&token];
             let stands = match outcome {
                 Outcome::Chosen => text,
-                Outcome::Stands(mark) => {
-                    assert_eq!(mark, Mark { version: NUMBER, digest: [mark.digest[0]; 16] });
+                Outcome::VersionConflict(mark) => {
+                    assert_eq!(mark, VersionDigest { version: NUMBER, digest: [mark.digest[0]; 16] });
                     assert_ne!(mark.digest[0], text, "its own text stands");
                     mark.digest[0]
                 }
-                Outcome::Unclear => continue,
-                Outcome::Refused(_) => panic!("refused"),
+                Outcome::Unknown => continue,
+                Outcome::Rejected(_) => panic!("refused"),
             };
             assert_eq!(*self.winner.get_or_insert(stands), stands, "two texts under one number");
             let mine = self.callers.iter_mut().filter(|caller| caller.token == token);
@@ -96,7 +98,7 @@
                 let ended = self.roads.outcome(token).is_some();
                 if told.is_none() && (gone || ended) {
                     if let Some(control) = self.roads.live.get_mut(&at) {
-                        control.helm.withdraw(token);
+                        control.proposer.withdraw(token);
                     }
                     self.send(n);
                 }
@@ -116,7 +118,7 @@
         .for_each(|(seed, texts, plan)| {
             let mut race = Race::new(*seed, 2 + texts % 7);
             for &(what, who, length) in plan.iter().take(12) {
-                let (node, other) = (Node::from(who % 8) + 1, Node::from(who / 8 % 8) + 1);
+                let (node, other) = (NodeId::from(who % 8) + 1, NodeId::from(who / 8 % 8) + 1);
                 let roads = &mut race.roads;
                 match what % 6 {
                     0 => drop(roads.cut.insert((node, other))),
@@ -127,7 +129,7 @@
                     _ => roads.cut.clear(),
                 }
                 race.run(f64::from(length) / 256.0);
-                let dead: Vec<Node> =
+                let dead: Vec<NodeId> =
                     (1..=GATEWAYS).filter(|node| !race.roads.live.contains_key(node)).collect();
                 dead.into_iter().for_each(|node| race.roads.start(node));
             }
@@ -136,8 +138,8 @@
             (race.roads.lossy, race.roads.sync) = (0.0, 0.02);
             race.run(8.0);
             let winner = race.winner.expect("one was taken");
-            let mark = Mark { version: NUMBER, digest: [winner; 16] };
-            let told = |text| if text == winner { Outcome::Chosen } else { Outcome::Stands(mark) };
+            let mark = VersionDigest { version: NUMBER, digest: [winner; 16] };
+            let told = |text| if text == winner { Outcome::Chosen } else { Outcome::VersionConflict(mark) };
             for caller in &race.callers {
                 assert_eq!(caller.told, Some(told(caller.text)), "text {}", caller.text);
             }
@@ -148,11 +150,11 @@
             assert_eq!(roads.until(1000), Outcome::Chosen);
             for text in 0..race.callers.len() as u8 {
                 let token = 2000 + u64::from(text);
-                roads.replace(1 + Node::from(text) % GATEWAYS, token, NUMBER, text);
+                roads.replace(1 + NodeId::from(text) % GATEWAYS, token, NUMBER, text);
                 assert_eq!(roads.until(token), told(text), "text {text} after a higher number");
             }
             roads.run(0.5);
-            assert!((1..=GATEWAYS).all(|node| roads.stamp(node, Register::Chart) == NUMBER + 4));
+            assert!((1..=GATEWAYS).all(|node| roads.stamp(node, Register::Configuration) == NUMBER + 4));
         });
 }
 
@@ -165,16 +167,20 @@
     let mut token = 0;
     let mut order = |roads: &mut Roads, version, text| {
         token += 1;
-        roads.replace(1 + (token % 3) as Node, token, version, text);
+        roads.replace(1 + (token % 3) as NodeId, token, version, text);
         roads.until(token)
     };
-    for n in 0..MARKS as u64 + 1 {
+    for n in 0..MAX_RECENT_VERSIONS as u64 + 1 {
         assert_eq!(order(&mut roads, 10 * (n + 1), n as u8), Outcome::Chosen);
     }
-    let (oldest, newest) = (20, 10 * (MARKS as u64 + 1));
-    let mark = |version, text| Outcome::Stands(Mark { version, digest: [text; 16] });
+    let (oldest, newest) = (20, 10 * (MAX_RECENT_VERSIONS as u64 + 1));
+    let mark = |version, text| Outcome::VersionConflict(VersionDigest { version, digest: [text; 16] });
     assert_eq!(order(&mut roads, oldest, 200), mark(oldest, 1), "the oldest in the line");
-    assert_eq!(order(&mut roads, newest, 200), mark(newest, MARKS as u8), "the one that stands");
+    assert_eq!(
+        order(&mut roads, newest, 200),
+        mark(newest, MAX_RECENT_VERSIONS as u8),
+        "the one that stands"
+    );
     assert_eq!(order(&mut roads, oldest, 1), Outcome::Chosen);
     for (version, text) in [(15, 200), (15, 201), (10, 200)] {
         assert_eq!(
@@ -183,9 +189,9 @@
             "{version} was never seen, or long ago"
         );
     }
-    let held = roads.live[&1].helm.chosen(Register::Chart).expect("a configuration").clone();
-    assert_eq!((held.stamp, held.marks.len()), (newest + 1, MARKS));
-    assert_eq!(held.value, format!("text {MARKS}"));
+    let held = roads.live[&1].proposer.chosen(Register::Configuration).expect("a configuration").clone();
+    assert_eq!((held.revision, held.recent_versions.len()), (newest + 1, MAX_RECENT_VERSIONS));
+    assert_eq!(held.value, format!("text {MAX_RECENT_VERSIONS}"));
 }
 
 /// An operator alone: `Begin`, again at other gateways until it is acknowledged, then `Finish` likewise. Nothing that is
@@ -207,7 +213,7 @@
                 loop {
                     (token, calls) = (token + 1, calls + 1);
                     if let Some(&(what, who, length)) = plan.next() {
-                        let node = Node::from(who % 5) + 1;
+                        let node = NodeId::from(who % 5) + 1;
                         match what % 5 {
                             0 => roads.cut_off(node, what & 8 == 0, what & 16 == 0),
                             1 => drop(roads.frozen.insert(node, roads.now + f64::from(length) / 100.0)),
@@ -219,7 +225,7 @@
                         roads.cut.clear();
                         (roads.lossy, roads.sync) = (0.0, 0.01);
                     }
-                    let at = 1 + roads.chance.rand_range(0..5) as Node;
+                    let at = 1 + roads.chance.rand_range(0..5) as NodeId;
                     let (since, frozen) = (roads.now, !roads.awake(at));
                     // Its connection may break off at any time, which an order is told of unless its gateway stands still.
                     let breaks = since + 1.2 * roads.chance.rand_float();
@@ -233,7 +239,7 @@
                         roads.turn();
                     }
                     if let Some(control) = roads.live.get_mut(&at) {
-                        control.helm.withdraw(token);
+                        control.proposer.withdraw(token);
                     }
                     assert!(calls < 60, "never acknowledged");
                     if roads.outcome(token) == Some(Outcome::Chosen) {
@@ -245,8 +251,8 @@
             roads.frozen.clear();
             roads.run(4.0);
             for control in roads.live.values() {
-                let held = control.helm.chosen(Register::Evacuations).expect("a set of zones");
-                assert!(evacuated(&held.value).is_empty(), "the evacuation is back");
+                let held = control.proposer.chosen(Register::Evacuations).expect("a set of zones");
+                assert!(decode_evacuated_zones(&held.value).is_empty(), "the evacuation is back");
             }
         });
 }
@@ -262,15 +268,15 @@
     while !roads.accepts.contains_key(&4) {
         roads.turn();
     }
-    roads.live.get_mut(&4).expect("a gateway").helm.withdraw(1);
+    roads.live.get_mut(&4).expect("a gateway").proposer.withdraw(1);
     for (token, on) in [(2, true), (3, false)] {
         roads.evacuate(1, token, on);
         assert_eq!(roads.until(token), Outcome::Chosen);
     }
     roads.unheard.clear();
     roads.run(2.0);
-    let held = roads.live[&1].helm.chosen(Register::Evacuations).expect("a set of zones");
-    assert!(evacuated(&held.value).is_empty(), "undone by what was left of an order");
+    let held = roads.live[&1].proposer.chosen(Register::Evacuations).expect("a set of zones");
+    assert!(decode_evacuated_zones(&held.value).is_empty(), "undone by what was left of an order");
 }
 
 /// After its time nothing is asked to be accepted, however long the gateway stood still between two steps; and each order
@@ -288,7 +294,7 @@
         roads.frozen.insert(4, roads.now + 0.05 * (seed % 30) as f64);
         roads.run(3.0);
         let last = roads.accepts.get(&4).copied().unwrap_or(0.0);
-        assert!(last <= began + LIFE, "seed {seed}: {} after it came", last - began);
+        assert!(last <= began + PROPOSAL_TIMEOUT, "seed {seed}: {} after it came", last - began);
         assert!(roads.outcome(1).is_some() && roads.outcome(2).is_some(), "seed {seed}");
     }
 }
@@ -299,10 +305,10 @@
     let mut roads = Roads::new(7, 3, 5);
     roads.run(0.5);
     // Sends an order that voters beyond `reached` are never asked to accept.
-    let half = |roads: &mut Roads, node: Node, token: u64, text: u8, reached: Node| {
+    let half = |roads: &mut Roads, node: NodeId, token: u64, text: u8, reached: NodeId| {
         roads.unheard.extend((reached + 1..=3).map(|voter| (node, voter)));
         roads.replace(node, token, NUMBER, text);
-        assert_eq!(roads.until(token), Outcome::Unclear);
+        assert_eq!(roads.until(token), Outcome::Unknown);
     };
     half(&mut roads, 4, 1, 1, 1);
     roads.kill(4);
@@ -316,7 +322,7 @@
     assert_eq!(roads.until(3), Outcome::Chosen, "nothing stands in its way");
     roads.cut.clear();
     roads.replace(3, 4, NUMBER, 1);
-    assert_eq!(roads.until(4), Outcome::Stands(Mark { version: NUMBER, digest: [2; 16] }));
+    assert_eq!(roads.until(4), Outcome::VersionConflict(VersionDigest { version: NUMBER, digest: [2; 16] }));
 }
 
 /// Guards against an order acknowledged by voters of which one had lost its disk, and was back, before the other heard of it:
@@ -324,23 +330,24 @@
 #[test]
 fn what_is_accepted_after_its_time_is_not_acknowledged() {
     for (woke, acknowledged) in [(0.5, true), (3.0, false)] {
-        let mut helm = Helm::new(9, 1);
-        helm.set_muster(0.0, &Muster::first(&[1, 2, 3]));
+        let mut helm = Proposer::new(9, 1);
+        helm.set_voter_set(0.0, &VoterSet::initial(&[1, 2, 3]));
         let (version, digest, text) = (NUMBER, [1; 16], "text".into());
-        helm.propose(1.0, Change::Chart { version, digest, text }, 1);
-        let sent = |acts: Vec<Act>| {
-            let poll = |act| if let Act::Send(_, Word::Poll(_, poll)) = act { Some(poll) } else { None };
+        helm.propose(1.0, Change::Configuration { version, digest, text }, 1);
+        let sent = |acts: Vec<Effect>| {
+            let poll =
+                |act| if let Effect::Send(_, Message::Consensus(_, poll)) = act { Some(poll) } else { None };
             acts.into_iter().find_map(poll)
         };
-        let Some(Poll::Prepare(register, ballot)) = sent(helm.tick(1.36)) else {
+        let Some(ConsensusMessage::Prepare(register, ballot)) = sent(helm.tick(1.36)) else {
             panic!("no second attempt")
         };
-        helm.hear(1.4, 1, &Poll::Promise(register, ballot, None));
-        let asked = sent(helm.hear(1.4, 2, &Poll::Promise(register, ballot, None)));
-        assert!(matches!(asked, Some(Poll::Accept(..))));
-        helm.hear(1.4, 1, &Poll::Accepted(register, ballot));
-        let acts = helm.hear(1.0 + woke, 2, &Poll::Accepted(register, ballot));
-        let done = acts.iter().any(|act| matches!(act, Act::Done(1, Outcome::Chosen)));
+        helm.step(1.4, 1, &ConsensusMessage::Promise(register, ballot, None));
+        let asked = sent(helm.step(1.4, 2, &ConsensusMessage::Promise(register, ballot, None)));
+        assert!(matches!(asked, Some(ConsensusMessage::Accept(..))));
+        helm.step(1.4, 1, &ConsensusMessage::Accepted(register, ballot));
+        let acts = helm.step(1.0 + woke, 2, &ConsensusMessage::Accepted(register, ballot));
+        let done = acts.iter().any(|act| matches!(act, Effect::ProposalResolved(1, Outcome::Chosen)));
         assert_eq!((done, helm.chosen(register).is_some()), (acknowledged, acknowledged));
     }
 }
--- a/crates/consensus/tests/replaced.rs
+++ b/crates/consensus/tests/replaced.rs
@@ -3,8 +3,8 @@
 //! as if a silent seat were given away after 300 s: the planted fault, which is found.
 
 use archlink_consensus::Outcome;
-use archlink_consensus::control::Control;
-use archlink_messages::{Duty, Muster, Node, Register};
+use archlink_consensus::control::ControlNodeState;
+use archlink_messages::{NodeId, Register, SingletonRole, VoterSet};
 use archlink_simulation::Fleet;
 use std::collections::BTreeSet;
 
@@ -15,7 +15,7 @@
 /// After the last loss, until everything has to be right again, in seconds.
 const RECOVERY: f64 = 8.0;
 
-fn fleet(seed: u64, (needed, size): (usize, Node), catch_up: f64) -> Fleet {
+fn fleet(seed: u64, (needed, size): (usize, NodeId), catch_up: f64) -> Fleet {
     let mut fleet = Fleet::empty(seed, needed, size);
     fleet.catch_up = catch_up;
     (1..=size).for_each(|node| fleet.start(node, true));
@@ -29,21 +29,21 @@
 /// Links of 12 ms each way, and syncs of that long on every disk.
 fn far_and_slow(fleet: &mut Fleet, sync: f64) {
     (fleet.net.least, fleet.net.spread) = (0.012, 0.002);
-    let nodes: Vec<Node> = fleet.nodes().collect();
+    let nodes: Vec<NodeId> = fleet.nodes().collect();
     nodes.into_iter().for_each(|node| fleet.set_sync(node, sync));
 }
 
 /// The set that the newest epoch names, as far as anybody who is there knows.
-fn newest(fleet: &Fleet) -> Muster {
-    fleet.live.values().map(Control::muster).max_by_key(|muster| muster.epoch).unwrap().clone()
+fn newest(fleet: &Fleet) -> VoterSet {
+    fleet.live.values().map(ControlNodeState::voter_set).max_by_key(|muster| muster.epoch).unwrap().clone()
 }
 
 /// Does an order come through at every gateway that is there, with all that was acknowledged before?
 fn serves(fleet: &mut Fleet) -> bool {
-    let nodes: Vec<Node> = fleet.live.keys().copied().collect();
+    let nodes: Vec<NodeId> = fleet.live.keys().copied().collect();
     nodes.into_iter().all(|node| {
         let (token, acknowledged) = (1_000_000 + fleet.steps, fleet.checks.acknowledged());
-        let held = fleet.live[&node].helm.chosen(Register::Chart).map_or(0, |held| held.stamp);
+        let held = fleet.live[&node].proposer.chosen(Register::Configuration).map_or(0, |held| held.revision);
         fleet.replace(node, token, 1000 + fleet.now as u64 * 100 + u64::from(node));
         fleet.run(1.0);
         held >= acknowledged && fleet.done.get(&token) == Some(&Outcome::Chosen)
@@ -53,8 +53,8 @@
 /// One machine's end, its successor's start, and the moment from which on the next loss is allowed.
 #[derive(Clone, Copy, Debug)]
 struct Replaced {
-    old: Node,
-    new: Node,
+    old: NodeId,
+    new: NodeId,
     /// Seconds between the two.
     gap: f64,
     /// The new one starts first, and the old one is told to end.
@@ -80,17 +80,17 @@
 }
 
 /// As the program does on SIGTERM, within 5.1 s: the seat goes to another one first, if there is one.
-fn end_in_order(fleet: &mut Fleet, node: Node) {
+fn end_in_order(fleet: &mut Fleet, node: NodeId) {
     fleet.step(node, |control, now| control.leave(now));
     let until = fleet.now + 5.1;
     fleet.run(0.5);
-    while fleet.now < until && !fleet.live[&node].may_end(fleet.clock(node)) {
+    while fleet.now < until && !fleet.live[&node].may_shut_down(fleet.clock(node)) {
         fleet.run(0.05);
     }
     fleet.kill(node, true);
 }
 
-fn wiped_and_back(fleet: &mut Fleet, node: Node) {
+fn wiped_and_back(fleet: &mut Fleet, node: NodeId) {
     fleet.power_off(node, true);
     fleet.run(1.2);
     fleet.start(node, false);
@@ -103,7 +103,7 @@
         far_and_slow(&mut fleet, sync);
         replaced.play(&mut fleet);
         let Some(&victim) =
-            newest(&fleet).voters().iter().filter(|node| fleet.live.contains_key(node)).nth(n)
+            newest(&fleet).all_voters().iter().filter(|node| fleet.live.contains_key(node)).nth(n)
         else {
             return true;
         };
@@ -119,7 +119,7 @@
 fn a_replaced_voter_and_the_next_lost_disk_are_borne() {
     for seed in 0..3 {
         for (gap, planned) in [(0.5, false), (1.0, false), (5.0, false), (1.0, true), (5.0, true)] {
-            let replaced = Replaced { old: 1 + seed as Node % 3, new: 5, gap, planned };
+            let replaced = Replaced { old: 1 + seed as NodeId % 3, new: 5, gap, planned };
             for sync in [0.002, 0.2] {
                 assert!(replaced_then_wiped(seed, replaced, sync, CATCH_UP), "{seed} {replaced:?} {sync}");
             }
@@ -166,10 +166,10 @@
     fleet.run(2.5);
     fleet.join(5);
     fleet.run(1.0);
-    let seats = newest(&fleet).seats;
+    let seats = newest(&fleet).voters;
     seats.iter().take(2).for_each(|&node| fleet.hang(node, 1.9));
     fleet.run(1.9 + CATCH_UP);
-    let nodes: Vec<Node> = fleet.live.keys().copied().collect();
+    let nodes: Vec<NodeId> = fleet.live.keys().copied().collect();
     nodes.iter().for_each(|&node| fleet.kill(node, false));
     fleet.run(1.2);
     nodes.iter().for_each(|&node| fleet.start(node, false));
@@ -190,14 +190,14 @@
     let bears = |seed: u64, catch_up: f64| {
         let mut fleet = fleet(seed, (5, 6), catch_up);
         far_and_slow(&mut fleet, 0.02);
-        let seats = newest(&fleet).seats;
+        let seats = newest(&fleet).voters;
         let gone = [seats[seed as usize % 5], seats[(seed as usize + 1 + seed as usize / 5) % 5]];
         gone.iter().for_each(|&node| fleet.kill(node, true));
         fleet.run(0.5);
         [7, 8].iter().for_each(|&node| fleet.join(node));
         fleet.run(LONGER);
-        let left: Vec<Node> =
-            newest(&fleet).seats.into_iter().filter(|node| fleet.live.contains_key(node)).collect();
+        let left: Vec<NodeId> =
+            newest(&fleet).voters.into_iter().filter(|node| fleet.live.contains_key(node)).collect();
         left.iter().take(2).for_each(|&node| fleet.power_off(node, true));
         fleet.run(1.2);
         left.iter().take(2).for_each(|&node| fleet.start(node, false));
@@ -264,11 +264,11 @@
             fleet.step(node, |control, now| control.leave(now));
             let until = fleet.now + 5.1;
             fleet.run(0.5);
-            while fleet.now < until && !fleet.live[&node].may_end(fleet.clock(node)) {
+            while fleet.now < until && !fleet.live[&node].may_shut_down(fleet.clock(node)) {
                 fleet.run(0.05);
             }
             assert!(fleet.now < until, "seed {seed}: {node} found nobody to take its seat");
-            assert!(!newest(&fleet).votes(node), "seed {seed}: {node} ends with a seat");
+            assert!(!newest(&fleet).contains(node), "seed {seed}: {node} ends with a seat");
             fleet.kill(node, false);
             fleet.run(1.0);
             fleet.start(node, false);
@@ -277,7 +277,7 @@
         }
         let changes = (newest(&fleet).epoch - before) / 2;
         assert!(changes <= 4, "seed {seed}: {changes} changes");
-        assert!(fleet.holder(Duty::Tally).is_some(), "seed {seed}");
+        assert!(fleet.holder(SingletonRole::QuotaCounter).is_some(), "seed {seed}");
     }
 }
 
@@ -288,7 +288,7 @@
         let mut fleet = fleet(seed, (3, 4), CATCH_UP);
         far_and_slow(&mut fleet, 0.01);
         end_in_order(&mut fleet, 3);
-        let known: BTreeSet<u64> = fleet.live.values().map(|control| control.muster().epoch).collect();
+        let known: BTreeSet<u64> = fleet.live.values().map(|control| control.voter_set().epoch).collect();
         assert_eq!(known.len(), 1, "seed {seed}: {known:?}");
         wiped_and_back(&mut fleet, 1);
         fleet.run(RECOVERY);
@@ -303,10 +303,15 @@
         let mut fleet = fleet(seed, (3, 4), CATCH_UP);
         fleet.hang(2, 20.0);
         fleet.run(2.0 * CATCH_UP);
-        assert!(!newest(&fleet).votes(2), "seed {seed}: {:?}", newest(&fleet));
+        assert!(!newest(&fleet).contains(2), "seed {seed}: {:?}", newest(&fleet));
         wiped_and_back(&mut fleet, 1);
         fleet.run(RECOVERY);
-        assert!(fleet.live[&3].helm.confirmed(Register::Chart).is_some_and(|at| at > fleet.clock(3) - 2.0));
+        assert!(
+            fleet.live[&3]
+                .proposer
+                .confirmed(Register::Configuration)
+                .is_some_and(|at| at > fleet.clock(3) - 2.0)
+        );
     }
 }
 
@@ -315,14 +320,16 @@
 fn an_address_that_is_gone_for_good_is_forgotten() {
     let mut fleet = fleet(1, (3, 4), CATCH_UP);
     Replaced { old: 1, new: 5, gap: 0.5, planned: false }.play(&mut fleet);
-    let named = |fleet: &Fleet, node: Node| -> Vec<Node> {
-        let roster = &fleet.live[&node].journal.roster;
-        roster.named_keepers(fleet.clock(node)).iter().map(|keeper| keeper.node).collect()
+    let named = |fleet: &Fleet, node: NodeId| -> Vec<NodeId> {
+        let roster = &fleet.live[&node].event_log.registry;
+        roster.advertised_control_nodes(fleet.clock(node)).iter().map(|keeper| keeper.node).collect()
     };
     assert!(named(&fleet, 2).contains(&1), "it may only be away for a moment");
     fleet.run(30.0);
     (2..=5).for_each(|node| assert_eq!(named(&fleet, node), [2, 3, 4, 5], "told by {node}"));
-    let known = |fleet: &Fleet| fleet.live[&3].journal.roster.keepers().iter().any(|keeper| keeper.node == 1);
+    let known = |fleet: &Fleet| {
+        fleet.live[&3].event_log.registry.control_nodes().iter().any(|keeper| keeper.node == 1)
+    };
     assert!(known(&fleet), "it is called for longer");
     fleet.run(600.0);
     assert!(!known(&fleet));
@@ -348,7 +355,7 @@
         fleet.disks.values().fold((0, 0), |(syncs, bytes), disk| (syncs + disk.syncs, bytes + disk.bytes))
     };
     let (began, epoch, before) = (fleet.now, newest(&fleet).epoch, written(&fleet));
-    fleet.kill(1 + seed as Node % 3, true);
+    fleet.kill(1 + seed as NodeId % 3, true);
     let mut seen =
         Repair { took: f64::INFINITY, without_orders: 0.0, without_counts: 0.0, syncs: 0, bytes: 0 };
     let (mut taken, mut held, mut token) = (began, began, 10);
@@ -362,10 +369,10 @@
             token += 1;
             fleet.evacuate(asked, token, "z", token % 2 == 0);
         }
-        held = if fleet.holder(Duty::Tally).is_some() { fleet.now } else { held };
+        held = if fleet.holder(SingletonRole::QuotaCounter).is_some() { fleet.now } else { held };
         seen.without_orders = seen.without_orders.max(fleet.now - taken);
         seen.without_counts = seen.without_counts.max(fleet.now - held);
-        let there = |control: &Control| control.muster().epoch == epoch + 2;
+        let there = |control: &ControlNodeState| control.voter_set().epoch == epoch + 2;
         if seen.took.is_infinite() && fleet.live.values().all(there) {
             seen.took = fleet.now - began;
             let after = written(&fleet);
--- a/crates/consensus/tests/roads/mod.rs
+++ b/crates/consensus/tests/roads/mod.rs
@@ -2,19 +2,22 @@
 //! play on. A disk takes what waits together, with one sync for all, and says so only then.
 #![allow(dead_code)]
 
-use archlink_consensus::control::{Control, Start};
-use archlink_consensus::helm::Change;
-use archlink_consensus::{Act, Outcome, Record};
-use archlink_messages::{Duty, Keeper, Muster, Node, Poll, Post, Register, Slot, Word};
+use archlink_consensus::control::{ControlNodeState, InitialState};
+use archlink_consensus::proposer::Change;
+use archlink_consensus::{DurableRecord, Effect, Outcome};
+use archlink_messages::{
+    AcceptorState, ConsensusMessage, ControlNode, LeaseGrant, Message, NodeId, Register, SingletonRole,
+    VoterSet,
+};
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Clone, Default)]
 pub struct Disk {
-    slots: BTreeMap<Register, Slot>,
-    posts: BTreeMap<Duty, Post>,
-    muster: Muster,
-    queue: Vec<(Record, Vec<(Node, Word)>)>,
-    writing: Vec<(Record, Vec<(Node, Word)>)>,
+    slots: BTreeMap<Register, AcceptorState>,
+    posts: BTreeMap<SingletonRole, LeaseGrant>,
+    muster: VoterSet,
+    queue: Vec<(DurableRecord, Vec<(NodeId, Message)>)>,
+    writing: Vec<(DurableRecord, Vec<(NodeId, Message)>)>,
     until: f64,
 }
 
@@ -23,13 +26,13 @@
     /// One step of time.
     pub fine: f64,
     pub chance: oorandom::Rand64,
-    pub live: BTreeMap<Node, Control>,
-    disks: BTreeMap<Node, Disk>,
-    pub frozen: BTreeMap<Node, f64>,
-    pub cut: BTreeSet<(Node, Node)>,
+    pub live: BTreeMap<NodeId, ControlNodeState>,
+    disks: BTreeMap<NodeId, Disk>,
+    pub frozen: BTreeMap<NodeId, f64>,
+    pub cut: BTreeSet<(NodeId, NodeId)>,
     /// Ways on which words that ask to accept are lost, and no others.
-    pub unheard: BTreeSet<(Node, Node)>,
-    way: Vec<(f64, Node, Node, Word)>,
+    pub unheard: BTreeSet<(NodeId, NodeId)>,
+    way: Vec<(f64, NodeId, NodeId, Message)>,
     /// Each way takes from this to twice as long.
     pub far: f64,
     pub lossy: f64,
@@ -43,13 +46,13 @@
     pub asks: usize,
     pub bytes: usize,
     /// When each gateway last asked for anything to be accepted.
-    pub accepts: BTreeMap<Node, f64>,
-    seats: Vec<Node>,
-    size: Node,
+    pub accepts: BTreeMap<NodeId, f64>,
+    seats: Vec<NodeId>,
+    size: NodeId,
 }
 
 impl Roads {
-    pub fn new(seed: u64, seats: Node, size: Node) -> Roads {
+    pub fn new(seed: u64, seats: NodeId, size: NodeId) -> Roads {
         let mut roads = Roads {
             now: 10.0,
             fine: 0.002,
@@ -76,26 +79,26 @@
         roads
     }
 
-    pub fn start(&mut self, node: Node) {
+    pub fn start(&mut self, node: NodeId) {
         let disk = self.disks.entry(node).or_default();
-        if !disk.muster.known() {
-            disk.muster = Muster::first(&self.seats);
+        if !disk.muster.is_known() {
+            disk.muster = VoterSet::initial(&self.seats);
         }
-        let start = Start {
-            keeper: keeper(node),
-            needed: self.seats.len(),
+        let start = InitialState {
+            identity: keeper(node),
+            required_voters: self.seats.len(),
             // No seat is given away within these tests.
             catch_up: 1000.0,
-            slots: Some(disk.slots.clone()),
-            muster: disk.muster.clone(),
-            posts: disk.posts.values().copied().collect(),
+            acceptors: Some(disk.slots.clone()),
+            voter_set: disk.muster.clone(),
+            grants: disk.posts.values().copied().collect(),
             seed: self.chance.rand_u64(),
         };
-        self.live.insert(node, Control::new(self.now, start));
+        self.live.insert(node, ControlNodeState::new(self.now, start));
         for other in (1..=self.size).filter(|other| *other != node) {
             for (from, to) in [(node, other), (other, node)] {
                 if let Some(control) = self.live.get(&from) {
-                    let greeting = control.greeting();
+                    let greeting = control.peer_hello();
                     self.send(from, to, greeting);
                 }
             }
@@ -103,7 +106,7 @@
     }
 
     /// What was not on its disk is lost.
-    pub fn kill(&mut self, node: Node) {
+    pub fn kill(&mut self, node: NodeId) {
         self.live.remove(&node);
         self.frozen.remove(&node);
         if let Some(disk) = self.disks.get_mut(&node) {
@@ -112,7 +115,7 @@
     }
 
     /// Cuts, or joins again, a gateway from all others, each way by itself.
-    pub fn cut_off(&mut self, node: Node, out: bool, into: bool) {
+    pub fn cut_off(&mut self, node: NodeId, out: bool, into: bool) {
         for other in (1..=self.size).filter(|other| *other != node) {
             for (pair, cut) in [((node, other), out), ((other, node), into)] {
                 if cut {
@@ -124,8 +127,8 @@
         }
     }
 
-    fn send(&mut self, from: Node, to: Node, word: Word) {
-        if let Word::Poll(_, Poll::Accept(..)) = word {
+    fn send(&mut self, from: NodeId, to: NodeId, word: Message) {
+        if let Message::Consensus(_, ConsensusMessage::Accept(..)) = word {
             self.accepts.insert(from, self.now);
             if self.unheard.contains(&(from, to)) {
                 return;
@@ -134,8 +137,10 @@
         if from == to {
             return self.way.push((self.now, from, to, word));
         }
-        if let Word::Poll(_, Poll::Ask(_) | Poll::Answer(..)) = word {
-            self.asks += usize::from(matches!(word, Word::Poll(_, Poll::Ask(_))));
+        if let Message::Consensus(_, ConsensusMessage::ReadRequest(_) | ConsensusMessage::ReadReply(..)) =
+            word
+        {
+            self.asks += usize::from(matches!(word, Message::Consensus(_, ConsensusMessage::ReadRequest(_))));
             self.bytes += postcard::to_stdvec(&word).unwrap().len() + 4;
         }
         if self.chance.rand_float() >= self.lossy && !self.cut.contains(&(from, to)) {
@@ -148,27 +153,27 @@
         }
     }
 
-    pub fn step(&mut self, node: Node, step: impl FnOnce(&mut Control, f64) -> Vec<Act>) {
+    pub fn step(&mut self, node: NodeId, step: impl FnOnce(&mut ControlNodeState, f64) -> Vec<Effect>) {
         let now = self.now;
         let Some(control) = self.live.get_mut(&node) else { return };
         let mut acts = step(control, now);
         // What is learned is told at once, as the program does.
-        if acts.iter().any(|act| matches!(act, Act::Learned(_))) {
-            acts.extend(control.beat_all(now));
+        if acts.iter().any(|act| matches!(act, Effect::Learned(_))) {
+            acts.extend(control.broadcast_heartbeat(now));
         }
         for act in acts {
             match act {
-                Act::Send(to, word) => self.send(node, to, word),
-                Act::Store(record, then) => {
+                Effect::Send(to, word) => self.send(node, to, word),
+                Effect::Store(record, then) => {
                     self.disks.entry(node).or_default().queue.push((record, then));
                 }
-                Act::Learned(_) => {}
-                Act::Done(token, outcome) => self.done.push((now, token, outcome)),
+                Effect::Learned(_) => {}
+                Effect::ProposalResolved(token, outcome) => self.done.push((now, token, outcome)),
             }
         }
     }
 
-    fn turn_disk(&mut self, node: Node) {
+    fn turn_disk(&mut self, node: NodeId) {
         let (now, sync) = (self.now, self.sync * (0.8 + 0.4 * self.chance.rand_float()));
         let Some(disk) = self.disks.get_mut(&node) else { return };
         if now < disk.until {
@@ -176,7 +181,7 @@
         }
         let mut kept = std::mem::take(&mut disk.writing);
         disk.writing = std::mem::take(&mut disk.queue);
-        let writes = disk.writing.iter().any(|(record, _)| *record != Record::default());
+        let writes = disk.writing.iter().any(|(record, _)| *record != DurableRecord::default());
         if self.grind || writes {
             disk.until = now + sync;
         } else {
@@ -184,14 +189,14 @@
         }
         for (record, then) in kept {
             let disk = self.disks.entry(node).or_default();
-            disk.muster = record.muster.unwrap_or(std::mem::take(&mut disk.muster));
-            disk.slots.extend(record.slots);
-            disk.posts.extend(record.posts.into_iter().map(|post| (post.duty, post)));
+            disk.muster = record.voter_set.unwrap_or(std::mem::take(&mut disk.muster));
+            disk.slots.extend(record.acceptors);
+            disk.posts.extend(record.grants.into_iter().map(|post| (post.role, post)));
             then.into_iter().for_each(|(to, word)| self.send(node, to, word));
         }
     }
 
-    pub fn awake(&self, node: Node) -> bool {
+    pub fn awake(&self, node: NodeId) -> bool {
         self.live.contains_key(&node) && self.frozen.get(&node).is_none_or(|until| *until <= self.now)
     }
 
@@ -204,7 +209,7 @@
         for (_, from, to, word) in due {
             match self.frozen.get(&to) {
                 Some(&until) if until > now => self.way.push((until, from, to, word)),
-                _ => self.step(to, |control, now| control.hear(now, from, word)),
+                _ => self.step(to, |control, now| control.step(now, from, word)),
             }
         }
         for node in 1..=self.size {
@@ -222,13 +227,14 @@
         }
     }
 
-    pub fn replace(&mut self, node: Node, token: u64, version: u64, text: u8) {
-        let change = Change::Chart { version, digest: [text; 16], text: format!("text {text}").into() };
+    pub fn replace(&mut self, node: NodeId, token: u64, version: u64, text: u8) {
+        let change =
+            Change::Configuration { version, digest: [text; 16], text: format!("text {text}").into() };
         self.step(node, |control, now| control.propose(now, change, token));
     }
 
-    pub fn evacuate(&mut self, node: Node, token: u64, on: bool) {
-        let change = Change::Evacuate { zone: "z".into(), on };
+    pub fn evacuate(&mut self, node: NodeId, token: u64, on: bool) {
+        let change = Change::Evacuation { zone: "z".into(), on };
         self.step(node, |control, now| control.propose(now, change, token));
     }
 
@@ -248,16 +254,16 @@
     }
 
     /// Seconds since a majority was asked that confirmed what a gateway holds.
-    pub fn age(&self, node: Node, register: Register) -> f64 {
-        self.live[&node].helm.confirmed(register).map_or(f64::INFINITY, |at| self.now - at)
+    pub fn age(&self, node: NodeId, register: Register) -> f64 {
+        self.live[&node].proposer.confirmed(register).map_or(f64::INFINITY, |at| self.now - at)
     }
 
-    pub fn stamp(&self, node: Node, register: Register) -> u64 {
-        self.live[&node].helm.chosen(register).map_or(0, |held| held.stamp)
+    pub fn stamp(&self, node: NodeId, register: Register) -> u64 {
+        self.live[&node].proposer.chosen(register).map_or(0, |held| held.revision)
     }
 }
 
-pub fn keeper(node: Node) -> Keeper {
+pub fn keeper(node: NodeId) -> ControlNode {
     let address = std::net::SocketAddrV4::new(node.into(), 80);
-    Keeper { node, zone: format!("z{node}"), region: "r".into(), control: address }
+    ControlNode { node, zone: format!("z{node}"), region: "r".into(), operator_address: address }
 }
--- a/crates/consensus/tests/seats.rs
+++ b/crates/consensus/tests/seats.rs
@@ -2,16 +2,19 @@
 //! hold here too: one set an epoch, one line of chosen values, one holder a duty). Where a property rests on a condition, the
 //! world plants the fault that the condition keeps out, and the test sees it found.
 
-use archlink_consensus::control::Control;
-use archlink_consensus::duties::Duties;
-use archlink_consensus::helm::{Change, Helm};
-use archlink_consensus::membership::Ended;
-use archlink_consensus::{Act, Outcome, Refusal, Reseat};
-use archlink_messages::{Ballot, Duty, Held, Muster, Node, Poll, Post, REGISTERS, Register, Word};
+use archlink_consensus::control::ControlNodeState;
+use archlink_consensus::leases::Leases;
+use archlink_consensus::membership::ChangeResult;
+use archlink_consensus::proposer::{Change, Proposer};
+use archlink_consensus::{Effect, MembershipChange, MembershipError, Outcome};
+use archlink_messages::{
+    AcceptedValue, ConsensusMessage, LeaseGrant, Message, NodeId, ProposalNumber, REGISTERS, Register,
+    SingletonRole, VoterSet,
+};
 use archlink_simulation::Fleet;
 use std::collections::BTreeSet;
 
-const REPLACE: Reseat = Reseat::Replace { old: 3, new: 4 };
+const REPLACE: MembershipChange = MembershipChange::Replace { old: 3, new: 4 };
 /// No caller's token is this.
 const ORDER: u64 = 100;
 
@@ -24,31 +27,31 @@
     fleet
 }
 
-fn muster(fleet: &Fleet, node: Node) -> &Muster {
-    fleet.live[&node].muster()
+fn muster(fleet: &Fleet, node: NodeId) -> &VoterSet {
+    fleet.live[&node].voter_set()
 }
 
 /// Epoch and set that all go by, none of which is on its way to another.
-fn stands(fleet: &Fleet, why: &str) -> Muster {
-    let sets: BTreeSet<&Muster> = fleet.live.values().map(Control::muster).collect();
-    assert!(sets.len() == 1 && sets.iter().all(|set| !set.changing()), "{why}: {sets:?}");
+fn stands(fleet: &Fleet, why: &str) -> VoterSet {
+    let sets: BTreeSet<&VoterSet> = fleet.live.values().map(ControlNodeState::voter_set).collect();
+    assert!(sets.len() == 1 && sets.iter().all(|set| !set.is_joint()), "{why}: {sets:?}");
     sets.into_iter().next().unwrap().clone()
 }
 
 /// All know what was acknowledged, and take another order through each gateway.
 fn sound(fleet: &mut Fleet, why: &str) {
-    let nodes: Vec<Node> = fleet.live.keys().copied().collect();
+    let nodes: Vec<NodeId> = fleet.live.keys().copied().collect();
     for node in nodes {
         let (token, newest) = (ORDER + u64::from(node), fleet.checks.acknowledged());
-        let held = fleet.live[&node].helm.chosen(Register::Chart).map_or(0, |held| held.stamp);
+        let held = fleet.live[&node].proposer.chosen(Register::Configuration).map_or(0, |held| held.revision);
         assert!(held >= newest, "{why}: {node} holds {held}, {newest} was acknowledged");
         // Above all numbers that were ever tried.
         fleet.replace(node, token, 1000 * fleet.now as u64 + u64::from(node));
         fleet.run(1.0);
         assert_eq!(fleet.done.get(&token), Some(&Outcome::Chosen), "{why}: through {node}");
     }
-    let whole = |node: &Node| fleet.live.get(node).is_none_or(|control| control.voter.whole());
-    assert!(stands(fleet, why).seats.iter().all(whole), "{why}: a voter is not whole");
+    let whole = |node: &NodeId| fleet.live.get(node).is_none_or(|control| control.acceptor.is_recovered());
+    assert!(stands(fleet, why).voters.iter().all(whole), "{why}: a voter is not whole");
 }
 
 fn until(fleet: &mut Fleet, most: f64, holds: impl Fn(&Fleet) -> bool) -> bool {
@@ -69,8 +72,11 @@
         fleet.reseat(through, 2, REPLACE);
         fleet.run(2.5);
         assert_eq!(fleet.done.get(&2), Some(&Outcome::Chosen), "{why}");
-        assert_eq!((stands(&fleet, &why).epoch, stands(&fleet, &why).seats), (3, vec![1, 2, 4]), "{why}");
-        assert_eq!(fleet.disks[&4].kept.slots[&Register::Chart].held.as_ref().unwrap().stamp, 8);
+        assert_eq!((stands(&fleet, &why).epoch, stands(&fleet, &why).voters), (3, vec![1, 2, 4]), "{why}");
+        assert_eq!(
+            fleet.disks[&4].kept.slots[&Register::Configuration].accepted.as_ref().unwrap().revision,
+            8
+        );
         // Sent again it holds still.
         fleet.reseat(2, 3, REPLACE);
         assert_eq!(fleet.done.get(&3), Some(&Outcome::Chosen), "{why}");
@@ -88,28 +94,29 @@
     let refused = |fleet: &mut Fleet, node, order, refusal| {
         let token = ORDER + fleet.done.len() as u64;
         fleet.reseat(node, token, order);
-        assert_eq!(fleet.done.get(&token), Some(&Outcome::Refused(refusal)));
+        assert_eq!(fleet.done.get(&token), Some(&Outcome::Rejected(refusal)));
     };
-    let replace = |old, new| Reseat::Replace { old, new };
-    refused(&mut fleet, 1, replace(4, 9), Refusal::NoSeat);
-    refused(&mut fleet, 1, replace(3, 2), Refusal::Seated);
-    refused(&mut fleet, 1, replace(3, 9), Refusal::Absent);
-    let found = |epoch, seats: &[Node]| Reseat::Refound { epoch, seats: seats.to_vec() };
-    refused(&mut fleet, 1, found(2, &[1]), Refusal::Epoch);
-    refused(&mut fleet, 1, found(1, &[2]), Refusal::NoSeat);
+    let replace = |old, new| MembershipChange::Replace { old, new };
+    refused(&mut fleet, 1, replace(4, 9), MembershipError::NotAVoter);
+    refused(&mut fleet, 1, replace(3, 2), MembershipError::AlreadyAVoter);
+    refused(&mut fleet, 1, replace(3, 9), MembershipError::Unreachable);
+    let found =
+        |epoch, seats: &[NodeId]| MembershipChange::ForceNewGeneration { epoch, voters: seats.to_vec() };
+    refused(&mut fleet, 1, found(2, &[1]), MembershipError::WrongEpoch);
+    refused(&mut fleet, 1, found(1, &[2]), MembershipError::NotAVoter);
     fleet.reseat(1, 2, REPLACE);
-    refused(&mut fleet, 1, replace(2, 4), Refusal::UnderWay);
+    refused(&mut fleet, 1, replace(2, 4), MembershipError::ChangeInProgress);
     fleet.run(3.0);
     // Two of three are gone: the one that is left is no majority with a newcomer.
     fleet.kill(2, false);
     fleet.kill(4, true);
     fleet.run(3.0);
-    refused(&mut fleet, 1, replace(2, 3), Refusal::NotWhole);
+    refused(&mut fleet, 1, replace(2, 3), MembershipError::NotRecovered);
     fleet.start(4, false);
-    refused(&mut fleet, 4, replace(2, 3), Refusal::Unknown);
+    refused(&mut fleet, 4, replace(2, 3), MembershipError::Unknown);
     fleet.run(0.5);
-    refused(&mut fleet, 4, found(3, &[4]), Refusal::NotWhole);
-    assert_eq!(fleet.live[&4].muster().epoch, 3);
+    refused(&mut fleet, 4, found(3, &[4]), MembershipError::NotRecovered);
+    assert_eq!(fleet.live[&4].voter_set().epoch, 3);
 }
 
 /// Whoever dies at whatever moment of a change, with its disk or without, for a while or for good: one set stands after it, a
@@ -123,7 +130,7 @@
             if how & 4 != 0 {
                 (1..=4).for_each(|node| fleet.set_sync(node, 0.01 * f64::from(node)));
             }
-            let (proposer, lost) = (Node::from(who % 3) + 1, Node::from(who / 4 % 4) + 1);
+            let (proposer, lost) = (NodeId::from(who % 3) + 1, NodeId::from(who / 4 % 4) + 1);
             let for_good = how & 2 != 0;
             fleet.reseat(proposer, 2, REPLACE);
             fleet.replace(1, 3, 8);
@@ -138,7 +145,7 @@
             // Four turns of two seconds, and ten for one that is not taken in.
             fleet.run(14.0);
             let stood = stands(&fleet, &why);
-            assert!(stood.seats == [1, 2, 3] || stood.seats == [1, 2, 4], "{why}: {stood:?}");
+            assert!(stood.voters == [1, 2, 3] || stood.voters == [1, 2, 4], "{why}: {stood:?}");
             sound(&mut fleet, &why);
         },
     );
@@ -152,12 +159,16 @@
             let why = format!("{seed} {who} {moment} {how}");
             let mut fleet = Fleet::of(seed, 5, 6);
             fleet.run(2.0);
-            let seats = stands(&fleet, &why).seats;
+            let seats = stands(&fleet, &why).voters;
             let spare = (4..=6).find(|node| !seats.contains(node)).expect("a spare one");
-            fleet.reseat(Node::from(who % 6) + 1, 2, Reseat::Replace { old: seats[4], new: spare });
+            fleet.reseat(
+                NodeId::from(who % 6) + 1,
+                2,
+                MembershipChange::Replace { old: seats[4], new: spare },
+            );
             fleet.replace(1, 3, 8);
             fleet.run(f64::from(moment % 1500) * 1e-3);
-            let lost = [Node::from(who / 6 % 6) + 1, Node::from(how / 4 % 6) + 1];
+            let lost = [NodeId::from(who / 6 % 6) + 1, NodeId::from(how / 4 % 6) + 1];
             fleet.kill(lost[0], how & 1 != 0);
             fleet.run(f64::from(how) * 1e-3);
             fleet.kill(lost[1], how & 1 != 0);
@@ -166,7 +177,7 @@
                 lost.iter().for_each(|&node| fleet.start(node, false));
             }
             fleet.run(18.0);
-            assert_eq!(stands(&fleet, &why).seats.len(), 5, "{why}");
+            assert_eq!(stands(&fleet, &why).voters.len(), 5, "{why}");
             sound(&mut fleet, &why);
         },
     );
@@ -181,11 +192,11 @@
         fleet.run(1.5);
         fleet.reseat(1, 2, REPLACE);
         fleet.run(0.003 * (seed % 10) as f64);
-        fleet.reseat(2, 3, Reseat::Replace { old: 2, new: 5 });
+        fleet.reseat(2, 3, MembershipChange::Replace { old: 2, new: 5 });
         fleet.run(6.0);
         let chosen = [2, 3].map(|token| fleet.done.get(&token) == Some(&Outcome::Chosen));
         assert!(chosen[0] || chosen[1], "{why}: {:?}", fleet.done);
-        let seats = stands(&fleet, &why).seats;
+        let seats = stands(&fleet, &why).voters;
         assert_eq!([seats.contains(&4), seats.contains(&5)], chosen, "{why}: {seats:?}");
         sound(&mut fleet, &why);
     }
@@ -203,15 +214,15 @@
     fleet.run(0.7);
     assert_eq!(fleet.done.get(&2), Some(&Outcome::Chosen), "seed {seed}");
     if early {
-        let end = muster(&fleet, 1).begin(vec![1, 2, 4]).end(&[1, 2, 4]);
+        let end = muster(&fleet, 1).enter_joint(vec![1, 2, 4]).leave_joint(&[1, 2, 4]);
         for node in [1, 2, 4] {
-            fleet.step(node, |control, now| control.hear(now, 3, Word::Muster(end.clone())));
+            fleet.step(node, |control, now| control.step(now, 3, Message::VoterSet(end.clone())));
         }
         fleet.run(0.1);
     } else {
         fleet.heal();
         fleet.reseat(1, 3, REPLACE);
-        assert!(until(&mut fleet, 4.0, |fleet| fleet.live.values().any(|c| c.muster().epoch == 3)));
+        assert!(until(&mut fleet, 4.0, |fleet| fleet.live.values().any(|c| c.voter_set().epoch == 3)));
     }
     fleet.kill(1, true);
     fleet.kill(3, true);
@@ -222,7 +233,8 @@
 
 #[test]
 fn a_leaver_that_held_the_only_other_copy_is_not_missed() {
-    let held = |fleet: &Fleet| fleet.live[&4].helm.chosen(Register::Chart).map(|held| held.stamp);
+    let held =
+        |fleet: &Fleet| fleet.live[&4].proposer.chosen(Register::Configuration).map(|held| held.revision);
     (0..20).for_each(|seed| assert_eq!(held(&only_copy(seed, false)), Some(9), "seed {seed}"));
     let lost = only_copy(1, true);
     assert!(lost.fault.is_some() || held(&lost) < Some(9), "the planted fault goes unseen");
@@ -238,7 +250,7 @@
     fleet.run(3.0);
     assert_eq!(fleet.done.get(&1), Some(&Outcome::Chosen), "seed {seed}");
     fleet.kill(2, false);
-    fleet.reseat(4, 2, Reseat::Replace { old: 2, new: 5 });
+    fleet.reseat(4, 2, MembershipChange::Replace { old: 2, new: 5 });
     fleet.run(3.0);
     assert_eq!(fleet.done.get(&2), Some(&Outcome::Chosen), "seed {seed}");
     fleet.replace(5, 3, 3);
@@ -249,7 +261,7 @@
             fleet.cut(new, old);
         }
         if forgets {
-            fleet.disks.get_mut(&old).unwrap().kept.muster = Muster::first(&[1, 2, 3]);
+            fleet.disks.get_mut(&old).unwrap().kept.muster = VoterSet::initial(&[1, 2, 3]);
         }
     }
     fleet.strict = !forgets;
@@ -265,17 +277,17 @@
     for seed in 0..10 {
         let why = format!("seed {seed}");
         let mut fleet = old_peers(seed, false);
-        assert_eq!(fleet.done.get(&4), Some(&Outcome::Unclear), "{why}");
+        assert_eq!(fleet.done.get(&4), Some(&Outcome::Unknown), "{why}");
         for old in [2, 3] {
-            assert!(fleet.live[&old].helm.confirmed(Register::Chart).is_none(), "{why}");
-            assert!(fleet.holder(Duty::Tally).is_none_or(|holder| holder != old), "{why}");
+            assert!(fleet.live[&old].proposer.confirmed(Register::Configuration).is_none(), "{why}");
+            assert!(fleet.holder(SingletonRole::QuotaCounter).is_none_or(|holder| holder != old), "{why}");
         }
         fleet.heal();
         // Links come up anew.
         [2, 3].iter().for_each(|&node| fleet.kill(node, false));
         [2, 3].iter().for_each(|&node| fleet.start(node, false));
         fleet.run(2.0);
-        assert_eq!(stands(&fleet, &why).seats, [1, 4, 5], "{why}");
+        assert_eq!(stands(&fleet, &why).voters, [1, 4, 5], "{why}");
         sound(&mut fleet, &why);
     }
     assert!(old_peers(1, true).fault.is_some(), "the planted fault goes unseen");
@@ -288,12 +300,12 @@
         let why = format!("seed {seed}");
         let mut fleet = Fleet::of(seed, 5, 7);
         fleet.run(3.0);
-        let seats = stands(&fleet, &why).seats;
-        let spare: Vec<Node> = (4..=7).filter(|node| !seats.contains(node)).collect();
+        let seats = stands(&fleet, &why).voters;
+        let spare: Vec<NodeId> = (4..=7).filter(|node| !seats.contains(node)).collect();
         fleet.kill(1, false);
         for n in 0..2 {
             let (token, old, new) = (2 + n as u64, seats[3 + n], spare[n]);
-            fleet.reseat(2, token, Reseat::Replace { old, new });
+            fleet.reseat(2, token, MembershipChange::Replace { old, new });
             fleet.run(3.0);
             assert_eq!(fleet.done.get(&token), Some(&Outcome::Chosen), "{why}");
         }
@@ -305,12 +317,12 @@
         fleet.start(1, false);
         fleet.replace(1, 4, 9);
         fleet.run(2.0);
-        assert_eq!(fleet.done.get(&4), Some(&Outcome::Unclear), "{why}");
+        assert_eq!(fleet.done.get(&4), Some(&Outcome::Unknown), "{why}");
         fleet.heal();
         fleet.kill(1, false);
         fleet.start(1, false);
         fleet.run(2.0);
-        assert_eq!(stands(&fleet, &why).seats, [1, 2, 3, spare[0], spare[1]], "{why}");
+        assert_eq!(stands(&fleet, &why).voters, [1, 2, 3, spare[0], spare[1]], "{why}");
         sound(&mut fleet, &why);
     }
 }
@@ -322,16 +334,16 @@
         let why = format!("seed {seed}");
         let mut fleet = up(seed);
         fleet.reseat(1, 2, REPLACE);
-        assert!(until(&mut fleet, 1.0, |fleet| muster(fleet, 1).changing()));
+        assert!(until(&mut fleet, 1.0, |fleet| muster(fleet, 1).is_joint()));
         fleet.kill(4, false);
         fleet.replace(1, 3, 8);
         fleet.run(2.0);
         assert_eq!(fleet.done.get(&3), Some(&Outcome::Chosen), "{why}: taken by both sets meanwhile");
         fleet.run(11.0);
-        assert_eq!(fleet.done.get(&2), Some(&Outcome::Unclear), "{why}");
-        assert_eq!((stands(&fleet, &why).epoch, stands(&fleet, &why).seats), (3, vec![1, 2, 3]), "{why}");
-        let last = fleet.live[&2].voters(fleet.clock(2)).last;
-        assert!(last.is_some_and(|(_, ended)| ended == Ended::TakenBack), "{why}");
+        assert_eq!(fleet.done.get(&2), Some(&Outcome::Unknown), "{why}");
+        assert_eq!((stands(&fleet, &why).epoch, stands(&fleet, &why).voters), (3, vec![1, 2, 3]), "{why}");
+        let last = fleet.live[&2].voter_set_status(fleet.clock(2)).last_change;
+        assert!(last.is_some_and(|(_, ended)| ended == ChangeResult::RolledBack), "{why}");
         sound(&mut fleet, &why);
     }
 }
@@ -344,13 +356,13 @@
         let mut fleet = Fleet::new(*seed);
         fleet.run(2.0);
         for (n, &(what, length)) in plan.iter().take(8).enumerate() {
-            let holder = fleet.holder(Duty::Tally).unwrap_or(1);
-            let seats = muster(&fleet, 1).seats.clone();
+            let holder = fleet.holder(SingletonRole::QuotaCounter).unwrap_or(1);
+            let seats = muster(&fleet, 1).voters.clone();
             let spare = (1..=4).find(|node| !seats.contains(node)).unwrap_or(4);
             match what % 5 {
                 0 | 1 => {
                     let old = seats[usize::from(length) % seats.len()];
-                    let order = Reseat::Replace { old, new: spare };
+                    let order = MembershipChange::Replace { old, new: spare };
                     fleet.reseat(seats[usize::from(what) % seats.len()], n as u64, order);
                 }
                 2 => fleet.freeze(holder, f64::from(length) / 64.0),
@@ -364,7 +376,7 @@
         }
         fleet.heal();
         fleet.run(14.0);
-        for duty in archlink_messages::DUTIES {
+        for duty in archlink_messages::SINGLETON_ROLES {
             assert!(fleet.holder(duty).is_some(), "nobody holds {duty:?}");
         }
     });
@@ -374,16 +386,24 @@
 /// granted that as a renewal. Word that the term was left was still about.
 #[test]
 fn another_lifes_bid_is_no_renewal() {
-    let mut voter = Duties::new(0.0, 1, 7, &[]);
-    voter.set_muster(&Muster::first(&[1, 2, 3]));
-    let post = Post { duty: Duty::Tally, holder: 4, term: 1 };
-    let granted = |acts: Vec<Act>| {
-        matches!(&acts[..], [Act::Store(..)] | [Act::Send(_, Word::Poll(_, Poll::Grant(..)))])
+    let mut voter = Leases::new(0.0, 1, 7, &[]);
+    voter.set_voter_set(&VoterSet::initial(&[1, 2, 3]));
+    let post = LeaseGrant { role: SingletonRole::QuotaCounter, holder: 4, term: 1 };
+    let granted = |acts: Vec<Effect>| {
+        matches!(
+            &acts[..],
+            [Effect::Store(..)]
+                | [Effect::Send(_, Message::Consensus(_, ConsensusMessage::LeaseGranted(..)))]
+        )
     };
-    assert!(granted(voter.hear(0.1, 4, &Poll::Bid(post, 5))));
-    assert!(granted(voter.hear(0.2, 4, &Poll::Renew(post, 6))));
-    assert!(!granted(voter.hear(0.3, 4, &Poll::Bid(post, 99))));
-    assert!(granted(voter.hear(0.4, 4, &Poll::Bid(Post { term: 2, ..post }, 100))));
+    assert!(granted(voter.step(0.1, 4, &ConsensusMessage::LeaseRequest(post, 5))));
+    assert!(granted(voter.step(0.2, 4, &ConsensusMessage::LeaseRenewal(post, 6))));
+    assert!(!granted(voter.step(0.3, 4, &ConsensusMessage::LeaseRequest(post, 99))));
+    assert!(granted(voter.step(
+        0.4,
+        4,
+        &ConsensusMessage::LeaseRequest(LeaseGrant { term: 2, ..post }, 100)
+    )));
 }
 
 /// Terms go on growing where the voters that granted them are gone: who comes reads what was granted before it votes.
@@ -392,17 +412,17 @@
     for seed in 0..20 {
         let mut fleet = up(seed);
         let term = |fleet: &Fleet, duty| {
-            let posts = fleet.live.iter().flat_map(|(n, c)| c.duties.posts(fleet.clock(*n)));
-            posts.filter(|post| post.duty == duty).map(|post| post.term).max()
+            let posts = fleet.live.iter().flat_map(|(n, c)| c.leases.holders(fleet.clock(*n)));
+            posts.filter(|post| post.role == duty).map(|post| post.term).max()
         };
-        let before = archlink_messages::DUTIES.map(|duty| term(&fleet, duty));
+        let before = archlink_messages::SINGLETON_ROLES.map(|duty| term(&fleet, duty));
         fleet.reseat(1, 2, REPLACE);
         fleet.run(2.5);
         assert_eq!(fleet.done.get(&2), Some(&Outcome::Chosen), "seed {seed}");
         (1..=4).for_each(|node| fleet.kill(node, false));
         [2, 4].iter().for_each(|&node| fleet.start(node, false));
         fleet.run(3.0);
-        let after = archlink_messages::DUTIES.map(|duty| term(&fleet, duty));
+        let after = archlink_messages::SINGLETON_ROLES.map(|duty| term(&fleet, duty));
         assert!(after[0] > before[0] && after[1] > before[1], "seed {seed}: {before:?} {after:?}");
     }
 }
@@ -413,7 +433,7 @@
     let mut fleet = up(seed);
     fleet.strict = false;
     // Leave it to 3, granted by 1 and itself.
-    let holder = fleet.holder(Duty::Tally).unwrap();
+    let holder = fleet.holder(SingletonRole::QuotaCounter).unwrap();
     if holder != 3 {
         fleet.cut(3, 2);
         fleet.cut(3, 4);
@@ -422,8 +442,8 @@
         fleet.start(holder, false);
         fleet.run(2.0);
     }
-    let next = muster(&fleet, 1).begin(vec![1, 2, 4]);
-    let next = if early { next.end(&[1, 2, 4]) } else { next };
+    let next = muster(&fleet, 1).enter_joint(vec![1, 2, 4]);
+    let next = if early { next.leave_joint(&[1, 2, 4]) } else { next };
     // Nobody else knows of its term any more.
     for node in [1, 2, 4] {
         fleet.cut(3, node);
@@ -432,7 +452,7 @@
     for node in [2, 4] {
         fleet.kill(node, false);
         fleet.start(node, false);
-        fleet.step(node, |control, now| control.hear(now, 3, Word::Muster(next.clone())));
+        fleet.step(node, |control, now| control.step(now, 3, Message::VoterSet(next.clone())));
     }
     fleet.cut(1, 2);
     fleet.cut(1, 4);
@@ -455,7 +475,7 @@
             let mut fleet = Fleet::of(seed, 5, 6);
             (1..=6).for_each(|node| fleet.set_sync(node, 0.002));
             fleet.run(f64::from(moment % 3000) * 1e-3);
-            let dies = |node: Node| some & 0x40 == 0 || some >> (node - 1) & 1 == 1;
+            let dies = |node: NodeId| some & 0x40 == 0 || some >> (node - 1) & 1 == 1;
             (1..=6).filter(|node| dies(*node)).for_each(|node| fleet.kill(node, false));
             if let Some(node) = (1..=3).find(|node| emptied % 6 == *node as u8) {
                 fleet.kill(node, true);
@@ -463,7 +483,7 @@
             (1..=6).for_each(|node| fleet.start(node, false));
             fleet.run(9.0);
             let stood = stands(&fleet, &why);
-            assert!(stood.epoch > 2 && [3, 5].contains(&stood.seats.len()), "{why}: {stood:?}");
+            assert!(stood.epoch > 2 && [3, 5].contains(&stood.voters.len()), "{why}: {stood:?}");
             sound(&mut fleet, &why);
         },
     );
@@ -479,16 +499,16 @@
         fleet.net.spread = 0.001;
         (1..=6).for_each(|node| fleet.set_sync(node, 0.002));
         fleet.replace(1, 1, 4);
-        assert_eq!(fleet.done.get(&1), Some(&Outcome::Unclear));
-        assert!(until(&mut fleet, 0.6, |f| f.live.values().all(|c| c.muster().seats.len() == 5)));
-        assert!(fleet.live.values().all(|c| c.helm.chosen(Register::Chart).is_none()));
+        assert_eq!(fleet.done.get(&1), Some(&Outcome::Unknown));
+        assert!(until(&mut fleet, 0.6, |f| f.live.values().all(|c| c.voter_set().voters.len() == 5)));
+        assert!(fleet.live.values().all(|c| c.proposer.chosen(Register::Configuration).is_none()));
         fleet.run(0.1);
         sound(&mut fleet, &format!("seed {seed}"));
     }
     // Nobody comes: the seeds do it.
     let mut fleet = Fleet::of(3, 5, 3);
     fleet.run(4.0);
-    assert_eq!((stands(&fleet, "alone").epoch, stands(&fleet, "alone").seats.len()), (3, 3));
+    assert_eq!((stands(&fleet, "alone").epoch, stands(&fleet, "alone").voters.len()), (3, 3));
     sound(&mut fleet, "alone");
 }
 
@@ -508,7 +528,7 @@
             fleet.replace(3, 10 + n, 8 + n);
             fleet.run(0.2);
         }
-        assert!(fleet.live[&1].voter.whole(), "seed {seed}");
+        assert!(fleet.live[&1].acceptor.is_recovered(), "seed {seed}");
     }
 }
 
@@ -538,10 +558,10 @@
         fleet.kill(1, true);
         fleet.start(1, false);
         fleet.run(0.3);
-        fleet.reseat(3, 2, Reseat::Replace { old: 2, new: 4 });
+        fleet.reseat(3, 2, MembershipChange::Replace { old: 2, new: 4 });
         fleet.run(8.0);
         let why = format!("seed {seed}");
-        assert_eq!(stands(&fleet, &why).seats, [1, 3, 4], "{why}");
+        assert_eq!(stands(&fleet, &why).voters, [1, 3, 4], "{why}");
         sound(&mut fleet, &why);
     }
 }
@@ -557,20 +577,25 @@
         let now = fleet.clock(1) + 3.0;
         let acts = fleet.live.get_mut(&1).unwrap().tick(now);
         let asked = acts.into_iter().find_map(|act| match act {
-            Act::Send(2, Word::Poll(_, Poll::Recall(serial))) => Some(serial),
+            Effect::Send(2, Message::Consensus(_, ConsensusMessage::StateTransferRequest(serial))) => {
+                Some(serial)
+            }
             _ => None,
         });
         asked.expect("a question")
     };
     let mut fleet = up(1);
     let (first, second) = (recall(&mut fleet), recall(&mut fleet));
-    let empty = REGISTERS.map(|register| (register, archlink_messages::Slot::default())).to_vec();
+    let empty = REGISTERS.map(|register| (register, archlink_messages::AcceptorState::default())).to_vec();
     for (serial, whole) in [(first, false), (second, true)] {
         for from in [2, 3] {
-            let told = Word::Poll(1, Poll::Recalled(serial, empty.clone(), Vec::new()));
-            fleet.step(1, |control, now| control.hear(now, from, told));
+            let told = Message::Consensus(
+                1,
+                ConsensusMessage::StateTransferReply(serial, empty.clone(), Vec::new()),
+            );
+            fleet.step(1, |control, now| control.step(now, from, told));
         }
-        assert_eq!(fleet.live[&1].voter.whole(), whole);
+        assert_eq!(fleet.live[&1].acceptor.is_recovered(), whole);
     }
 }
 
@@ -578,39 +603,43 @@
 /// without it: acknowledged, and on one disk.
 #[test]
 fn a_writer_that_wakes_late_counts_no_old_word() {
-    let mut helm = Helm::new(4, 1);
-    helm.set_muster(0.0, &Muster::first(&[1, 2, 3]));
-    let acts = helm.propose(0.0, Change::Evacuate { zone: "a".into(), on: true }, 1);
+    let mut helm = Proposer::new(4, 1);
+    helm.set_voter_set(0.0, &VoterSet::initial(&[1, 2, 3]));
+    let acts = helm.propose(0.0, Change::Evacuation { zone: "a".into(), on: true }, 1);
     let ballot = acts.iter().find_map(|act| match act {
-        Act::Send(_, Word::Poll(_, Poll::Prepare(_, ballot))) => Some(*ballot),
+        Effect::Send(_, Message::Consensus(_, ConsensusMessage::Prepare(_, ballot))) => Some(*ballot),
         _ => None,
     });
     let ballot = ballot.expect("a ballot");
     for node in [1, 2] {
-        helm.hear(0.1, node, &Poll::Promise(Register::Evacuations, ballot, None));
+        helm.step(0.1, node, &ConsensusMessage::Promise(Register::Evacuations, ballot, None));
     }
-    helm.hear(0.2, 1, &Poll::Accepted(Register::Evacuations, ballot));
-    let acts = helm.hear(9.0, 2, &Poll::Accepted(Register::Evacuations, ballot));
-    assert!(!acts.iter().any(|act| matches!(act, Act::Done(_, Outcome::Chosen))), "{acts:?}");
+    helm.step(0.2, 1, &ConsensusMessage::Accepted(Register::Evacuations, ballot));
+    let acts = helm.step(9.0, 2, &ConsensusMessage::Accepted(Register::Evacuations, ballot));
+    assert!(!acts.iter().any(|act| matches!(act, Effect::ProposalResolved(_, Outcome::Chosen))), "{acts:?}");
 }
 
 /// Guards against a majority of an old answer and a new one: the voter of the old one has lost its disk since, and read from the
 /// others before the second of them accepted what it names.
 #[test]
 fn an_answer_from_before_a_disk_was_lost_is_not_counted_with_later_ones() {
-    let mut helm = Helm::new(4, 1);
-    helm.set_muster(0.0, &Muster::first(&[1, 2, 3]));
-    let held = Held { ballot: Ballot { round: 5, node: 3, nonce: 1 }, stamp: 2, ..Held::default() };
-    let answers = [(Register::Chart, held.ballot)];
+    let mut helm = Proposer::new(4, 1);
+    helm.set_voter_set(0.0, &VoterSet::initial(&[1, 2, 3]));
+    let held = AcceptedValue {
+        proposal: ProposalNumber { round: 5, node: 3, nonce: 1 },
+        revision: 2,
+        ..AcceptedValue::default()
+    };
+    let answers = [(Register::Configuration, held.proposal)];
     for (node, now) in [(1, 0.1), (2, 3.0)] {
         let asked = helm.tick(now).into_iter().find_map(|act| match act {
-            Act::Send(_, Word::Poll(_, Poll::Ask(serial))) => Some(serial),
+            Effect::Send(_, Message::Consensus(_, ConsensusMessage::ReadRequest(serial))) => Some(serial),
             _ => None,
         });
-        helm.hear(now, node, &Poll::Answer(asked.expect("a question"), answers.to_vec()));
+        helm.step(now, node, &ConsensusMessage::ReadReply(asked.expect("a question"), answers.to_vec()));
     }
-    helm.hear(3.0, 2, &Poll::Fetched(Register::Chart, held));
-    assert_eq!(helm.chosen(Register::Chart), None);
+    helm.step(3.0, 2, &ConsensusMessage::FetchedValue(Register::Configuration, held));
+    assert_eq!(helm.chosen(Register::Configuration), None);
 }
 
 /// A disk that was emptied names no epoch until it holds the slots as well, whatever it hears of and whenever it dies.
@@ -623,14 +652,18 @@
             fleet.start(1, false);
             fleet.reseat(2, 2 + seed, REPLACE);
             fleet.run(1.0 + 0.1 * seed as f64);
-            let (known, whole) = (fleet.disks[&1].kept.muster.known(), fleet.live[&1].voter.whole());
+            let (known, whole) =
+                (fleet.disks[&1].kept.muster.is_known(), fleet.live[&1].acceptor.is_recovered());
             assert!(!known && !whole, "seed {seed}");
             fleet.kill(1, false);
         }
         fleet.start(1, false);
         fleet.run(14.0);
         let kept = &fleet.disks[&1].kept;
-        assert!(kept.muster.known() && kept.slots[&Register::Chart].held.is_some(), "seed {seed}");
+        assert!(
+            kept.muster.is_known() && kept.slots[&Register::Configuration].accepted.is_some(),
+            "seed {seed}"
+        );
     }
 }
 
@@ -642,14 +675,14 @@
     // Neither by one that stood still meanwhile.
     fleet.freeze(1, 280.0);
     fleet.run(299.0);
-    assert_eq!(stands(&fleet, "not yet").seats, [1, 2, 3]);
+    assert_eq!(stands(&fleet, "not yet").voters, [1, 2, 3]);
     fleet.run(320.0);
-    assert_eq!(stands(&fleet, "replaced").seats, [1, 3, 4]);
+    assert_eq!(stands(&fleet, "replaced").voters, [1, 3, 4]);
     sound(&mut fleet, "replaced");
     fleet.start(2, false);
     fleet.run(40.0);
     let stood = stands(&fleet, "nothing more");
-    assert_eq!((stood.epoch, stood.seats), (3, vec![1, 3, 4]));
+    assert_eq!((stood.epoch, stood.voters), (3, vec![1, 3, 4]));
 }
 
 /// A set that was founded with fewer than are needed grows once others are there for good.
@@ -658,11 +691,11 @@
     let mut fleet = Fleet::of(2, 5, 6);
     (4..=6).for_each(|node| fleet.kill(node, false));
     fleet.run(4.0);
-    assert_eq!(stands(&fleet, "alone").seats, [1, 2, 3]);
+    assert_eq!(stands(&fleet, "alone").voters, [1, 2, 3]);
     fleet.replace(1, 1, 5);
     (4..=6).for_each(|node| fleet.start(node, false));
     fleet.run(40.0);
-    assert_eq!(stands(&fleet, "grown").seats.len(), 5);
+    assert_eq!(stands(&fleet, "grown").voters.len(), 5);
     sound(&mut fleet, "grown");
 }
 
@@ -680,16 +713,16 @@
         [2, 3].iter().for_each(|&node| fleet.kill(node, false));
         fleet.heal();
         fleet.run(1.0);
-        let held = fleet.live[&1].voters(fleet.clock(1)).holds;
-        assert!(held.iter().any(|(register, stamp, _)| (*register, *stamp) == (Register::Chart, 8)));
+        let held = fleet.live[&1].voter_set_status(fleet.clock(1)).accepted;
+        assert!(held.iter().any(|(register, stamp, _)| (*register, *stamp) == (Register::Configuration, 8)));
         // What is lost is no fault from here on; that it stays lost is.
         fleet.checks = archlink_simulation::checks::Checks::default();
         let epoch = muster(&fleet, 1).epoch;
-        fleet.reseat(1, 3, Reseat::Refound { epoch, seats: vec![1, 4] });
+        fleet.reseat(1, 3, MembershipChange::ForceNewGeneration { epoch, voters: vec![1, 4] });
         fleet.run(2.5);
         assert_eq!(fleet.done.get(&3), Some(&Outcome::Chosen), "{why}");
         fleet.run(3.0);
-        assert_eq!(stands(&fleet, &why).seats, [1, 4], "{why}");
+        assert_eq!(stands(&fleet, &why).voters, [1, 4], "{why}");
         fleet.kill(1, false);
         fleet.start(1, false);
         fleet.run(1.0);
@@ -699,7 +732,7 @@
         [2, 3].iter().for_each(|&node| fleet.start(node, false));
         fleet.run(3.0);
         for control in fleet.live.values() {
-            let held = control.helm.chosen(Register::Chart).map(|held| held.stamp);
+            let held = control.proposer.chosen(Register::Configuration).map(|held| held.revision);
             assert_eq!(held, Some(9), "{why}: the lost one came back");
         }
         sound(&mut fleet, &why);
--- a/crates/control-client/src/views.rs
+++ b/crates/control-client/src/fleet_view.rs
@@ -3,9 +3,10 @@
 //! vector of versions by which it pulls what it lacks. Must never go back to an older version, nor vouch for a
 //! configuration that it does not hold, nor begin by one that no majority vouched for within the lease.
 
-use archlink_config::Chart;
+use archlink_config::Configuration;
 use archlink_messages::{
-    Beat, Duty, Hosts, Keeper, Node, Piece, Post, Register, Vector, evacuated, nodes_stamp, pack,
+    ControlNode, Heartbeat, HostList, LeaseGrant, NodeId, Register, SingletonRole, StateUpdate,
+    VersionVector, decode_evacuated_zones, node_set_fingerprint, patch,
 };
 use std::collections::{BTreeSet, VecDeque};
 use std::rc::Rc;
@@ -20,51 +21,51 @@
 #[derive(Debug)]
 pub enum Event {
     /// A control gateway's sign of life; `asked` is when the hail was sent that it answers.
-    Heard { beat: Beat, asked: Option<f64> },
+    Heartbeat { heartbeat: Heartbeat, requested_at: Option<f64> },
     /// Something that was lacking here.
-    Told(Piece),
+    Update(StateUpdate),
 }
 
 /// What an event changed.
 #[derive(Clone, Debug)]
-pub enum Turn {
-    Chart(Rc<Chart>),
-    Evacuated(BTreeSet<String>),
-    Hosts(Hosts),
+pub enum ViewChange {
+    Configuration(Rc<Configuration>),
+    EvacuatedZones(BTreeSet<String>),
+    HostList(HostList),
     /// Who else carries traffic.
-    Pilots,
-    Keepers,
+    DataNodes,
+    ControlNodes,
     /// Who holds a duty.
-    Posts,
+    Leases,
     /// Whether keys may be served.
-    Vouched,
+    ConfirmationChanged,
     /// What was told can't be used; the text says why.
-    Unusable(String),
+    InvalidUpdate(String),
 }
 
-impl Turn {
+impl ViewChange {
     /// One line for people.
-    pub fn line(&self) -> String {
+    pub fn describe(&self) -> String {
         match self {
-            Turn::Chart(chart) => format!("configuration {:08x} is in force", chart.version),
-            Turn::Evacuated(zones) => format!("evacuated zones: {zones:?}"),
-            Turn::Hosts(hosts) => {
-                format!("list {}.{}: {} hosts", hosts.term, hosts.version, hosts.lines.len())
+            ViewChange::Configuration(chart) => format!("configuration {:08x} is in force", chart.version),
+            ViewChange::EvacuatedZones(zones) => format!("evacuated zones: {zones:?}"),
+            ViewChange::HostList(hosts) => {
+                format!("list {}.{}: {} hosts", hosts.term, hosts.version, hosts.instances.len())
             }
-            Turn::Pilots => "other data gateways".to_string(),
-            Turn::Keepers => "other control gateways".to_string(),
-            Turn::Posts => "a duty moved".to_string(),
-            Turn::Vouched => "vouched for, or no more".to_string(),
-            Turn::Unusable(why) => why.clone(),
+            ViewChange::DataNodes => "other data gateways".to_string(),
+            ViewChange::ControlNodes => "other control gateways".to_string(),
+            ViewChange::Leases => "a duty moved".to_string(),
+            ViewChange::ConfirmationChanged => "vouched for, or no more".to_string(),
+            ViewChange::InvalidUpdate(why) => why.clone(),
         }
     }
 }
 
 /// `lease` is for how long a majority's word that a configuration is the newest holds, in seconds.
-pub struct Views {
+pub struct FleetView {
     lease: f64,
     events: VecDeque<(f64, String)>,
-    chart: Option<Rc<Chart>>,
+    chart: Option<Rc<Configuration>>,
     /// Has a majority vouched, within the lease, for a configuration that was held here? Before that none is in force: it
     /// may have been replaced long ago, and the evacuated zones may be others.
     begun: bool,
@@ -72,19 +73,19 @@
     text: Vec<u8>,
     list: Vec<u8>,
     vouched: f64,
-    vector: Vector,
-    posts: Vec<Post>,
-    keepers: Vec<Keeper>,
+    vector: VersionVector,
+    posts: Vec<LeaseGrant>,
+    keepers: Vec<ControlNode>,
     /// All control gateways that were ever named here, the last ones last.
-    named: Vec<Node>,
-    pilots: Vec<Node>,
+    named: Vec<NodeId>,
+    pilots: Vec<NodeId>,
     /// The fleet's clock is the own steady one and this.
     ahead: f64,
 }
 
-impl Views {
-    pub fn new(lease: f64) -> Views {
-        Views {
+impl FleetView {
+    pub fn new(lease: f64) -> FleetView {
+        FleetView {
             lease,
             events: VecDeque::new(),
             chart: None,
@@ -92,7 +93,7 @@
             text: Vec::new(),
             list: Vec::new(),
             vouched: f64::NEG_INFINITY,
-            vector: Vector::default(),
+            vector: VersionVector::default(),
             posts: Vec::new(),
             keepers: Vec::new(),
             named: Vec::new(),
@@ -102,16 +103,16 @@
     }
 
     /// Appends what happened and folds it; gives back what it changed.
-    pub fn append(&mut self, now: f64, event: Event) -> Vec<Turn> {
+    pub fn append(&mut self, now: f64, event: Event) -> Vec<ViewChange> {
         let turns = match event {
-            Event::Heard { beat, asked } => self.heard(now, &beat, asked),
-            Event::Told(piece) => self.told(now, piece).into_iter().collect(),
+            Event::Heartbeat { heartbeat: beat, requested_at: asked } => self.heard(now, &beat, asked),
+            Event::Update(piece) => self.told(now, piece).into_iter().collect(),
         };
         for turn in &turns {
             if self.events.len() >= MOST {
                 self.events.pop_front();
             }
-            self.events.push_back((now, turn.line()));
+            self.events.push_back((now, turn.describe()));
         }
         turns
     }
@@ -122,7 +123,7 @@
     }
 
     /// The configuration in force.
-    pub fn chart(&self) -> Option<Rc<Chart>> {
+    pub fn configuration(&self) -> Option<Rc<Configuration>> {
         self.chart.clone().filter(|_| self.begun)
     }
 
@@ -132,83 +133,86 @@
     }
 
     /// May keys be served by the configuration that is held?
-    pub fn vouched(&self, now: f64) -> bool {
+    pub fn is_confirmed(&self, now: f64) -> bool {
         now < self.vouched
     }
 
-    pub fn vector(&self) -> &Vector {
+    pub fn versions(&self) -> &VersionVector {
         &self.vector
     }
 
-    pub fn posts(&self) -> &[Post] {
+    pub fn leases(&self) -> &[LeaseGrant] {
         &self.posts
     }
 
-    pub fn keepers(&self) -> &[Keeper] {
+    pub fn control_nodes(&self) -> &[ControlNode] {
         &self.keepers
     }
 
     /// Control gateways that were named once and may be there still: the list of one that only started, or is cut off,
     /// lacks them.
-    pub fn named(&self) -> &[Node] {
+    pub fn known_control_nodes(&self) -> &[NodeId] {
         &self.named
     }
 
     /// All data gateways that may be at work, this one among them, in the order of their numbers; empty is not known yet.
-    pub fn pilots(&self) -> &[Node] {
+    pub fn data_nodes(&self) -> &[NodeId] {
         &self.pilots
     }
 
     /// Who holds the counts, and in which term.
-    pub fn counter(&self) -> Option<(Node, u64)> {
-        self.posts.iter().find(|post| post.duty == Duty::Tally).map(|post| (post.holder, post.term))
+    pub fn counter_holder(&self) -> Option<(NodeId, u64)> {
+        self.posts
+            .iter()
+            .find(|post| post.role == SingletonRole::QuotaCounter)
+            .map(|post| (post.holder, post.term))
     }
 
-    pub fn clock(&self, now: f64) -> f64 {
+    pub fn cluster_clock(&self, now: f64) -> f64 {
         now + self.ahead
     }
 
     /// The fleet's clock never goes back.
-    pub fn heard_clock(&mut self, now: f64, clock: f64) {
+    pub fn observe_clock(&mut self, now: f64, clock: f64) {
         if clock.is_finite() {
             self.ahead = self.ahead.max(clock - now);
         }
     }
 
     /// How far the fleet's clock is ahead of the own one.
-    pub fn ahead(&self) -> f64 {
+    pub fn clock_offset(&self) -> f64 {
         self.ahead
     }
 
     /// Does that vector name anything that is lacking here?
-    pub fn lacks(&self, theirs: &Vector) -> bool {
+    pub fn is_behind(&self, theirs: &VersionVector) -> bool {
         let mine = &self.vector;
-        theirs.chart > mine.chart
+        theirs.configuration > mine.configuration
             || theirs.evacuations > mine.evacuations
             || theirs.hosts > mine.hosts
-            || theirs.keepers != mine.keepers
-            || (theirs.pilots != mine.pilots && theirs.pilots != 0)
+            || theirs.control_nodes != mine.control_nodes
+            || (theirs.data_nodes != mine.data_nodes && theirs.data_nodes != 0)
     }
 
-    fn heard(&mut self, now: f64, beat: &Beat, asked: Option<f64>) -> Vec<Turn> {
-        self.heard_clock(now, beat.clock);
+    fn heard(&mut self, now: f64, beat: &Heartbeat, asked: Option<f64>) -> Vec<ViewChange> {
+        self.observe_clock(now, beat.cluster_clock);
         let mut turns = Vec::new();
-        for post in &beat.posts {
-            match self.posts.iter_mut().find(|known| known.duty == post.duty) {
+        for post in &beat.leases {
+            match self.posts.iter_mut().find(|known| known.role == post.role) {
                 Some(known) if known.term >= post.term => continue,
                 Some(known) => *known = *post,
                 None => self.posts.push(*post),
             }
-            turns.push(Turn::Posts);
+            turns.push(ViewChange::Leases);
         }
         // It vouches only for what is held here: what is newer has to be pulled first.
-        let (theirs, mine) = (&beat.vector, &self.vector);
-        let held = theirs.chart == mine.chart && theirs.evacuations <= mine.evacuations;
-        let confirmed = beat.confirmed.filter(|_| held);
+        let (theirs, mine) = (&beat.versions, &self.vector);
+        let held = theirs.configuration == mine.configuration && theirs.evacuations <= mine.evacuations;
+        let confirmed = beat.confirmed_age.filter(|_| held);
         if let (Some(asked), Some(age)) = (asked, confirmed) {
-            let before = self.vouched(now);
+            let before = self.is_confirmed(now);
             self.vouched = self.vouched.max(asked - age.max(0.0) + self.lease);
-            turns.extend((before != self.vouched(now)).then_some(Turn::Vouched));
+            turns.extend((before != self.is_confirmed(now)).then_some(ViewChange::ConfirmationChanged));
         }
         if !self.begun {
             turns.extend(self.chart_turn(now));
@@ -217,80 +221,87 @@
     }
 
     /// The configuration that is held, if it is in force, or comes to be by what was vouched for.
-    fn chart_turn(&mut self, now: f64) -> Option<Turn> {
+    fn chart_turn(&mut self, now: f64) -> Option<ViewChange> {
         let chart = self.chart.clone()?;
-        self.begun |= self.vouched(now);
-        self.begun.then_some(Turn::Chart(chart))
+        self.begun |= self.is_confirmed(now);
+        self.begun.then_some(ViewChange::Configuration(chart))
     }
 
-    fn told(&mut self, now: f64, piece: Piece) -> Option<Turn> {
+    fn told(&mut self, now: f64, piece: StateUpdate) -> Option<ViewChange> {
         match piece {
-            Piece::Chart { stamp, base, packed } if stamp > self.vector.chart => {
+            StateUpdate::ConfigurationPatch { stamp, base, packed } if stamp > self.vector.configuration => {
                 self.unpack(now, stamp, base, &packed)
             }
-            Piece::Chosen(Register::Evacuations, held) if held.order() > self.vector.evacuations => {
-                self.vector.evacuations = held.order();
-                Some(Turn::Evacuated(evacuated(&held.value)))
+            StateUpdate::Chosen(Register::Evacuations, held)
+                if held.ordering_key() > self.vector.evacuations =>
+            {
+                self.vector.evacuations = held.ordering_key();
+                Some(ViewChange::EvacuatedZones(decode_evacuated_zones(&held.value)))
             }
-            Piece::Hosts(hosts) if hosts.stamp() > self.vector.hosts => {
-                (self.list, self.vector.hosts) = (hosts.to_bytes(), hosts.stamp());
-                Some(Turn::Hosts(hosts))
+            StateUpdate::HostList(hosts) if hosts.revision() > self.vector.hosts => {
+                (self.list, self.vector.hosts) = (hosts.to_bytes(), hosts.revision());
+                Some(ViewChange::HostList(hosts))
             }
             // A patch on another list than the one held was made for what was held before: asked for again.
-            Piece::HostsPatch { stamp, base, packed }
+            StateUpdate::HostListPatch { stamp, base, packed }
                 if stamp > self.vector.hosts && base == self.vector.hosts =>
             {
                 self.patch_hosts(stamp, &packed)
             }
-            Piece::Keepers(keepers) => {
-                self.vector.keepers = nodes_stamp(keepers.iter().map(|k| k.node));
+            StateUpdate::ControlNodes(keepers) => {
+                self.vector.control_nodes = node_set_fingerprint(keepers.iter().map(|k| k.node));
                 self.named.retain(|node| keepers.iter().all(|k| k.node != *node));
                 self.named.extend(keepers.iter().map(|k| k.node));
                 self.named.drain(..self.named.len().saturating_sub(MOST_NAMED));
                 self.keepers = keepers;
-                Some(Turn::Keepers)
+                Some(ViewChange::ControlNodes)
             }
-            Piece::Pilots(pilots) => {
-                self.vector.pilots = nodes_stamp(pilots.iter().copied());
+            StateUpdate::DataNodes(pilots) => {
+                self.vector.data_nodes = node_set_fingerprint(pilots.iter().copied());
                 self.pilots = pilots;
-                Some(Turn::Pilots)
+                Some(ViewChange::DataNodes)
             }
             _ => None,
         }
     }
 
-    fn patch_hosts(&mut self, stamp: (u64, u64), packed: &[u8]) -> Option<Turn> {
-        let read = pack::unpack(packed, &self.list).and_then(|list| Ok((Hosts::from_bytes(&list)?, list)));
+    fn patch_hosts(&mut self, stamp: (u64, u64), packed: &[u8]) -> Option<ViewChange> {
+        let read =
+            patch::decompress(packed, &self.list).and_then(|list| Ok((HostList::from_bytes(&list)?, list)));
         match read {
-            Ok((hosts, list)) if hosts.stamp() == stamp => {
+            Ok((hosts, list)) if hosts.revision() == stamp => {
                 (self.list, self.vector.hosts) = (list, stamp);
-                Some(Turn::Hosts(hosts))
+                Some(ViewChange::HostList(hosts))
             }
             // Asked for as a whole: nothing is held.
             _ => {
                 self.vector.hosts = (0, 0);
-                Some(Turn::Unusable(
+                Some(ViewChange::InvalidUpdate(
                     "a change of the list of hosts can't be read; the whole is asked for".into(),
                 ))
             }
         }
     }
 
-    fn unpack(&mut self, now: f64, stamp: u64, base: u64, packed: &[u8]) -> Option<Turn> {
-        if base != 0 && base != self.vector.chart {
+    fn unpack(&mut self, now: f64, stamp: u64, base: u64, packed: &[u8]) -> Option<ViewChange> {
+        if base != 0 && base != self.vector.configuration {
             // Made for what was held when it was asked for: the next beat has it asked for again.
             return None;
         }
-        let text = match pack::unpack(packed, if base == 0 { b"" } else { &self.text }) {
+        let text = match patch::decompress(packed, if base == 0 { b"" } else { &self.text }) {
             Ok(text) => text,
-            Err(e) => return Some(Turn::Unusable(format!("a configuration can't be unpacked: {e}"))),
+            Err(e) => {
+                return Some(ViewChange::InvalidUpdate(format!("a configuration can't be unpacked: {e}")));
+            }
         };
-        match Chart::read(&text) {
+        match Configuration::read(&text) {
             Ok(chart) => {
-                (self.text, self.vector.chart, self.chart) = (text, stamp, Some(Rc::new(chart)));
+                (self.text, self.vector.configuration, self.chart) = (text, stamp, Some(Rc::new(chart)));
                 self.chart_turn(now)
             }
-            Err(e) => Some(Turn::Unusable(format!("a configuration that was chosen can't be read: {e}"))),
+            Err(e) => {
+                Some(ViewChange::InvalidUpdate(format!("a configuration that was chosen can't be read: {e}")))
+            }
         }
     }
 }
--- a/crates/control-client/src/lib.rs
+++ b/crates/control-client/src/lib.rs
@@ -4,5 +4,5 @@
 //! played against the control plane's cores.
 #![forbid(unsafe_code)]
 
+pub mod fleet_view;
 pub mod session;
-pub mod views;
--- a/crates/control-client/src/session.rs
+++ b/crates/control-client/src/session.rs
@@ -2,8 +2,8 @@
 //! for another. Must never ask for a thing twice while it is on its way, nor stay with a control gateway that is silent or
 //! that no majority answers.
 
-use crate::views::{Event, Turn, Views};
-use archlink_messages::{Node, Pilot, Word};
+use crate::fleet_view::{Event, FleetView, ViewChange};
+use archlink_messages::{DataNode, Message, NodeId};
 use std::cmp::Ordering;
 use std::collections::HashMap;
 
@@ -35,26 +35,26 @@
 
 /// What the driver is to do.
 #[derive(Clone, Debug)]
-pub enum Act {
+pub enum SessionAction {
     /// Open a connection to this control gateway and tell `called` what came of it.
-    Call(Node),
-    HangUp,
-    Send(Word),
+    Connect(NodeId),
+    Disconnect,
+    Send(Message),
     /// A line for the log.
     Warn(String),
 }
 
 /// Where a data gateway stands, and the control gateways that it was told of at its start.
 #[derive(Clone, Debug)]
-pub struct Place {
-    pub node: Node,
+pub struct LocalNode {
+    pub node: NodeId,
     pub zone: String,
     pub region: String,
-    pub seeds: Vec<Node>,
+    pub seeds: Vec<NodeId>,
 }
 
 struct Standing {
-    node: Node,
+    node: NodeId,
     far: u8,
     began: f64,
     heard: f64,
@@ -70,39 +70,39 @@
 
 enum Phase {
     Resting(f64),
-    Calling(Node, u8),
+    Calling(NodeId, u8),
     Standing(Box<Standing>),
 }
 
 pub struct Session {
-    place: Place,
+    place: LocalNode,
     phase: Phase,
-    failed: HashMap<Node, f64>,
+    failed: HashMap<NodeId, f64>,
     serial: u64,
 }
 
 impl Session {
-    pub fn new(place: Place) -> Session {
+    pub fn new(place: LocalNode) -> Session {
         Session { place, phase: Phase::Resting(f64::NEG_INFINITY), failed: HashMap::new(), serial: 0 }
     }
 
     /// Control gateways, those to call first at the front, with how far each is.
-    fn order(&self, now: f64, views: &Views) -> Vec<(Node, u8)> {
-        let far = |k: &archlink_messages::Keeper| {
+    fn order(&self, now: f64, views: &FleetView) -> Vec<(NodeId, u8)> {
+        let far = |k: &archlink_messages::ControlNode| {
             if k.zone == self.place.zone { 0 } else { 1 + u8::from(k.region != self.place.region) }
         };
-        let mut all: Vec<(Node, u8)> = views.keepers().iter().map(|k| (k.node, far(k))).collect();
-        for &node in self.place.seeds.iter().chain(views.named()) {
+        let mut all: Vec<(NodeId, u8)> = views.control_nodes().iter().map(|k| (k.node, far(k))).collect();
+        for &node in self.place.seeds.iter().chain(views.known_control_nodes()) {
             if !all.iter().any(|(known, _)| *known == node) {
                 all.push((node, UNPLACED));
             }
         }
         // Of several that failed the one that did so first is tried again first: the nearest one would be called again and again,
         // and one that is cut off names no other control gateway, so that it is the nearest.
-        let since = |node: &Node| self.failed.get(node).filter(|at| now < **at + SHUN).copied();
+        let since = |node: &NodeId| self.failed.get(node).filter(|at| now < **at + SHUN).copied();
         // Among equals each data gateway has an order of its own, so that they don't all call the same one.
-        let own = |node: &Node| (node ^ self.place.node).wrapping_mul(0x9e37_79b9);
-        let first = |a: &Node, b: &Node| since(a).partial_cmp(&since(b)).unwrap_or(Ordering::Equal);
+        let own = |node: &NodeId| (node ^ self.place.node).wrapping_mul(0x9e37_79b9);
+        let first = |a: &NodeId, b: &NodeId| since(a).partial_cmp(&since(b)).unwrap_or(Ordering::Equal);
         all.sort_by_key(|(node, far)| (*far, own(node)));
         all.sort_by(|(a, _), (b, _)| first(a, b));
         all
@@ -118,31 +118,31 @@
     }
 
     /// The control gateway in session with this gateway.
-    pub fn with(&self) -> Option<Node> {
+    pub fn peer(&self) -> Option<NodeId> {
         if let Phase::Standing(standing) = &self.phase { Some(standing.node) } else { None }
     }
 
     /// The control gateways that the settings file names now.
-    pub fn set_seeds(&mut self, seeds: Vec<Node>) {
+    pub fn set_seeds(&mut self, seeds: Vec<NodeId>) {
         self.place.seeds = seeds;
     }
 
     /// What a hail carries has changed.
-    pub fn hurry(&mut self, now: f64) {
+    pub fn heartbeat_soon(&mut self, now: f64) {
         if let Phase::Standing(standing) = &mut self.phase {
             standing.hail_at = standing.hail_at.min(now + SOON);
         }
     }
 
-    fn end(&mut self, now: f64, node: Node, why: &str) -> Vec<Act> {
+    fn end(&mut self, now: f64, node: NodeId, why: &str) -> Vec<SessionAction> {
         self.failed.insert(node, now);
         self.phase = Phase::Resting(now + AGAIN);
         let name = std::net::Ipv4Addr::from(node);
-        vec![Act::HangUp, Act::Warn(format!("session with {name} ended: {why}"))]
+        vec![SessionAction::Disconnect, SessionAction::Warn(format!("session with {name} ended: {why}"))]
     }
 
     /// What came of a call.
-    pub fn called(&mut self, now: f64, result: Result<(), String>) -> Vec<Act> {
+    pub fn connected(&mut self, now: f64, result: Result<(), String>) -> Vec<SessionAction> {
         let Phase::Calling(node, far) = self.phase else { return Vec::new() };
         if let Err(why) = result {
             return self.end(now, node, &why);
@@ -155,41 +155,49 @@
     }
 
     /// The connection ended.
-    pub fn lost(&mut self, now: f64, why: &str) -> Vec<Act> {
-        match self.with() {
+    pub fn connection_lost(&mut self, now: f64, why: &str) -> Vec<SessionAction> {
+        match self.peer() {
             Some(node) => self.end(now, node, why),
             None => Vec::new(),
         }
     }
 
     /// A word of the control gateway; what it turned goes with the acts.
-    pub fn hear(&mut self, now: f64, word: Word, views: &mut Views) -> (Vec<Act>, Vec<Turn>) {
+    pub fn step(
+        &mut self,
+        now: f64,
+        word: Message,
+        views: &mut FleetView,
+    ) -> (Vec<SessionAction>, Vec<ViewChange>) {
         let Phase::Standing(standing) = &mut self.phase else { return Default::default() };
         match word {
-            Word::Beat(beat) => {
+            Message::Heartbeat(beat) => {
                 let asked = standing.sent.remove(&beat.serial);
                 if asked.is_some() {
                     standing.heard = now;
                     standing.sent.retain(|number, _| *number > beat.serial);
                 }
-                let fresh = beat.confirmed.map_or(f64::NEG_INFINITY, |age| now - age.max(0.0));
+                let fresh = beat.confirmed_age.map_or(f64::NEG_INFINITY, |age| now - age.max(0.0));
                 standing.fresh = standing.fresh.max(fresh);
-                let lacks = views.lacks(&beat.vector);
-                let turns = views.append(now, Event::Heard { beat, asked });
+                let lacks = views.is_behind(&beat.versions);
+                let turns = views.append(now, Event::Heartbeat { heartbeat: beat, requested_at: asked });
                 // What is on its way is not asked for twice: a narrow link would carry it twice.
                 if lacks && now > standing.pulled + PULL_AGAIN && now >= standing.rest_until {
                     standing.pulled = now;
-                    return (vec![Act::Send(Word::Pull(views.vector().clone()))], turns);
+                    return (
+                        vec![SessionAction::Send(Message::UpdateRequest(views.versions().clone()))],
+                        turns,
+                    );
                 }
                 (Vec::new(), turns)
             }
-            Word::News(pieces) => {
+            Message::StateUpdates(pieces) => {
                 standing.pulled = f64::NEG_INFINITY;
                 // What it vouched for may be held only now.
                 standing.hail_at = now;
-                let told = pieces.into_iter().flat_map(|piece| views.append(now, Event::Told(piece)));
-                let turns: Vec<Turn> = told.collect();
-                if turns.iter().any(|turn| matches!(turn, Turn::Chart(_))) {
+                let told = pieces.into_iter().flat_map(|piece| views.append(now, Event::Update(piece)));
+                let turns: Vec<ViewChange> = told.collect();
+                if turns.iter().any(|turn| matches!(turn, ViewChange::Configuration(_))) {
                     standing.rest_until = now + CHART_REST;
                 }
                 (Vec::new(), turns)
@@ -199,7 +207,12 @@
     }
 
     /// `pilot` is what this gateway says of itself.
-    pub fn tick(&mut self, now: f64, views: &Views, pilot: impl FnOnce() -> Pilot) -> Vec<Act> {
+    pub fn tick(
+        &mut self,
+        now: f64,
+        views: &FleetView,
+        pilot: impl FnOnce() -> DataNode,
+    ) -> Vec<SessionAction> {
         if now < self.wake_at() {
             return Vec::new();
         }
@@ -209,7 +222,7 @@
                 return Vec::new();
             };
             self.phase = Phase::Calling(node, far);
-            return vec![Act::Call(node)];
+            return vec![SessionAction::Connect(node)];
         }
         let nearest = self.order(now, views).first().map(|(_, far)| *far);
         let Phase::Standing(standing) = &mut self.phase else { return Vec::new() };
@@ -223,12 +236,17 @@
         let nearer = nearest.is_some_and(|first| first < standing.far);
         if nearer && (now > standing.began + NEARER || standing.far == UNPLACED) {
             self.phase = Phase::Resting(now);
-            return vec![Act::HangUp];
+            return vec![SessionAction::Disconnect];
         }
         self.serial += 1;
         standing.sent.insert(self.serial, now);
         standing.hail_at = now + HAIL_EVERY;
-        let (serial, clock, terms) = (self.serial, views.clock(now), views.posts().to_vec());
-        vec![Act::Send(Word::Hail { serial, pilot: pilot(), clock, terms })]
+        let (serial, clock, terms) = (self.serial, views.cluster_clock(now), views.leases().to_vec());
+        vec![SessionAction::Send(Message::SessionHeartbeat {
+            serial,
+            data_node: pilot(),
+            clock,
+            leases: terms,
+        })]
     }
 }
