--- a/crates/control-client/tests/contact.rs
+++ b/crates/control-client/tests/contact.rs
@@ -3,9 +3,12 @@
 
 mod sea;
 
-use archlink_control_client::session::{Act, Place, Session};
-use archlink_control_client::views::{Event, Turn, Views};
-use archlink_messages::{Beat, Duty, Held, Hosts, Keeper, Muster, Node, Piece, Post, Register, Vector, pack};
+use archlink_control_client::fleet_view::{Event, FleetView, ViewChange};
+use archlink_control_client::session::{LocalNode, Session, SessionAction};
+use archlink_messages::{
+    AcceptedValue, ControlNode, Heartbeat, HostList, LeaseGrant, NodeId, Register, SingletonRole,
+    StateUpdate, VersionVector, VoterSet, patch,
+};
 use sea::{LEASE, Sea, configuration};
 use std::collections::BTreeSet;
 
@@ -65,7 +68,7 @@
     let mut began = 0;
     for after in [0.0, 1.0, 3.0, 5.0, 20.0, 60.0] {
         let mut sea = sea();
-        const LATE: Node = 200;
+        const LATE: NodeId = 200;
         sea.cut_off(1, 2..=6, true, true);
         sea.cut_off(LATE, 2..=6, true, true);
         sea.replace(2, 2, 10);
@@ -79,17 +82,17 @@
             sea.run(0.1);
             let (views, held) = (&sea.ships[&LATE].views, sea.now < replaced + LEASE);
             // Once it goes by something it goes on with its public routes, as others do that are cut off.
-            let begins = views.chart().is_some() && !begun;
+            let begins = views.configuration().is_some() && !begun;
             assert!(held || !begins, "it begins by what was replaced {} s ago", sea.now - replaced);
-            assert!(held || !views.vouched(sea.now));
+            assert!(held || !views.is_confirmed(sea.now));
             begun |= begins;
         }
         began += usize::from(begun);
         sea.cut.clear();
         sea.run(4.0);
         let ship = &sea.ships[&LATE];
-        assert_eq!(ship.views.chart().map(|chart| chart.version), Some(2));
-        assert_eq!(ship.views.vector().evacuations, 1);
+        assert_eq!(ship.views.configuration().map(|chart| chart.version), Some(2));
+        assert_eq!(ship.views.versions().evacuations, 1);
     }
     assert!(began > 0, "where the lease lasts it does begin");
 }
@@ -98,28 +101,37 @@
 /// holds; and against a word for a configuration that it has yet to pull.
 #[test]
 fn what_is_lacking_is_not_vouched_for() {
-    let mut views = Views::new(LEASE);
-    let hear = |views: &mut Views, now: f64, chart, evacuations| {
-        let vector = Vector { chart, evacuations, ..Vector::default() };
-        let (serial, clock, posts, muster) = (1, 0.0, Vec::new(), Muster::default());
+    let mut views = FleetView::new(LEASE);
+    let hear = |views: &mut FleetView, now: f64, chart, evacuations| {
+        let vector = VersionVector { configuration: chart, evacuations, ..VersionVector::default() };
+        let (serial, clock, posts, muster) = (1, 0.0, Vec::new(), VoterSet::default());
         let (whole, missing) = (true, Vec::new());
-        let beat = Beat { serial, clock, confirmed: Some(0.1), vector, posts, muster, whole, missing };
-        views.append(now, Event::Heard { beat, asked: Some(now) });
-        views.vouched(now)
+        let beat = Heartbeat {
+            serial,
+            cluster_clock: clock,
+            confirmed_age: Some(0.1),
+            versions: vector,
+            leases: posts,
+            voter_set: muster,
+            recovered: whole,
+            suspected: missing,
+        };
+        views.append(now, Event::Heartbeat { heartbeat: beat, requested_at: Some(now) });
+        views.is_confirmed(now)
     };
     let chart = |stamp| {
-        let packed = pack::pack(configuration(stamp - 1, 1).as_bytes(), b"").unwrap().into();
-        Event::Told(Piece::Chart { stamp, base: 0, packed })
+        let packed = patch::compress(configuration(stamp - 1, 1).as_bytes(), b"").unwrap().into();
+        Event::Update(StateUpdate::ConfigurationPatch { stamp, base: 0, packed })
     };
-    assert!(views.append(1.0, chart(8)).is_empty() && views.chart().is_none());
-    assert!(!hear(&mut views, 1.0, 8, 3) && views.chart().is_none(), "zones are lacking");
-    let held = Held { stamp: 3, ..Held::default() };
-    views.append(1.1, Event::Told(Piece::Chosen(Register::Evacuations, held)));
+    assert!(views.append(1.0, chart(8)).is_empty() && views.configuration().is_none());
+    assert!(!hear(&mut views, 1.0, 8, 3) && views.configuration().is_none(), "zones are lacking");
+    let held = AcceptedValue { revision: 3, ..AcceptedValue::default() };
+    views.append(1.1, Event::Update(StateUpdate::Chosen(Register::Evacuations, held)));
     assert!(!hear(&mut views, 1.1, 9, 3), "a configuration is lacking");
-    assert!(hear(&mut views, 1.2, 8, 3) && views.chart().is_some());
+    assert!(hear(&mut views, 1.2, 8, 3) && views.configuration().is_some());
     // The next one is in force at once, under what was vouched for: it can only be newer.
-    assert!(matches!(views.append(2.0, chart(9))[..], [Turn::Chart(_)]));
-    assert!(views.vouched(1.0 + LEASE) && !views.vouched(1.2 + LEASE));
+    assert!(matches!(views.append(2.0, chart(9))[..], [ViewChange::Configuration(_)]));
+    assert!(views.is_confirmed(1.0 + LEASE) && !views.is_confirmed(1.2 + LEASE));
 }
 
 /// Cuts between any two machines, either way, by chance; control and data gateways that start anew; changes all the while.
@@ -137,7 +149,7 @@
             let mut version = 1;
             let mut begun = BTreeSet::new();
             for &(what, who, length) in plan.iter().take(20) {
-                let (core, ship) = (1 + Node::from(who % 6), 100 + Node::from(who / 6 % 6));
+                let (core, ship) = (1 + NodeId::from(who % 6), 100 + NodeId::from(who / 6 % 6));
                 let (out, into) = (what & 8 == 0, what & 16 == 0);
                 match what % 6 {
                     0 => sea.cut_off(core, 1..=6, out, into),
@@ -160,11 +172,11 @@
                 while sea.now < until {
                     sea.run(0.05);
                     for (node, ship) in &sea.ships {
-                        let Some(chart) = ship.views.chart() else { continue };
+                        let Some(chart) = ship.views.configuration() else { continue };
                         let replaced =
                             sea.acked.range(chart.version + 1..).map(|(_, at)| *at).fold(f64::MAX, f64::min);
                         let begins = begun.insert(*node);
-                        let goes_by = begins || ship.views.vouched(sea.now);
+                        let goes_by = begins || ship.views.is_confirmed(sea.now);
                         assert!(
                             !goes_by || sea.now < replaced + LEASE + 0.05,
                             "{node} goes by {}",
@@ -185,44 +197,67 @@
 /// vouched for.
 #[test]
 fn words_in_any_order_take_nothing_back() {
-    let charts: Vec<bytes::Bytes> =
-        (1..9).map(|version| pack::pack(configuration(version, 1).as_bytes(), b"").unwrap().into()).collect();
+    let charts: Vec<bytes::Bytes> = (1..9)
+        .map(|version| patch::compress(configuration(version, 1).as_bytes(), b"").unwrap().into())
+        .collect();
     bolero::check!().with_iterations(300).with_shrink_time(SHRINK).with_type::<Vec<(u8, u8)>>().for_each(
         |words| {
-            let mut views = Views::new(LEASE);
+            let mut views = FleetView::new(LEASE);
             let mut now = 1.0;
             for (what, n) in words.iter().map(|(what, n)| (what % 4, u64::from(n % 8) + 1)) {
                 now += 1.0;
-                let (before, term) = (views.vector().clone(), views.counter());
-                let vouched = views.vouched(now);
+                let (before, term) = (views.versions().clone(), views.counter_holder());
+                let vouched = views.is_confirmed(now);
                 let event = match what {
-                    0 => Event::Told(Piece::Chart {
+                    0 => Event::Update(StateUpdate::ConfigurationPatch {
                         stamp: n,
                         base: 0,
                         packed: charts[n as usize - 1].clone(),
                     }),
-                    1 => Event::Told(Piece::Chosen(
+                    1 => Event::Update(StateUpdate::Chosen(
                         Register::Evacuations,
-                        Held { stamp: n, ..Held::default() },
+                        AcceptedValue { revision: n, ..AcceptedValue::default() },
                     )),
-                    2 => Event::Told(Piece::Hosts(Hosts { term: n, version: 9 - n, lines: Vec::new() })),
+                    2 => Event::Update(StateUpdate::HostList(HostList {
+                        term: n,
+                        version: 9 - n,
+                        instances: Vec::new(),
+                    })),
                     _ => {
-                        let vector = Vector { chart: n, evacuations: n, ..Vector::default() };
-                        let posts = vec![Post { duty: Duty::Tally, holder: n as Node, term: n }];
+                        let vector =
+                            VersionVector { configuration: n, evacuations: n, ..VersionVector::default() };
+                        let posts = vec![LeaseGrant {
+                            role: SingletonRole::QuotaCounter,
+                            holder: n as NodeId,
+                            term: n,
+                        }];
                         let (serial, clock, muster, whole, missing) =
-                            (n, 0.0, Muster::default(), true, Vec::new());
+                            (n, 0.0, VoterSet::default(), true, Vec::new());
                         let confirmed = Some(0.0);
-                        let beat = Beat { serial, clock, confirmed, vector, posts, muster, whole, missing };
-                        Event::Heard { beat, asked: Some(now) }
+                        let beat = Heartbeat {
+                            serial,
+                            cluster_clock: clock,
+                            confirmed_age: confirmed,
+                            versions: vector,
+                            leases: posts,
+                            voter_set: muster,
+                            recovered: whole,
+                            suspected: missing,
+                        };
+                        Event::Heartbeat { heartbeat: beat, requested_at: Some(now) }
                     }
                 };
                 views.append(now, event);
-                let after = views.vector();
-                assert!(after.chart >= before.chart && after.evacuations >= before.evacuations);
-                assert!(after.hosts >= before.hosts && views.counter().map(|c| c.1) >= term.map(|c| c.1));
-                let held = what == 3 && after.chart == n && after.evacuations >= n;
-                assert!(vouched || !views.vouched(now) || held);
-                assert!(views.chart().is_none_or(|chart| chart.version == after.chart));
+                let after = views.versions();
+                assert!(
+                    after.configuration >= before.configuration && after.evacuations >= before.evacuations
+                );
+                assert!(
+                    after.hosts >= before.hosts && views.counter_holder().map(|c| c.1) >= term.map(|c| c.1)
+                );
+                let held = what == 3 && after.configuration == n && after.evacuations >= n;
+                assert!(vouched || !views.is_confirmed(now) || held);
+                assert!(views.configuration().is_none_or(|chart| chart.version == after.configuration));
             }
         },
     );
@@ -233,35 +268,35 @@
 #[test]
 fn who_was_told_of_one_control_gateway_alone_remembers_the_others() {
     let mut sea = sea();
-    let ship = (100..).find(|node| sea.ships[node].session.with() == Some(6)).unwrap();
+    let ship = (100..).find(|node| sea.ships[node].session.peer() == Some(6)).unwrap();
     sea.cut_off(6, 1..=5, true, true);
     sea.cores.remove(&6);
     sea.start_core(6);
     // It reaches that one alone at first, and later those that are no seeds.
     sea.cut_off(ship, 1..=5, true, true);
     sea.run(8.0);
-    assert_eq!(sea.ships[&ship].views.keepers().len(), 1);
+    assert_eq!(sea.ships[&ship].views.control_nodes().len(), 1);
     sea.cut_off(ship, 4..=5, false, false);
     sea.run(8.0);
-    assert!(sea.ships[&ship].views.vouched(sea.now), "it is with {:?}", sea.ships[&ship].session.with());
+    assert!(sea.ships[&ship].views.is_confirmed(sea.now), "it is with {:?}", sea.ships[&ship].session.peer());
 }
 
 /// Guards against a data gateway that calls a cut-off control gateway again and again: where all have failed lately, the nearest
 /// came first, and one that is cut off names itself alone, so that it is the only one whose place is known.
 #[test]
 fn where_all_failed_lately_each_is_called_in_its_turn() {
-    let mut views = Views::new(4.0);
+    let mut views = FleetView::new(4.0);
     let control = std::net::SocketAddrV4::new(2.into(), 80);
-    let keeper = Keeper { node: 2, zone: "z".into(), region: "r".into(), control };
-    views.append(0.0, Event::Told(Piece::Keepers(vec![keeper])));
-    let place = Place { node: 9, zone: "z".into(), region: "r".into(), seeds: vec![1, 2, 3, 4] };
+    let keeper = ControlNode { node: 2, zone: "z".into(), region: "r".into(), operator_address: control };
+    views.append(0.0, Event::Update(StateUpdate::ControlNodes(vec![keeper])));
+    let place = LocalNode { node: 9, zone: "z".into(), region: "r".into(), seeds: vec![1, 2, 3, 4] };
     let (mut session, mut called) = (Session::new(place), Vec::new());
     for n in 0..60 {
         let now = f64::from(n) * 0.05;
         let pilot = || unreachable!("nobody answers");
-        if let Some(Act::Call(node)) = session.tick(now, &views, pilot).pop() {
+        if let Some(SessionAction::Connect(node)) = session.tick(now, &views, pilot).pop() {
             called.push(node);
-            session.called(now, Err("refused".into()));
+            session.connected(now, Err("refused".into()));
         }
     }
     assert!(called.len() > 12 && called[0] == 2, "{called:?}");
@@ -272,10 +307,10 @@
 /// names by then.
 #[test]
 fn seeds_that_are_read_anew_are_called() {
-    use archlink_control_client::session::{Act, Place, Session};
-    use archlink_control_client::views::Views;
-    let place = Place { node: 100, zone: "z".into(), region: "r".into(), seeds: vec![1] };
-    let (mut session, views) = (Session::new(place), Views::new(3.0));
+    use archlink_control_client::fleet_view::FleetView;
+    use archlink_control_client::session::{LocalNode, Session, SessionAction};
+    let place = LocalNode { node: 100, zone: "z".into(), region: "r".into(), seeds: vec![1] };
+    let (mut session, views) = (Session::new(place), FleetView::new(3.0));
     let mut called = std::collections::BTreeSet::new();
     for n in 0..20 {
         let now = 0.5 * f64::from(n);
@@ -284,9 +319,9 @@
             session.set_seeds(vec![2, 3]);
         }
         for act in session.tick(now, &views, || unreachable!("no session")) {
-            if let Act::Call(node) = act {
+            if let SessionAction::Connect(node) = act {
                 called.insert(node);
-                session.called(now, Err("nobody there".into()));
+                session.connected(now, Err("nobody there".into()));
             }
         }
     }
--- a/crates/control-client/tests/hundred.rs
+++ b/crates/control-client/tests/hundred.rs
@@ -5,7 +5,7 @@
 mod sea;
 
 use archlink_consensus::Outcome;
-use archlink_messages::Node;
+use archlink_messages::NodeId;
 use sea::{Sea, hosts};
 
 /// From a cold start to all serving; a configuration, a much larger one and a list of hosts reach all in time, in few
@@ -17,11 +17,11 @@
     sea.replace(4, 1, 40);
     sea.run(1.0);
     assert_eq!((sea.done.as_slice(), sea.with_version(1), sea.vouched()), (&[Outcome::Chosen][..], 100, 100));
-    sea.core(2, |control, now| control.list(now, hosts(1, 230)));
+    sea.core(2, |control, now| control.set_host_list(now, hosts(1, 230)));
     sea.run(3.5);
     // All are counted by all, once those who only started may tell.
-    assert!(sea.ships.values().all(|ship| ship.views.pilots().len() == 100));
-    let most = |sea: &Sea, from: Node| sea.bytes.iter().filter(|b| *b.0 >= from).map(|b| *b.1).max();
+    assert!(sea.ships.values().all(|ship| ship.views.data_nodes().len() == 100));
+    let most = |sea: &Sea, from: NodeId| sea.bytes.iter().filter(|b| *b.0 >= from).map(|b| *b.1).max();
     sea.bytes.clear();
     sea.run(5.0);
     let (ship, core) = (most(&sea, 100).unwrap() / 5, most(&sea, 1).unwrap() / 5);
@@ -30,9 +30,9 @@
     sea.bytes.clear();
     for version in 2..7 {
         let mut list = hosts(version, 230 + version as usize);
-        list.lines.remove(version as usize * 9);
-        list.lines[version as usize].draining = true;
-        sea.core(2, |control, now| control.list(now, list.clone()));
+        list.instances.remove(version as usize * 9);
+        list.instances[version as usize].draining = true;
+        sea.core(2, |control, now| control.set_host_list(now, list.clone()));
         sea.run(1.0);
         assert!(sea.ships.values().all(|ship| ship.hosts == list), "list {version}");
     }
@@ -49,7 +49,7 @@
     sea.bytes.clear();
     let before = sea.ships[&100].charts;
     for version in 3..11 {
-        sea.replace(1 + version as Node % 6, version, 340 + version as usize);
+        sea.replace(1 + version as NodeId % 6, version, 340 + version as usize);
         sea.run(0.1);
     }
     sea.run(1.0);
--- a/crates/control-client/tests/sea/mod.rs
+++ b/crates/control-client/tests/sea/mod.rs
@@ -2,14 +2,16 @@
 //! counted as they would be framed.
 #![allow(dead_code)]
 
-use archlink_consensus::control::{Control, Start};
-use archlink_consensus::helm::Change;
-use archlink_consensus::journal::Event;
-use archlink_consensus::news::News;
-use archlink_consensus::{Act, Outcome, Record};
-use archlink_control_client::session::{Act as SessionAct, Place, Session};
-use archlink_control_client::views::{Turn, Views};
-use archlink_messages::{HostLine, Hosts, Keeper, Muster, Node, Pilot, Register, Slot, Word, pack};
+use archlink_consensus::control::{ControlNodeState, InitialState};
+use archlink_consensus::event_log::Event;
+use archlink_consensus::proposer::Change;
+use archlink_consensus::update_delivery::UpdateDelivery;
+use archlink_consensus::{DurableRecord, Effect, Outcome};
+use archlink_control_client::fleet_view::{FleetView, ViewChange};
+use archlink_control_client::session::{LocalNode, Session, SessionAction as SessionAct};
+use archlink_messages::{
+    AcceptorState, ControlNode, DataNode, HostInstance, HostList, Message, NodeId, Register, VoterSet, patch,
+};
 use bytes::Bytes;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -22,42 +24,42 @@
 }
 
 pub struct Core {
-    pub control: Control,
-    pub news: News,
-    pub sessions: BTreeMap<Node, f64>,
+    pub control: ControlNodeState,
+    pub news: UpdateDelivery,
+    pub sessions: BTreeMap<NodeId, f64>,
 }
 
 pub struct Ship {
     pub session: Session,
-    pub views: Views,
+    pub views: FleetView,
     pub zone: usize,
     /// The control gateway that its connection leads to.
-    pub line: Option<Node>,
+    pub line: Option<NodeId>,
     /// Configurations that it read.
     pub charts: usize,
-    pub hosts: Hosts,
+    pub hosts: HostList,
 }
 
 /// Bytes as framed: the length before each word.
-fn weight(word: &Word) -> usize {
+fn weight(word: &Message) -> usize {
     postcard::to_stdvec(word).unwrap().len() + 4
 }
 
 pub struct Sea {
     pub now: f64,
     pub chance: oorandom::Rand64,
-    pub cores: BTreeMap<Node, Core>,
-    pub ships: BTreeMap<Node, Ship>,
-    pub way: BTreeMap<(u64, u64), (Node, Node, Word)>,
+    pub cores: BTreeMap<NodeId, Core>,
+    pub ships: BTreeMap<NodeId, Ship>,
+    pub way: BTreeMap<(u64, u64), (NodeId, NodeId, Message)>,
     pub serial: u64,
     /// Bytes to and from each gateway.
-    pub bytes: BTreeMap<Node, usize>,
+    pub bytes: BTreeMap<NodeId, usize>,
     pub done: Vec<Outcome>,
     /// Ways that are cut, each by itself: words are lost, and calls that would take them fail.
-    pub cut: BTreeSet<(Node, Node)>,
+    pub cut: BTreeSet<(NodeId, NodeId)>,
     /// When each version was first acknowledged.
     pub acked: BTreeMap<u64, f64>,
-    disks: BTreeMap<Node, BTreeMap<Register, Slot>>,
+    disks: BTreeMap<NodeId, BTreeMap<Register, AcceptorState>>,
 }
 
 impl Sea {
@@ -77,53 +79,58 @@
         };
         (1..=6).for_each(|node| sea.start_core(node));
         for n in 0..ships {
-            sea.start_ship(100 + n as Node);
+            sea.start_ship(100 + n as NodeId);
         }
         sea
     }
 
-    pub fn start_core(&mut self, node: Node) {
+    pub fn start_core(&mut self, node: NodeId) {
         let (zone, region) = zone(node as usize - 1);
-        let keeper = Keeper { node, zone, region, control: std::net::SocketAddrV4::new(node.into(), 80) };
-        let start = Start {
-            keeper,
-            muster: Muster::first(&[1, 2, 3]),
-            needed: 5,
+        let keeper = ControlNode {
+            node,
+            zone,
+            region,
+            operator_address: std::net::SocketAddrV4::new(node.into(), 80),
+        };
+        let start = InitialState {
+            identity: keeper,
+            voter_set: VoterSet::initial(&[1, 2, 3]),
+            required_voters: 5,
             catch_up: 1000.0,
-            slots: Some(self.disks.get(&node).cloned().unwrap_or_default()),
-            posts: Vec::new(),
+            acceptors: Some(self.disks.get(&node).cloned().unwrap_or_default()),
+            grants: Vec::new(),
             seed: self.chance.rand_u64(),
         };
-        let control = Control::new(self.now, start);
-        self.cores.insert(node, Core { control, news: News::default(), sessions: BTreeMap::new() });
+        let control = ControlNodeState::new(self.now, start);
+        self.cores.insert(node, Core { control, news: UpdateDelivery::default(), sessions: BTreeMap::new() });
         for other in 1..=6 {
             for (from, to) in [(node, other), (other, node)] {
                 if let Some(core) = self.cores.get(&from).filter(|_| from != to) {
-                    let greeting = core.control.greeting();
+                    let greeting = core.control.peer_hello();
                     self.send(from, to, greeting);
                 }
             }
         }
     }
 
-    pub fn start_ship(&mut self, node: Node) {
+    pub fn start_ship(&mut self, node: NodeId) {
         let at = node as usize % ZONES;
         let (zone, region) = zone(at);
-        let session = Session::new(Place { node, zone, region, seeds: vec![1, 2, 3] });
+        let session = Session::new(LocalNode { node, zone, region, seeds: vec![1, 2, 3] });
         self.ships.insert(
             node,
             Ship {
                 session,
-                views: Views::new(LEASE),
+                views: FleetView::new(LEASE),
                 zone: at,
                 line: None,
                 charts: 0,
-                hosts: Hosts::default(),
+                hosts: HostList::default(),
             },
         );
     }
 
-    fn send(&mut self, from: Node, to: Node, word: Word) {
+    fn send(&mut self, from: NodeId, to: NodeId, word: Message) {
         if from == to {
             self.serial += 1;
             self.way.insert(((self.now * 1e6) as u64, self.serial), (from, to, word));
@@ -140,24 +147,27 @@
         self.way.insert((((self.now + way) * 1e6) as u64, self.serial), (from, to, word));
     }
 
-    pub fn core(&mut self, node: Node, step: impl FnOnce(&mut Control, f64) -> Vec<Act>) {
+    pub fn core(&mut self, node: NodeId, step: impl FnOnce(&mut ControlNodeState, f64) -> Vec<Effect>) {
         let now = self.now;
         let Some(core) = self.cores.get_mut(&node) else { return };
         for act in step(&mut core.control, now) {
             match act {
-                Act::Send(to, word) => self.send(node, to, word),
-                Act::Store(Record { slots, .. }, then) => {
+                Effect::Send(to, word) => self.send(node, to, word),
+                Effect::Store(DurableRecord { acceptors: slots, .. }, then) => {
                     self.disks.entry(node).or_default().extend(slots);
                     then.into_iter().for_each(|(to, word)| self.send(node, to, word));
                 }
-                Act::Learned(Register::Chart) => {
+                Effect::Learned(Register::Configuration) => {
                     let core = self.cores.get_mut(&node).unwrap();
-                    let held = core.control.helm.chosen(Register::Chart).unwrap();
-                    core.news.learned_chart(held.order(), pack::unpack(&held.value, b"").unwrap());
+                    let held = core.control.proposer.chosen(Register::Configuration).unwrap();
+                    core.news.configuration_learned(
+                        held.ordering_key(),
+                        patch::decompress(&held.value, b"").unwrap(),
+                    );
                     self.tell(node);
                 }
-                Act::Learned(_) => self.tell(node),
-                Act::Done(version, outcome) => {
+                Effect::Learned(_) => self.tell(node),
+                Effect::ProposalResolved(version, outcome) => {
                     self.done.push(outcome);
                     if outcome == Outcome::Chosen {
                         self.acked.entry(version).or_insert(now);
@@ -168,52 +178,53 @@
     }
 
     /// A sign of life to all sessions, as something is new.
-    fn tell(&mut self, node: Node) {
+    fn tell(&mut self, node: NodeId) {
         let core = &self.cores[&node];
-        let (beat, to) = (core.control.beat(self.now, 0), core.sessions.keys().copied().collect::<Vec<_>>());
+        let (beat, to) =
+            (core.control.heartbeat(self.now, 0), core.sessions.keys().copied().collect::<Vec<_>>());
         to.into_iter().for_each(|ship| self.send(node, ship, beat.clone()));
     }
 
-    fn at_core(&mut self, node: Node, from: Node, word: Word) {
+    fn at_core(&mut self, node: NodeId, from: NodeId, word: Message) {
         match word {
-            Word::Hail { serial, pilot, clock, .. } => {
+            Message::SessionHeartbeat { serial, data_node: pilot, clock, .. } => {
                 let now = self.now;
                 let Some(core) = self.cores.get_mut(&node) else { return };
                 core.sessions.insert(from, now);
-                core.control.heard_clock(now, clock);
-                self.core(node, |control, now| control.happened(now, Event::Hailed(pilot)));
-                let beat = self.cores[&node].control.beat(now, serial);
+                core.control.observe_clock(now, clock);
+                self.core(node, |control, now| control.record_event(now, Event::SessionRenewed(pilot)));
+                let beat = self.cores[&node].control.heartbeat(now, serial);
                 self.send(node, from, beat);
             }
-            Word::Pull(theirs) if from >= 100 => {
+            Message::UpdateRequest(theirs) if from >= 100 => {
                 let now = self.now;
                 let Some(core) = self.cores.get_mut(&node) else { return };
-                let pieces = core.news.lacking(now, &core.control, &theirs);
-                self.send(node, from, Word::News(pieces));
+                let pieces = core.news.updates_for(now, &core.control, &theirs);
+                self.send(node, from, Message::StateUpdates(pieces));
             }
-            word => self.core(node, |control, now| control.hear(now, from, word)),
+            word => self.core(node, |control, now| control.step(now, from, word)),
         }
     }
 
-    fn perform(&mut self, node: Node, acts: Vec<SessionAct>) {
+    fn perform(&mut self, node: NodeId, acts: Vec<SessionAct>) {
         for act in acts {
             match act {
-                SessionAct::Call(to) => {
+                SessionAct::Connect(to) => {
                     let cut = self.cut.contains(&(node, to)) || self.cut.contains(&(to, node));
                     let there = self.cores.contains_key(&to) && !cut;
                     let ship = self.ships.get_mut(&node).unwrap();
                     ship.line = there.then_some(to);
                     let called = if there { Ok(()) } else { Err("refused".to_string()) };
-                    let more = ship.session.called(self.now, called);
+                    let more = ship.session.connected(self.now, called);
                     self.perform(node, more);
                 }
-                SessionAct::HangUp => {
+                SessionAct::Disconnect => {
                     let line = self.ships.get_mut(&node).unwrap().line.take();
                     if let Some(core) = line.and_then(|to| self.cores.get_mut(&to)) {
                         core.sessions.remove(&node);
                     }
                     if let Some(to) = line {
-                        self.core(to, |control, now| control.happened(now, Event::Lost(node)));
+                        self.core(to, |control, now| control.record_event(now, Event::SessionClosed(node)));
                     }
                 }
                 SessionAct::Send(word) => {
@@ -226,21 +237,21 @@
         }
     }
 
-    fn at_ship(&mut self, node: Node, from: Node, word: Word) {
+    fn at_ship(&mut self, node: NodeId, from: NodeId, word: Message) {
         let now = self.now;
         let Some(ship) = self.ships.get_mut(&node).filter(|ship| ship.line == Some(from)) else { return };
-        let (acts, turns) = ship.session.hear(now, word, &mut ship.views);
-        assert!(!turns.iter().any(|turn| matches!(turn, Turn::Unusable(_))), "{turns:?}");
-        ship.charts += turns.iter().filter(|turn| matches!(turn, Turn::Chart(_))).count();
+        let (acts, turns) = ship.session.step(now, word, &mut ship.views);
+        assert!(!turns.iter().any(|turn| matches!(turn, ViewChange::InvalidUpdate(_))), "{turns:?}");
+        ship.charts += turns.iter().filter(|turn| matches!(turn, ViewChange::Configuration(_))).count();
         let list = turns
             .iter()
             .rev()
-            .find_map(|turn| if let Turn::Hosts(hosts) = turn { Some(hosts) } else { None });
+            .find_map(|turn| if let ViewChange::HostList(hosts) = turn { Some(hosts) } else { None });
         if let Some(hosts) = list {
             ship.hosts = hosts.clone();
         }
         if !turns.is_empty() {
-            ship.session.hurry(now);
+            ship.session.heartbeat_soon(now);
         }
         self.perform(node, acts);
     }
@@ -257,32 +268,38 @@
             for node in 1..=6 {
                 self.core(node, |control, now| control.tick(now));
             }
-            let nodes: Vec<Node> = self.ships.keys().copied().collect();
+            let nodes: Vec<NodeId> = self.ships.keys().copied().collect();
             for node in nodes {
                 let now = self.now;
                 let ship = self.ships.get_mut(&node).unwrap();
                 let (zone, region) = zone(ship.zone);
                 let front = std::net::SocketAddrV4::new(node.into(), 80);
-                let ready = ship.views.vouched(now);
-                let acts = ship.session.tick(now, &ship.views, || Pilot { node, zone, region, front, ready });
+                let ready = ship.views.is_confirmed(now);
+                let acts = ship.session.tick(now, &ship.views, || DataNode {
+                    node,
+                    zone,
+                    region,
+                    client_address: front,
+                    ready,
+                });
                 self.perform(node, acts);
             }
         }
     }
 
-    pub fn replace(&mut self, node: Node, version: u64, routes: usize) -> usize {
+    pub fn replace(&mut self, node: NodeId, version: u64, routes: usize) -> usize {
         let text = configuration(version, routes);
-        let packed = Bytes::from(pack::pack(text.as_bytes(), b"").unwrap());
+        let packed = Bytes::from(patch::compress(text.as_bytes(), b"").unwrap());
         let length = packed.len();
         self.core(node, |control, now| {
             let digest = u128::from(version).to_be_bytes();
-            control.propose(now, Change::Chart { version, digest, text: packed }, version)
+            control.propose(now, Change::Configuration { version, digest, text: packed }, version)
         });
         length
     }
 
     /// Cuts, or joins again, a machine from others, each way by itself.
-    pub fn cut_off(&mut self, node: Node, from: impl Iterator<Item = Node>, out: bool, into: bool) {
+    pub fn cut_off(&mut self, node: NodeId, from: impl Iterator<Item = NodeId>, out: bool, into: bool) {
         for other in from.filter(|other| *other != node) {
             for (pair, cut) in [((node, other), out), ((other, node), into)] {
                 if cut {
@@ -294,26 +311,26 @@
         }
     }
 
-    pub fn evacuate(&mut self, node: Node, zone: &str) {
-        let change = Change::Evacuate { zone: zone.to_string(), on: true };
+    pub fn evacuate(&mut self, node: NodeId, zone: &str) {
+        let change = Change::Evacuation { zone: zone.to_string(), on: true };
         self.core(node, |control, now| control.propose(now, change, 1000));
     }
 
     pub fn with_version(&self, version: u64) -> usize {
-        let holds = |ship: &&Ship| ship.views.chart().is_some_and(|chart| chart.version == version);
+        let holds = |ship: &&Ship| ship.views.configuration().is_some_and(|chart| chart.version == version);
         self.ships.values().filter(holds).count()
     }
 
     pub fn vouched(&self) -> usize {
-        self.ships.values().filter(|ship| ship.views.vouched(self.now)).count()
+        self.ships.values().filter(|ship| ship.views.is_confirmed(self.now)).count()
     }
 
     /// Sessions at each control gateway.
-    pub fn spread(&self) -> BTreeMap<Node, usize> {
+    pub fn spread(&self) -> BTreeMap<NodeId, usize> {
         let mut spread = BTreeMap::new();
         self.ships
             .values()
-            .filter_map(|s| s.session.with())
+            .filter_map(|s| s.session.peer())
             .for_each(|to| *spread.entry(to).or_default() += 1);
         spread
     }
@@ -335,15 +352,15 @@
     )
 }
 
-pub fn hosts(version: u64, count: usize) -> Hosts {
-    let line = |n: usize| HostLine {
+pub fn hosts(version: u64, count: usize) -> HostList {
+    let line = |n: usize| HostInstance {
         id: format!("i-{:010x}", n * 7919),
         service: "sexa21a".into(),
         address: "10.4.64.75:8580".parse().unwrap(),
         zone: zone(n % ZONES).0,
         capacity: 2,
         draining: false,
-        cold_for: 0.0,
+        warm_up_seconds: 0.0,
     };
-    Hosts { term: 1, version, lines: (0..count).map(line).collect() }
+    HostList { term: 1, version, instances: (0..count).map(line).collect() }
 }
--- a/crates/control-plane/src/desk.rs
+++ b/crates/control-plane/src/admin_client.rs
@@ -1,11 +1,11 @@
 //! The operators' commands: each is one call of the table in `calls.rs`, sent to one control gateway after another until
 //! one answers. Owns what is printed. Must never send a configuration that does not pass the check.
 
+use crate::admin_commands::{digest, hex};
 use crate::calls::Call;
-use crate::orders::{digest, hex};
-use crate::salvage::{Told, Words, survey};
-use crate::{MasterError, Outcome, orders, read_settings, voters};
-use archlink_http::plain::{CallerSide, Reply, Sending};
+use crate::disaster_recovery::{Told, Words, survey};
+use crate::{ControlPlaneError, Outcome, admin_commands, read_settings, voter_admin};
+use archlink_http::codec::{ClientCodec, HostResponse, OutgoingRequest};
 use clap::ArgMatches;
 use error_stack::{Report, ResultExt};
 use futures_util::future::join_all;
@@ -31,14 +31,14 @@
 /// Headers of replies, in the order of their fields.
 const WANTED: &[&str] = &["location", "config-version", "config-digest", "confirmed-seconds-ago"];
 
-async fn ask(to: SocketAddr, call: Call, names: &str, body: &[u8]) -> io::Result<Reply> {
+async fn ask(to: SocketAddr, call: Call, names: &str, body: &[u8]) -> io::Result<HostResponse> {
     let (method, mut to, mut target) = (call.method(), to, format!("{}{names}", call.path()));
     for _ in 0..=MOST_HOPS {
         let stream = TcpStream::connect(to).await?;
         let mut framed =
-            Framed::new(stream, CallerSide::new(WANTED, MOST_BODY, Rc::new(Cell::new(MOST_BODY))));
+            Framed::new(stream, ClientCodec::new(WANTED, MOST_BODY, Rc::new(Cell::new(MOST_BODY))));
         let lines = b"Content-Type: application/json\r\nConnection: close\r\n";
-        framed.send(Sending { method, target: &target, host: &to.to_string(), lines, body }).await?;
+        framed.send(OutgoingRequest { method, target: &target, host: &to.to_string(), lines, body }).await?;
         let reply = framed.next().await.unwrap_or(Err(io::ErrorKind::UnexpectedEof.into()))?;
         let next = reply.fields[0].once().and_then(|text| text.strip_prefix("http://")?.split_once('/'));
         match next {
@@ -52,13 +52,13 @@
     Err(io::Error::other("too many redirections"))
 }
 
-async fn ask_in_time(to: SocketAddr, call: Call, names: &str, body: &[u8]) -> io::Result<Reply> {
+async fn ask_in_time(to: SocketAddr, call: Call, names: &str, body: &[u8]) -> io::Result<HostResponse> {
     let asked = timeout(WITHIN, ask(to, call, names, body)).await;
     asked.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
 }
 
 fn address(argument: &str, text: &str) -> Outcome<SocketAddr> {
-    let read = text.parse().change_context(MasterError::Call);
+    let read = text.parse().change_context(ControlPlaneError::Call);
     read.attach_with(|| format!("{argument}: {text:?} is no address with a port, as 10.0.0.1:8200"))
 }
 
@@ -69,7 +69,7 @@
     }
 }
 
-fn failed(kind: MasterError, why: String) -> Report<MasterError> {
+fn failed(kind: ControlPlaneError, why: String) -> Report<ControlPlaneError> {
     Report::new(kind).attach(why)
 }
 
@@ -89,22 +89,22 @@
 }
 
 /// Sends a call to one control gateway after another until one answers for good.
-async fn reply(to: &[SocketAddr], call: Call, names: &str, body: &[u8]) -> Outcome<Reply> {
-    let mut last = failed(MasterError::Call, "no control gateway is named".into());
+async fn reply(to: &[SocketAddr], call: Call, names: &str, body: &[u8]) -> Outcome<HostResponse> {
+    let mut last = failed(ControlPlaneError::Call, "no control gateway is named".into());
     for &to in to {
         match ask_in_time(to, call, names, body).await {
             Ok(reply) if reply.status == 200 => return Ok(reply),
             Ok(reply) if reply.status == 409 => {
-                return Err(failed(MasterError::Refused, refusal(to, &reply.body)));
+                return Err(failed(ControlPlaneError::Refused, refusal(to, &reply.body)));
             }
             Ok(reply) => {
                 let text = String::from_utf8_lossy(&reply.body);
-                last = failed(MasterError::Call, format!("{to} answered {}: {text}", reply.status));
+                last = failed(ControlPlaneError::Call, format!("{to} answered {}: {text}", reply.status));
                 if reply.status < 500 {
                     return Err(last);
                 }
             }
-            Err(e) => last = failed(MasterError::Call, format!("{to}: {e}")),
+            Err(e) => last = failed(ControlPlaneError::Call, format!("{to}: {e}")),
         }
     }
     Err(last)
@@ -123,19 +123,21 @@
     let own = hex(&digest(&reply.body));
     if told != own {
         return Err(failed(
-            MasterError::Call,
+            ControlPlaneError::Call,
             format!("the text that came has digest {own}, told was {told}"),
         ));
     }
     eprintln!("version {version}, digest {own}, confirmed by a majority {ago} s ago");
     // Byte for byte: kept in a file it has the same digest.
-    io::stdout().write_all(&reply.body).change_context(MasterError::Call)
+    io::stdout().write_all(&reply.body).change_context(ControlPlaneError::Call)
 }
 
 fn checked(below: &ArgMatches) -> Outcome<Vec<u8>> {
     let file = below.get_one::<String>("FILE").map_or("", String::as_str);
-    let text = std::fs::read(file).change_context(MasterError::File).attach_with(|| file.to_string())?;
-    let chart = orders::checked(&text).map_err(|why| failed(MasterError::File, format!("{file}: {why}")))?;
+    let text =
+        std::fs::read(file).change_context(ControlPlaneError::File).attach_with(|| file.to_string())?;
+    let chart = admin_commands::checked(&text)
+        .map_err(|why| failed(ControlPlaneError::File, format!("{file}: {why}")))?;
     let (routes, services, tenants) = (chart.routes.len(), chart.services.len(), chart.tenants.len());
     let (version, digest) = (chart.version, hex(&digest(&text)));
     eprintln!(
@@ -176,14 +178,20 @@
         return Ok(());
     }
     let Some(Words { at, epoch, lose }) = shown else {
-        return Err(failed(MasterError::Refused, "there is nothing to found anew, as shown above".into()));
+        return Err(failed(
+            ControlPlaneError::Refused,
+            "there is nothing to found anew, as shown above".into(),
+        ));
     };
     for ((argument, given), shown) in given.into_iter().zip([&at, &epoch, &lose]) {
         if given != shown {
-            return Err(failed(MasterError::Call, format!("{argument}: found {given:?}, shown is {shown}")));
+            return Err(failed(
+                ControlPlaneError::Call,
+                format!("{argument}: found {given:?}, shown is {shown}"),
+            ));
         }
     }
-    let number = epoch.parse::<u64>().change_context(MasterError::Call)?;
+    let number = epoch.parse::<u64>().change_context(ControlPlaneError::Call)?;
     let body = json!({"Epoch": number, "Lose": lose.split(',').collect::<Vec<_>>()}).to_string();
     let reply = reply(&[address("--at", &at)?], Call::VotersRefound, "", body.as_bytes()).await?;
     println!("{}", String::from_utf8_lossy(&reply.body));
@@ -196,9 +204,11 @@
             let mut names = Vec::new();
             for argument in ["OLD", "NEW"] {
                 let text = below.get_one::<String>(argument).map_or("", String::as_str);
-                let node = voters::node(text);
+                let node = voter_admin::node(text);
                 let why = || format!("{argument}: {text:?} is no address of a machine, as 10.0.0.1");
-                names.push(Ipv4Addr::from(node.ok_or_else(|| failed(MasterError::Call, why()))?).to_string());
+                names.push(
+                    Ipv4Addr::from(node.ok_or_else(|| failed(ControlPlaneError::Call, why()))?).to_string(),
+                );
             }
             carry(below, Call::VotersReplace, &names.join("/"), b"").await
         }
--- a/crates/control-plane/src/orders.rs
+++ b/crates/control-plane/src/admin_commands.rs
@@ -2,14 +2,15 @@
 //! an order is answered with. Must never acknowledge what a majority does not hold, nor say a refusal that would change if
 //! the same text came again: that rests on the text alone, or on another that stands under its number for good.
 
+use crate::admin_server::{later, refused};
+use crate::answer_names;
 use crate::calls::Call;
-use crate::office::{later, refused};
-use crate::port::{Order, Port, Unbegun};
-use archlink_config::Chart;
-use archlink_consensus::helm::Change;
-use archlink_consensus::{Outcome, Refusal};
-use archlink_http::plain::Answer;
-use archlink_messages::{Mark, Register, pack};
+use crate::node::{Node, Order, Unbegun};
+use archlink_config::Configuration;
+use archlink_consensus::proposer::Change;
+use archlink_consensus::{MembershipError, Outcome};
+use archlink_http::codec::Response;
+use archlink_messages::{Register, VersionDigest, patch};
 use bytes::Bytes;
 use serde_json::{Value, json};
 use sha2::{Digest, Sha256};
@@ -29,9 +30,9 @@
 }
 
 /// The end of an order; else the answer that it has none, or was not begun.
-pub fn settled(ended: Result<Outcome, Unbegun>) -> Result<Outcome, Answer> {
+pub fn settled(ended: Result<Outcome, Unbegun>) -> Result<Outcome, Response> {
     match ended {
-        Ok(Outcome::Unclear) => Err(later(
+        Ok(Outcome::Unknown) => Err(later(
             "no majority has taken it yet: it may or may not come to be; the same order sent again tells",
         )),
         Ok(outcome) => Ok(outcome),
@@ -49,15 +50,15 @@
 const MOST_VERSION: u64 = (1 << 40) - 2;
 
 /// A configuration that may be sent; else the refusal, which rests on the text alone.
-pub fn checked(text: &[u8]) -> Result<Chart, String> {
-    let chart = Chart::read(text).map_err(|e| e.current_context().to_string())?;
+pub fn checked(text: &[u8]) -> Result<Configuration, String> {
+    let chart = Configuration::read(text).map_err(|e| e.current_context().to_string())?;
     match chart.version {
         ..=MOST_VERSION => Ok(chart),
         version => Err(format!("ConfigVersion: found {version:x}, allowed is {MOST_VERSION:x} at most")),
     }
 }
 
-pub async fn replace(port: &Port, text: &Bytes) -> Answer {
+pub async fn replace(port: &Node, text: &Bytes) -> Response {
     let version = match checked(text) {
         Ok(chart) => chart.version,
         Err(why) => {
@@ -65,86 +66,90 @@
             return refused(400, why);
         }
     };
-    let packed: Bytes = match pack::pack(text, b"") {
+    let packed: Bytes = match patch::compress(text, b"") {
         Ok(packed) if packed.len() <= MOST_PACKED => packed.into(),
         Ok(_) => return refused(413, "the configuration is too large to be sent between control gateways"),
         Err(e) => return refused(413, e),
     };
-    let own = Mark { version, digest: digest(text) };
-    let change = Change::Chart { version, digest: own.digest, text: packed };
+    let own = VersionDigest { version, digest: digest(text) };
+    let change = Change::Configuration { version, digest: own.digest, text: packed };
     match settled(port.order(Call::Replace, Order::Change(change)).await) {
-        Ok(Outcome::Stands(mark)) => stands(own, mark),
-        Ok(Outcome::Refused(why)) => not_so(why),
+        Ok(Outcome::VersionConflict(mark)) => stands(own, mark),
+        Ok(Outcome::Rejected(why)) => not_so(why),
         Ok(_) => taken(port, own),
         Err(answer) => answer,
     }
 }
 
-fn marked(mark: Mark) -> Value {
+fn marked(mark: VersionDigest) -> Value {
     json!({"ConfigVersion": format!("{:08x}", mark.version), "Digest": hex(&mark.digest)})
 }
 
 /// The configuration in force, as far as is known here. One of before there were marks is read.
-fn in_force(port: &Port) -> Option<Mark> {
-    let held = port.look(|control, _| control.helm.chosen(Register::Chart).cloned())?;
-    let version = held.stamp.saturating_sub(1);
-    let known = held.marks.last().copied().filter(|mark| mark.version == version);
-    known.or_else(|| Some(Mark { version, digest: digest(&pack::unpack(&held.value, b"").ok()?) }))
+fn in_force(port: &Node) -> Option<VersionDigest> {
+    let held = port.look(|control, _| control.proposer.chosen(Register::Configuration).cloned())?;
+    let version = held.revision.saturating_sub(1);
+    let known = held.recent_versions.last().copied().filter(|mark| mark.version == version);
+    known.or_else(|| {
+        Some(VersionDigest { version, digest: digest(&patch::decompress(&held.value, b"").ok()?) })
+    })
 }
 
 /// Acknowledged; `InForce` names the configuration that stands, which has a higher number where this one came too late.
-fn taken(port: &Port, own: Mark) -> Answer {
+fn taken(port: &Node, own: VersionDigest) -> Response {
     let mut told = marked(own);
     told["InForce"] = marked(in_force(port).unwrap_or(own));
-    Answer::json(200, told.to_string())
+    Response::json(200, told.to_string())
 }
 
 /// Another text stands under this number, for good.
-fn stands(own: Mark, mark: Mark) -> Answer {
+fn stands(own: VersionDigest, mark: VersionDigest) -> Response {
     let (theirs, yours) = (hex(&mark.digest), hex(&own.digest));
     log::warn!("configuration {:08x} is refused: {theirs} stands under it, {yours} was sent", own.version);
     let why = "another text stands under this number: read it, and send yours under a higher one";
     let told = json!({"Error": why, "ConfigVersion": format!("{:08x}", own.version), "Digest": theirs,
         "YourDigest": yours});
-    Answer::json(409, told.to_string())
+    Response::json(409, told.to_string())
 }
 
-pub async fn evacuate(port: &Port, call: Call, zone: &str) -> Answer {
+pub async fn evacuate(port: &Node, call: Call, zone: &str) -> Response {
     let on = call == Call::Begin;
     if !port.settings.zones.contains_key(zone) {
         return refused(404, format_args!("{zone:?} is no zone of this deployment"));
     }
-    let order = Order::Change(Change::Evacuate { zone: zone.to_string(), on });
+    let order = Order::Change(Change::Evacuation { zone: zone.to_string(), on });
     match settled(port.order(call, order).await) {
-        Ok(Outcome::Refused(why)) => not_so(why),
-        Ok(_) => Answer::json(200, json!({"Zone": zone, "Evacuated": on}).to_string()),
+        Ok(Outcome::Rejected(why)) => not_so(why),
+        Ok(_) => Response::json(200, json!({"Zone": zone, "Evacuated": on}).to_string()),
         Err(answer) => answer,
     }
 }
 
 /// What to do about a refusal.
-pub fn sentence(why: Refusal) -> &'static str {
+pub fn sentence(why: MembershipError) -> &'static str {
     match why {
-        Refusal::Unknown => {
+        MembershipError::Unknown => {
             "who votes is not known here yet: ask again once this gateway has reached another, or ask another"
         }
-        Refusal::UnderWay => {
+        MembershipError::ChangeInProgress => {
             "another change of the voters is under way: see `voters`, and order again once it has ended"
         }
-        Refusal::NoSeat => "the one that is to go has no seat: see `voters` for those that have",
-        Refusal::Seated => "the one that is to come has a seat already: see `voters`",
-        Refusal::Absent => {
+        MembershipError::NotAVoter => "the one that is to go has no seat: see `voters` for those that have",
+        MembershipError::AlreadyAVoter => "the one that is to come has a seat already: see `voters`",
+        MembershipError::Unreachable => {
             "the one that is to come is not heard of: start it, and order again once `members` names it"
         }
-        Refusal::NotWhole => {
+        MembershipError::NotRecovered => {
             "too many voters are not there or have not read back their disks: see `voters`, and bring those back first"
         }
-        Refusal::Epoch => "the epoch that was named is not the one that stands: see `voters`, and name that",
+        MembershipError::WrongEpoch => {
+            "the epoch that was named is not the one that stands: see `voters`, and name that"
+        }
     }
 }
 
 /// Refused for good as things stand; nothing was begun.
-pub fn not_so(why: Refusal) -> Answer {
+pub fn not_so(why: MembershipError) -> Response {
     log::warn!("an order is refused: {}", sentence(why));
-    Answer::json(409, json!({"Error": sentence(why), "Reason": format!("{why:?}")}).to_string())
+    Response::json(409, json!({"Error": sentence(why), "Reason": answer_names::rejection(why)}).to_string())
 }
--- a/crates/control-plane/src/office.rs
+++ b/crates/control-plane/src/admin_server.rs
@@ -2,10 +2,10 @@
 //! waiting at the other end. Must never begin an order whose caller is known to be gone.
 
 use crate::calls::Call;
-use crate::port::Port;
-use crate::{looks, orders, voters};
-use archlink_http::departure::departure;
-use archlink_http::plain::{Answer, Asked, Request, ServerSide};
+use crate::node::Node;
+use crate::{admin_commands, admin_queries, voter_admin};
+use archlink_http::codec::{Decoded, Request, Response, ServerCodec};
+use archlink_http::disconnect::wait_for_disconnect;
 use futures_util::{SinkExt, StreamExt};
 use serde_json::json;
 use std::cell::Cell;
@@ -26,9 +26,9 @@
 /// When to come back after an answer that settles nothing.
 const COME_BACK: &str = "0.3";
 
-pub async fn listen(port: Rc<Port>, listener: TcpListener) {
+pub async fn listen(port: Rc<Node>, listener: TcpListener) {
     let open = Rc::new(());
-    let room = Rc::new(Cell::new((port.settings.memory * BODIES) as usize));
+    let room = Rc::new(Cell::new((port.settings.memory_bytes * BODIES) as usize));
     loop {
         match listener.accept().await {
             Ok((stream, _)) if Rc::strong_count(&open) <= MOST_CONNECTIONS => {
@@ -44,12 +44,12 @@
     }
 }
 
-pub async fn serve(port: Rc<Port>, stream: TcpStream, room: Rc<Cell<usize>>, _open: Rc<()>) {
-    let mut framed = Framed::new(stream, ServerSide::new(&[], MOST_BODY, room));
+pub async fn serve(port: Rc<Node>, stream: TcpStream, room: Rc<Cell<usize>>, _open: Rc<()>) {
+    let mut framed = Framed::new(stream, ServerCodec::new(&[], MOST_BODY, room));
     while let Ok(Some(Ok(asked))) = timeout(IDLE, framed.next()).await {
         let (mut answer, close) = match asked {
-            Asked::Bad(status) => (bad(status, framed.codec().full()), true),
-            Asked::Request(request) => {
+            Decoded::Bad(status) => (bad(status, framed.codec().out_of_memory()), true),
+            Decoded::Request(request) => {
                 let close = request.close;
                 let answer = match find(&request) {
                     Err(answer) => answer,
@@ -57,7 +57,7 @@
                         biased;
                         // Looked at first, each time: what a caller that is gone asked for is not begun, and an order
                         // withdrawn where it was.
-                        _ = departure(&mut framed, READ_AHEAD) => return,
+                        _ = wait_for_disconnect(&mut framed, READ_AHEAD) => return,
                         answer = respond(&port, call, &request) => answer,
                     },
                 };
@@ -73,16 +73,16 @@
 }
 
 /// A body for which there is no room now is no refusal: the same text may be taken in a moment.
-fn bad(status: u16, full: bool) -> Answer {
-    if full { later("too much is being sent at once") } else { Answer::plain(status) }
+fn bad(status: u16, full: bool) -> Response {
+    if full { later("too much is being sent at once") } else { Response::plain(status) }
 }
 
-pub fn refused(status: u16, why: impl std::fmt::Display) -> Answer {
-    Answer::json(status, json!({"Error": why.to_string()}).to_string())
+pub fn refused(status: u16, why: impl std::fmt::Display) -> Response {
+    Response::json(status, json!({"Error": why.to_string()}).to_string())
 }
 
 /// Nothing is settled by this answer.
-pub fn later(why: &str) -> Answer {
+pub fn later(why: &str) -> Response {
     refused(503, why).with("Retry-After", COME_BACK)
 }
 
@@ -91,7 +91,7 @@
 }
 
 /// The call that is asked for and the names behind it; else the answer that there is none.
-fn find(request: &Request) -> Result<(Call, &str), Answer> {
+fn find(request: &Request) -> Result<(Call, &str), Response> {
     let found = Call::at(split(&request.target).0).ok_or_else(|| refused(404, "no such call"))?;
     let method = found.0.method();
     if method != request.method {
@@ -100,23 +100,23 @@
     Ok(found)
 }
 
-pub async fn respond(port: &Port, call: Call, request: &Request) -> Answer {
+pub async fn respond(port: &Node, call: Call, request: &Request) -> Response {
     // What came while this process stood still is known of before anything is answered or begun.
     port.awake().await;
     let (path, query) = split(&request.target);
     let names = &path[call.path().len()..];
     match call {
-        Call::Replace => orders::replace(port, &request.body).await,
-        Call::Begin | Call::Finish => orders::evacuate(port, call, names).await,
-        Call::Read => looks::read(port).await,
-        Call::Voters => looks::aged(port, voters::look(port)),
-        Call::VotersReplace => voters::replace(port, names).await,
-        Call::VotersRefound => voters::refound(port, &request.body).await,
-        Call::Resolution => looks::resolve(port, query),
-        Call::Members => looks::aged(port, looks::members(port)),
-        Call::Hosts => looks::aged(port, looks::hosts(port)),
-        Call::Duties => looks::aged(port, looks::duties(port)),
-        Call::Quota => looks::aged(port, looks::quota(port)),
-        Call::Journal => looks::aged(port, looks::journal(port)),
+        Call::Replace => admin_commands::replace(port, &request.body).await,
+        Call::Begin | Call::Finish => admin_commands::evacuate(port, call, names).await,
+        Call::Read => admin_queries::read(port).await,
+        Call::Voters => admin_queries::aged(port, voter_admin::look(port)),
+        Call::VotersReplace => voter_admin::replace(port, names).await,
+        Call::VotersRefound => voter_admin::refound(port, &request.body).await,
+        Call::Resolution => admin_queries::resolve(port, query),
+        Call::Members => admin_queries::aged(port, admin_queries::members(port)),
+        Call::Hosts => admin_queries::aged(port, admin_queries::hosts(port)),
+        Call::Duties => admin_queries::aged(port, admin_queries::duties(port)),
+        Call::Quota => admin_queries::aged(port, admin_queries::quota(port)),
+        Call::Journal => admin_queries::aged(port, admin_queries::journal(port)),
     }
 }
--- a/crates/control-plane/src/lookout.rs
+++ b/crates/control-plane/src/host_discovery.rs
@@ -1,11 +1,11 @@
 //! The lookout's duty: asks the platform which hosts there are while this gateway holds it, and gives what changed to the
 //! core. Owns the platform's protocol. Must never ask when another holds the duty, or faster than the platform takes.
 
-use crate::port::Port;
-use archlink_config::seconds;
-use archlink_http::kept::{Still, still};
-use archlink_http::plain::{CallerSide, Sending};
-use archlink_messages::{Duty, HostLine, Hosts};
+use crate::node::Node;
+use archlink_config::parse_seconds;
+use archlink_http::codec::{ClientCodec, OutgoingRequest};
+use archlink_http::connection_pool::{IdleState, idle_state};
+use archlink_messages::{HostInstance, HostList, SingletonRole};
 use futures_util::{SinkExt, StreamExt};
 use serde::Deserialize;
 use std::cell::Cell;
@@ -45,29 +45,29 @@
     cold_left: Option<String>,
 }
 
-type Line = Framed<TcpStream, CallerSide>;
+type Line = Framed<TcpStream, ClientCodec>;
 
 async fn open(cloud: SocketAddr) -> io::Result<Line> {
     let stream = TcpStream::connect(cloud).await?;
-    archlink_runtime::tune(&stream);
-    Ok(Framed::new(stream, CallerSide::new(&[], MOST_BODY, Rc::new(Cell::new(MOST_BODY)))))
+    archlink_runtime::configure_stream(&stream);
+    Ok(Framed::new(stream, ClientCodec::new(&[], MOST_BODY, Rc::new(Cell::new(MOST_BODY)))))
 }
 
 /// Asks one question. The protocol has nothing that ties an answer to its question but their order: a connection that ended
 /// or said anything unasked is not asked again, and an answer that more bytes follow may itself be an earlier question's.
 /// Whoever stops waiting drops the connection with the question.
 async fn page(kept: &mut Option<Line>, cloud: SocketAddr, token: Option<&str>) -> io::Result<Page> {
-    let mut line = match kept.take().filter(|line| still(line) == Still::Quiet) {
+    let mut line = match kept.take().filter(|line| idle_state(line) == IdleState::Quiet) {
         Some(line) => line,
         None => open(cloud).await?,
     };
     let target = token.map_or("/instances".to_string(), |token| format!("/instances?PageToken={token}"));
     let host = cloud.to_string();
-    line.send(Sending { method: "GET", target: &target, host: &host, lines: b"", body: b"" }).await?;
+    line.send(OutgoingRequest { method: "GET", target: &target, host: &host, lines: b"", body: b"" }).await?;
     let reply = line.next().await.unwrap_or(Err(io::ErrorKind::UnexpectedEof.into()))?;
-    match still(&line) {
-        Still::Spoke => return Err(io::Error::other("the platform said more than it was asked")),
-        Still::Quiet if reply.keep => *kept = Some(line),
+    match idle_state(&line) {
+        IdleState::Spoke => return Err(io::Error::other("the platform said more than it was asked")),
+        IdleState::Quiet if reply.keep => *kept = Some(line),
         _ => {}
     }
     match reply.status {
@@ -76,18 +76,18 @@
     }
 }
 
-async fn list(line: &mut Option<Line>, cloud: SocketAddr) -> io::Result<Vec<HostLine>> {
+async fn list(line: &mut Option<Line>, cloud: SocketAddr) -> io::Result<Vec<HostInstance>> {
     let (mut lines, mut token) = (Vec::new(), None);
     for _ in 0..MOST_PAGES {
         let Page { instances, next_token } = page(line, cloud, token.as_deref()).await?;
-        lines.extend(instances.into_iter().map(|one| HostLine {
+        lines.extend(instances.into_iter().map(|one| HostInstance {
             id: one.instance_id,
             service: one.service,
             address: one.address,
             zone: one.zone,
             capacity: one.capacity.unwrap_or(1.0).clamp(1.0, 1e6) as u32,
             draining: one.operating_state != "available",
-            cold_for: one.cold_left.as_deref().and_then(seconds).unwrap_or(0.0) as f32,
+            warm_up_seconds: one.cold_left.as_deref().and_then(parse_seconds).unwrap_or(0.0) as f32,
         }));
         token = next_token;
         if token.is_none() {
@@ -102,19 +102,24 @@
 }
 
 /// The same hosts, and none turned cold: a cold time that runs out is counted down by those that were told of it.
-fn nothing_new(before: &[HostLine], lines: &[HostLine]) -> bool {
-    let same = |a: &HostLine, b: &HostLine| {
-        a.id == b.id && a.address == b.address && a.draining == b.draining && b.cold_for <= a.cold_for
+fn nothing_new(before: &[HostInstance], lines: &[HostInstance]) -> bool {
+    let same = |a: &HostInstance, b: &HostInstance| {
+        a.id == b.id
+            && a.address == b.address
+            && a.draining == b.draining
+            && b.warm_up_seconds <= a.warm_up_seconds
     };
     before.len() == lines.len() && before.iter().zip(lines).all(|(a, b)| same(a, b))
 }
 
-pub async fn watch(port: Rc<Port>) {
-    let Some(cloud) = port.settings.cloud else { return };
+pub async fn watch(port: Rc<Node>) {
+    let Some(cloud) = port.settings.platform else { return };
     let mut line: Option<Line> = None;
-    let mut seen: Vec<HostLine> = Vec::new();
+    let mut seen: Vec<HostInstance> = Vec::new();
     loop {
-        let Some(term) = port.look(|control, now| control.duties.holds(now, Duty::Lookout)) else {
+        let Some(term) =
+            port.look(|control, now| control.leases.held_lease(now, SingletonRole::HostDiscovery))
+        else {
             (line, seen) = (None, Vec::new());
             sleep(IDLE).await;
             continue;
@@ -125,14 +130,18 @@
                 if !nothing_new(&seen, &lines) {
                     seen = lines.clone();
                     let version = port.look(|control, _| {
-                        let before = control.hosts();
+                        let before = control.host_list();
                         if before.term == term.term { before.version + 1 } else { 1 }
                     });
                     log::info!("{} hosts in list {}.{version}", lines.len(), term.term);
-                    port.step(|control, now| control.list(now, Hosts { term: term.term, version, lines }));
+                    port.step(|control, now| {
+                        control.set_host_list(now, HostList { term: term.term, version, instances: lines })
+                    });
                     port.tell_sessions();
                 } else {
-                    seen.iter_mut().zip(lines).for_each(|(seen, line)| seen.cold_for = line.cold_for);
+                    seen.iter_mut()
+                        .zip(lines)
+                        .for_each(|(seen, line)| seen.warm_up_seconds = line.warm_up_seconds);
                 }
             }
             Err(e) => log::warn!("no list from the platform: {e}"),
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -2,32 +2,32 @@
 //! end. Must never take part in a decision.
 #![forbid(unsafe_code)]
 
-mod backlog;
-mod callers;
+pub mod admin_client;
+mod admin_commands;
+mod admin_queries;
+mod admin_server;
+mod answer_names;
 mod calls;
-pub mod desk;
-mod links;
-mod lookout;
-mod looks;
+mod disaster_recovery;
+mod host_discovery;
+mod node;
+mod peer_identity;
+mod peer_links;
 #[cfg(test)]
-mod made_up;
-mod notices;
-mod office;
-mod orders;
-mod port;
-mod salvage;
+mod simulated_cluster;
+mod state_change_log;
 #[cfg(test)]
 mod tests;
-mod voters;
+mod voter_admin;
+mod write_queue;
 
 use archlink_config::Settings;
-use archlink_consensus::control::{Control, Start};
-use archlink_messages::{Keeper, Muster};
+use archlink_consensus::control::{ControlNodeState, InitialState};
+use archlink_messages::{ControlNode, VoterSet};
 use archlink_runtime::Clock;
-use archlink_storage::{Entered, Logbook, LogbookError};
-use backlog::Disk;
+use archlink_storage::{StateChange, Storage, StorageError};
 use error_stack::{Report, ResultExt};
-use port::Port;
+use node::Node;
 use std::fmt;
 use std::net::{SocketAddr, SocketAddrV4};
 use std::path::Path;
@@ -37,6 +37,7 @@
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 use tokio::time::sleep;
+use write_queue::Disk;
 
 /// The core's ticks: far shorter than anything it waits for.
 const TICK: Duration = Duration::from_millis(50);
@@ -51,7 +52,7 @@
 
 /// Why the program does not start, or a command does not come through.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum MasterError {
+pub enum ControlPlaneError {
     /// The settings file can't be read or is wrong.
     Settings,
     /// The data folder can't be used.
@@ -66,97 +67,97 @@
     Refused,
 }
 
-impl fmt::Display for MasterError {
+impl fmt::Display for ControlPlaneError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            MasterError::Settings => "the settings file can't be used",
-            MasterError::Disk => "the data folder can't be used",
-            MasterError::Start => "the control gateway can't start",
-            MasterError::File => "the file can't be used",
-            MasterError::Call => "the call did not come through",
-            MasterError::Refused => "the order is refused",
+            ControlPlaneError::Settings => "the settings file can't be used",
+            ControlPlaneError::Disk => "the data folder can't be used",
+            ControlPlaneError::Start => "the control gateway can't start",
+            ControlPlaneError::File => "the file can't be used",
+            ControlPlaneError::Call => "the call did not come through",
+            ControlPlaneError::Refused => "the order is refused",
         })
     }
 }
 
-impl std::error::Error for MasterError {}
+impl std::error::Error for ControlPlaneError {}
 
-pub type Outcome<T> = Result<T, Report<MasterError>>;
+pub type Outcome<T> = Result<T, Report<ControlPlaneError>>;
 
 /// The settings file that `ARCHLINK_CONFIG` names, checked.
 pub fn read_settings() -> Outcome<Settings> {
-    let text = archlink_runtime::settings_text().change_context(MasterError::Settings)?;
-    Settings::read(&text).change_context(MasterError::Settings)
+    let text = archlink_runtime::settings_text().change_context(ControlPlaneError::Settings)?;
+    Settings::read(&text).change_context(ControlPlaneError::Settings)
 }
 
 async fn bind(address: Option<SocketAddr>, key: &'static str) -> Outcome<TcpListener> {
     let address =
-        address.ok_or_else(|| Report::new(MasterError::Settings).attach(format!("{key}: missing")))?;
+        address.ok_or_else(|| Report::new(ControlPlaneError::Settings).attach(format!("{key}: missing")))?;
     TcpListener::bind(address)
         .await
-        .change_context(MasterError::Start)
+        .change_context(ControlPlaneError::Start)
         .attach_with(|| format!("{key}: {address}"))
 }
 
 /// A disk that is full or hangs at the very moment of a start is waited for: to end would only be to start again. What is
 /// damaged stays so.
-fn open_patiently(folder: &Path) -> Outcome<(Logbook, archlink_storage::State)> {
+fn open_patiently(folder: &Path) -> Outcome<(Storage, archlink_storage::DurableState)> {
     const TRIES: u32 = 60;
     const AGAIN: Duration = Duration::from_millis(250);
     for _ in 1..TRIES {
-        match Logbook::open(folder) {
-            Err(e) if *e.current_context() == LogbookError::Disk => log::warn!("{e:#}; tried again"),
-            opened => return opened.change_context(MasterError::Disk),
+        match Storage::open(folder) {
+            Err(e) if *e.current_context() == StorageError::Disk => log::warn!("{e:#}; tried again"),
+            opened => return opened.change_context(ControlPlaneError::Disk),
         }
         std::thread::sleep(AGAIN);
     }
-    Logbook::open(folder).change_context(MasterError::Disk)
+    Storage::open(folder).change_context(ControlPlaneError::Disk)
 }
 
 /// What the disk says of this gateway's past: the voters and slots that it had, if any of it is left.
-fn begin(settings: &Settings, clock: Clock) -> Outcome<(Control, Option<Logbook>)> {
+fn begin(settings: &Settings, clock: Clock) -> Outcome<(ControlNodeState, Option<Storage>)> {
     let control = settings
-        .control
-        .ok_or_else(|| Report::new(MasterError::Settings).attach("Listen.Control: missing"))?;
-    let me = archlink_runtime::node_of(settings.ip);
+        .operator_address
+        .ok_or_else(|| Report::new(ControlPlaneError::Settings).attach("Listen.Control: missing"))?;
+    let me = archlink_runtime::node_id(settings.ip);
     let mut seeds: Vec<u32> =
-        settings.seeds.iter().map(|seed| archlink_runtime::node_of(*seed.ip())).collect();
+        settings.seeds.iter().map(|seed| archlink_runtime::node_id(*seed.ip())).collect();
     seeds.sort_unstable();
-    let (logbook, state) = match &settings.data {
+    let (logbook, state) = match &settings.data_dir {
         Some(folder) => open_patiently(folder).map(|(book, state)| (Some(book), state))?,
-        None => (None, archlink_storage::State::default()),
+        None => (None, archlink_storage::DurableState::default()),
     };
-    let mut muster = state.muster;
-    let remembers = muster.known();
+    let mut muster = state.voter_set;
+    let remembers = muster.is_known();
     if !remembers && settings.first_start {
         // The seeds are the same three everywhere at the very first start, and only then. They are on the disk before a word
         // is said: a first start that dies halfway goes on where it was.
-        muster = Muster::first(&seeds);
+        muster = VoterSet::initial(&seeds);
         if let Some(logbook) = &logbook {
             let (told, kept) = std::sync::mpsc::channel();
-            let entered = Entered { muster: Some(muster.clone()), ..Entered::default() };
+            let entered = StateChange { voter_set: Some(muster.clone()), ..StateChange::default() };
             logbook.enter(entered, move || told.send(()).unwrap_or_default());
-            kept.recv().change_context(MasterError::Disk)?;
+            kept.recv().change_context(ControlPlaneError::Disk)?;
         }
     } else if !remembers {
         log::warn!("the disk is empty: silent as a voter until a majority has told what it holds");
     }
-    let start = Start {
-        keeper: Keeper {
+    let start = InitialState {
+        identity: ControlNode {
             node: me,
             zone: settings.zone.clone(),
             region: settings.region.clone(),
-            control: SocketAddrV4::new(settings.ip, control.port()),
+            operator_address: SocketAddrV4::new(settings.ip, control.port()),
         },
-        slots: muster.known().then_some(state.slots),
-        muster,
+        acceptors: muster.is_known().then_some(state.acceptors),
+        voter_set: muster,
         // A majority is left of so many when as many as `Tolerance` names are lost at once.
-        needed: 2 * settings.losses as usize + 1,
-        catch_up: settings.bounds.catch_up.min(MOST_CATCH_UP),
-        posts: state.posts.into_values().collect(),
-        seed: archlink_runtime::chance(),
+        required_voters: 2 * settings.tolerated_losses as usize + 1,
+        catch_up: settings.timing_bounds.catch_up.min(MOST_CATCH_UP),
+        grants: state.grants.into_values().collect(),
+        seed: archlink_runtime::random_seed(),
     };
-    Ok((Control::new(clock.now(), start), logbook))
+    Ok((ControlNodeState::new(clock.now(), start), logbook))
 }
 
 /// Serves as a control gateway on a runtime of its own thread, until `until` ends; then leaves its duties in order.
@@ -165,25 +166,26 @@
     let (control, logbook) = begin(&settings, clock)?;
     let (kept, mut words) = mpsc::unbounded_channel();
     let offices = [
-        bind(settings.control, "Listen.Control").await?,
-        bind(settings.directory, "Listen.Directory").await?,
+        bind(settings.operator_address, "Listen.Control").await?,
+        bind(settings.directory_address, "Listen.Directory").await?,
     ];
-    let inner = bind(Some(SocketAddrV4::new(settings.ip, settings.port).into()), "InternalPorts").await?;
+    let inner =
+        bind(Some(SocketAddrV4::new(settings.ip, settings.internal_port).into()), "InternalPorts").await?;
     let disk = logbook.map(|logbook| Box::new(logbook) as Box<dyn Disk>);
-    let port = Port::new(settings, clock, control, disk, kept);
+    let port = Node::new(settings, clock, control, disk, kept);
     let on_disk = port.clone();
     spawn_local(async move {
         while let Some(then) = words.recv().await {
             on_disk.kept(then);
         }
     });
-    spawn_local(links::listen(port.clone(), inner));
-    spawn_local(links::keep(port.clone()));
-    spawn_local(links::follow_seeds(port.clone()));
+    spawn_local(peer_links::listen(port.clone(), inner));
+    spawn_local(peer_links::keep(port.clone()));
+    spawn_local(peer_links::follow_seeds(port.clone()));
     for office in offices {
-        spawn_local(office::listen(port.clone(), office));
+        spawn_local(admin_server::listen(port.clone(), office));
     }
-    spawn_local(lookout::watch(port.clone()));
+    spawn_local(host_discovery::watch(port.clone()));
     let ticked = port.clone();
     spawn_local(async move {
         loop {
@@ -197,13 +199,13 @@
     Ok(())
 }
 
-async fn leave(port: &Rc<Port>) {
+async fn leave(port: &Rc<Node>) {
     log::info!("leaving");
     port.leaving.set(true);
     port.step(|control, now| control.leave(now));
     sleep(LEAVE).await;
-    let until = port.clock.now() + (HAND_OVER * port.settings.bounds.grace).min(MOST_HAND_OVER);
-    while !port.look(archlink_consensus::control::Control::may_end) {
+    let until = port.clock.now() + (HAND_OVER * port.settings.timing_bounds.grace).min(MOST_HAND_OVER);
+    while !port.look(archlink_consensus::control::ControlNodeState::may_shut_down) {
         if port.clock.now() >= until {
             log::warn!("ending with a seat: nobody has taken it in time");
             return;
--- a/crates/control-plane/src/main.rs
+++ b/crates/control-plane/src/main.rs
@@ -2,8 +2,8 @@
 //! the signals. Must never take part in a decision.
 #![forbid(unsafe_code)]
 
-use archlink_control_plane::{MasterError, Outcome, desk, read_settings, serve};
-use archlink_runtime::until_told;
+use archlink_control_plane::{ControlPlaneError, Outcome, admin_client, read_settings, serve};
+use archlink_runtime::until_terminated;
 use clap::{Arg, ArgAction, ArgMatches, Command};
 use error_stack::ResultExt;
 use tokio::runtime::LocalOptions;
@@ -12,14 +12,14 @@
 fn read_again() {
     match read_settings() {
         Ok(read) => log::info!("settings read again: {} seeds; what is in use stays", read.seeds.len()),
-        Err(e) => log::error!("settings: {}; what is in use stays", archlink_runtime::told(&e)),
+        Err(e) => log::error!("settings: {}; what is in use stays", archlink_runtime::report_line(&e)),
     }
 }
 
 fn on_runtime<T>(work: impl Future<Output = Outcome<T>>) -> Outcome<T> {
     let mut builder = tokio::runtime::Builder::new_current_thread();
     let runtime =
-        builder.enable_all().build_local(LocalOptions::default()).change_context(MasterError::Start)?;
+        builder.enable_all().build_local(LocalOptions::default()).change_context(ControlPlaneError::Start)?;
     runtime.block_on(work)
 }
 
@@ -81,18 +81,18 @@
             let level = std::env::var("ARCHLINK_LOG").ok().and_then(|l| l.parse().ok());
             archlink_runtime::log_to_stderr(&settings.name, level.unwrap_or(log::LevelFilter::Info));
             on_runtime(async {
-                serve(settings, until_told(read_again).change_context(MasterError::Start)?).await
+                serve(settings, until_terminated(read_again).change_context(ControlPlaneError::Start)?).await
             })
         }
-        Some((name, below)) => on_runtime(desk::command(name, below)),
+        Some((name, below)) => on_runtime(admin_client::command(name, below)),
     }
 }
 
 fn main() {
     if let Err(e) = begin_command(&commands().get_matches()) {
-        eprintln!("archlink-control-plane: {}", archlink_runtime::told(&e));
+        eprintln!("archlink-control-plane: {}", archlink_runtime::report_line(&e));
         // Refused because something else stands: another text under the number, or other voters.
-        std::process::exit(if *e.current_context() == MasterError::Refused { 3 } else { 2 });
+        std::process::exit(if *e.current_context() == ControlPlaneError::Refused { 3 } else { 2 });
     }
 }
 
--- a/crates/control-plane/src/port.rs
+++ b/crates/control-plane/src/node.rs
@@ -2,18 +2,22 @@
 //! answers to callers. Owns the core, the counter's book and the sessions' connections. Must never decide what the core
 //! decides, nor let a word out that waits for the disk.
 
-use crate::backlog::{Backlog, Disk};
+use crate::answer_names;
 use crate::calls::{Call, Rests};
-use crate::notices::{Notices, Seen};
-use archlink_config::{Chart, Settings};
-use archlink_consensus::control::Control;
-use archlink_consensus::helm::Change;
-use archlink_consensus::news::News;
-use archlink_consensus::{Act, Outcome, Record, Reseat};
-use archlink_messages::{Add, DUTIES, Held, Node, Piece, REGISTERS, Register, Vector, Word, pack};
-use archlink_quota::book::{Book, SILENCE};
-use archlink_runtime::{Clock, Out};
-use archlink_storage::Entered;
+use crate::state_change_log::{Notices, Seen};
+use crate::write_queue::{Backlog, Disk};
+use archlink_config::{Configuration, Settings};
+use archlink_consensus::control::ControlNodeState;
+use archlink_consensus::proposer::Change;
+use archlink_consensus::update_delivery::UpdateDelivery;
+use archlink_consensus::{DurableRecord, Effect, MembershipChange, Outcome};
+use archlink_messages::{
+    AcceptedValue, CounterAdd, Message, NodeId, REGISTERS, Register, SINGLETON_ROLES, StateUpdate,
+    VersionVector, patch,
+};
+use archlink_quota::counter::{Counter, NEW_HOLDER_SILENCE};
+use archlink_runtime::{Clock, MessageSender};
+use archlink_storage::StateChange;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
@@ -23,7 +27,7 @@
 use tokio::time::timeout;
 
 /// Words for this gateway itself or for others once the disk has what they stand for.
-pub type Kept = Vec<(Node, Word)>;
+pub type Kept = Vec<(NodeId, Message)>;
 
 /// Orders that wait for their end at once; fewer than the core has room for on each register.
 const MOST_ORDERS: usize = 48;
@@ -49,7 +53,7 @@
 /// What an operator may order of the core.
 pub enum Order {
     Change(Change),
-    Reseat(Reseat),
+    Reseat(MembershipChange),
 }
 
 /// Why an order was not begun: it never will be, and the same one may come again.
@@ -63,24 +67,24 @@
     Founding,
 }
 
-pub struct Port {
+pub struct Node {
     pub settings: Settings,
     pub clock: Clock,
-    pub me: Node,
-    control: RefCell<Control>,
-    book: RefCell<Book>,
+    pub me: NodeId,
+    control: RefCell<ControlNodeState>,
+    book: RefCell<Counter>,
     disk: Option<Box<dyn Disk>>,
     backlog: RefCell<Backlog>,
     kept: mpsc::UnboundedSender<Kept>,
     /// Control gateways that the settings file names.
-    pub seeds: RefCell<Vec<Node>>,
-    pub links: RefCell<HashMap<Node, Out>>,
-    pub sessions: RefCell<HashMap<Node, Out>>,
+    pub seeds: RefCell<Vec<NodeId>>,
+    pub links: RefCell<HashMap<NodeId, MessageSender>>,
+    pub sessions: RefCell<HashMap<NodeId, MessageSender>>,
     waiting: RefCell<HashMap<u64, oneshot::Sender<Outcome>>>,
     tokens: Cell<u64>,
     /// The configuration in force, read.
-    chart: RefCell<Option<Rc<Chart>>>,
-    texts: RefCell<News>,
+    chart: RefCell<Option<Rc<Configuration>>>,
+    texts: RefCell<UpdateDelivery>,
     notices: RefCell<Notices>,
     /// When this process began, and its last tick.
     began: f64,
@@ -90,17 +94,17 @@
     pub news: Notify,
 }
 
-impl Port {
+impl Node {
     pub fn new(
         settings: Settings,
         clock: Clock,
-        control: Control,
+        control: ControlNodeState,
         disk: Option<Box<dyn Disk>>,
         kept: mpsc::UnboundedSender<Kept>,
-    ) -> Rc<Port> {
-        Rc::new(Port {
-            me: archlink_runtime::node_of(settings.ip),
-            seeds: RefCell::new(crate::links::seeds(&settings)),
+    ) -> Rc<Node> {
+        Rc::new(Node {
+            me: archlink_runtime::node_id(settings.ip),
+            seeds: RefCell::new(crate::peer_links::seeds(&settings)),
             settings,
             clock,
             control: RefCell::new(control),
@@ -123,37 +127,37 @@
     }
 
     /// Looks at the core without acting.
-    pub fn look<R>(&self, at: impl FnOnce(&Control, f64) -> R) -> R {
+    pub fn look<R>(&self, at: impl FnOnce(&ControlNodeState, f64) -> R) -> R {
         at(&self.control.borrow(), self.clock.now())
     }
 
     /// One step of the core, and all that follows from it.
-    pub fn step(&self, step: impl FnOnce(&mut Control, f64) -> Vec<Act>) {
+    pub fn step(&self, step: impl FnOnce(&mut ControlNodeState, f64) -> Vec<Effect>) {
         let now = self.clock.now();
         let acts = step(&mut self.control.borrow_mut(), now);
         self.perform(now, acts);
     }
 
-    pub fn hear(&self, from: Node, word: Word) {
-        self.step(|control, now| control.hear(now, from, word));
+    pub fn hear(&self, from: NodeId, word: Message) {
+        self.step(|control, now| control.step(now, from, word));
     }
 
-    fn perform(&self, now: f64, acts: Vec<Act>) {
+    fn perform(&self, now: f64, acts: Vec<Effect>) {
         let mut acts = VecDeque::from(acts);
         while let Some(act) = acts.pop_front() {
             match act {
-                Act::Send(to, word) if to == self.me => {
-                    acts.extend(self.control.borrow_mut().hear(now, self.me, word));
+                Effect::Send(to, word) if to == self.me => {
+                    acts.extend(self.control.borrow_mut().step(now, self.me, word));
                 }
-                Act::Send(to, word) => self.send(to, word),
-                Act::Store(Record { slots, posts, muster }, then) => {
-                    self.store(Entered { muster, slots, posts }, then);
+                Effect::Send(to, word) => self.send(to, word),
+                Effect::Store(DurableRecord { acceptors: slots, grants: posts, voter_set: muster }, then) => {
+                    self.store(StateChange { voter_set: muster, acceptors: slots, grants: posts }, then);
                 }
-                Act::Learned(register) => {
+                Effect::Learned(register) => {
                     self.learned(register);
-                    acts.extend(self.control.borrow_mut().beat_all(now));
+                    acts.extend(self.control.borrow_mut().broadcast_heartbeat(now));
                 }
-                Act::Done(token, outcome) => {
+                Effect::ProposalResolved(token, outcome) => {
                     if let Some(waiting) = self.waiting.borrow_mut().remove(&token) {
                         waiting.send(outcome).ok();
                     }
@@ -163,7 +167,7 @@
         self.news.notify_waiters();
     }
 
-    fn store(&self, entered: Entered, then: Kept) {
+    fn store(&self, entered: StateChange, then: Kept) {
         let Some(disk) = &self.disk else {
             self.kept.send(then).ok();
             return;
@@ -179,7 +183,7 @@
     /// What the disk had no room for is given to it again, also where nothing new is to be kept.
     fn catch_up(&self) {
         if self.backlog.borrow().behind() {
-            self.store(Entered::default(), Kept::new());
+            self.store(StateChange::default(), Kept::new());
         }
     }
 
@@ -192,7 +196,7 @@
     }
 
     /// A link that is full or down loses the word: all parts ask again.
-    pub fn send(&self, to: Node, word: Word) {
+    pub fn send(&self, to: NodeId, word: Message) {
         if let Some(link) = self.links.borrow().get(&to) {
             link.try_send(word).ok();
         }
@@ -200,31 +204,31 @@
 
     fn learned(&self, register: Register) {
         let control = self.control.borrow();
-        let Some(held) = control.helm.chosen(register) else { return };
-        log::info!("{register:?} {} is chosen", held.stamp);
-        if register == Register::Chart {
-            let text = match pack::unpack(&held.value, b"") {
+        let Some(held) = control.proposer.chosen(register) else { return };
+        log::info!("{} {} is chosen", answer_names::register(register), held.revision);
+        if register == Register::Configuration {
+            let text = match patch::decompress(&held.value, b"") {
                 Ok(text) => text,
                 Err(e) => return log::error!("the chosen configuration can't be unpacked: {e}"),
             };
-            match Chart::read(&text) {
+            match Configuration::read(&text) {
                 Ok(chart) => *self.chart.borrow_mut() = Some(Rc::new(chart)),
                 Err(e) => log::error!("the chosen configuration can't be read: {e}"),
             }
-            self.texts.borrow_mut().learned_chart(held.order(), text);
+            self.texts.borrow_mut().configuration_learned(held.ordering_key(), text);
         }
         drop(control);
         self.tell_sessions();
     }
 
     /// What a data gateway lacks.
-    pub fn lacking(&self, theirs: &Vector) -> Vec<Piece> {
-        self.look(|control, now| self.texts.borrow_mut().lacking(now, control, theirs))
+    pub fn lacking(&self, theirs: &VersionVector) -> Vec<StateUpdate> {
+        self.look(|control, now| self.texts.borrow_mut().updates_for(now, control, theirs))
     }
 
     /// Lets all data gateways in session know that there is something to pull.
     pub fn tell_sessions(&self) {
-        let beat = self.look(|control, now| control.beat(now, 0));
+        let beat = self.look(|control, now| control.heartbeat(now, 0));
         self.sessions.borrow().values().for_each(|session| drop(session.try_send(beat.clone())));
     }
 
@@ -238,7 +242,8 @@
             return Err(Unbegun::Many);
         }
         // While a first start takes its voters in, an order waits for that as it does for a majority.
-        let founded = |control: &Control, now| control.voters(now).founded.then_some(());
+        let founded =
+            |control: &ControlNodeState, now| control.voter_set_status(now).established.then_some(());
         if self.rung(WITHIN, founded).await.is_none() {
             return Err(Unbegun::Founding);
         }
@@ -253,20 +258,20 @@
                 MOVES_ON
             }
             Order::Reseat(reseat) => {
-                self.step(|control, now| control.reseat(now, reseat, token));
+                self.step(|control, now| control.change_membership(now, reseat, token));
                 RESEATS
             }
         };
         let outcome = timeout(within, done).await;
         drop(withdraw);
-        Ok(outcome.ok().and_then(Result::ok).unwrap_or(Outcome::Unclear))
+        Ok(outcome.ok().and_then(Result::ok).unwrap_or(Outcome::Unknown))
     }
 
     /// Seconds since a question was asked to which a majority answered.
     pub fn contact(&self) -> Option<f64> {
         self.look(|control, now| {
             // Any register tells: one at which orders are at work has no settled ballot meanwhile.
-            let at = REGISTERS.iter().filter_map(|&register| control.helm.confirmed(register));
+            let at = REGISTERS.iter().filter_map(|&register| control.proposer.confirmed(register));
             at.max_by(f64::total_cmp).map(|at| now - at)
         })
     }
@@ -286,12 +291,12 @@
         if self.fresh() {
             return true;
         }
-        self.step(|control, now| control.helm.ask_now(now));
+        self.step(|control, now| control.proposer.request_confirmation(now));
         self.rung(PROBE, |_, _| self.fresh().then_some(())).await.is_some()
     }
 
     /// What `found` finds once it does, looked for each time that something is learned or confirmed.
-    async fn rung<T>(&self, within: f64, found: impl Fn(&Control, f64) -> Option<T>) -> Option<T> {
+    async fn rung<T>(&self, within: f64, found: impl Fn(&ControlNodeState, f64) -> Option<T>) -> Option<T> {
         let until = self.clock.now() + within;
         loop {
             let rung = self.news.notified();
@@ -305,11 +310,12 @@
     }
 
     /// The chosen value of a register, confirmed by a majority after this call began; none where none confirms in time.
-    pub async fn read(&self, register: Register, within: f64) -> Option<Option<Held>> {
+    pub async fn read(&self, register: Register, within: f64) -> Option<Option<AcceptedValue>> {
         let began = self.clock.now();
-        self.step(|control, now| control.helm.ask_now(now));
-        let confirmed = |control: &Control| control.helm.confirmed(register).is_some_and(|at| at >= began);
-        self.rung(within, |control, _| confirmed(control).then(|| control.helm.chosen(register).cloned()))
+        self.step(|control, now| control.proposer.request_confirmation(now));
+        let confirmed =
+            |control: &ControlNodeState| control.proposer.confirmed(register).is_some_and(|at| at >= began);
+        self.rung(within, |control, _| confirmed(control).then(|| control.proposer.chosen(register).cloned()))
             .await
     }
 
@@ -320,9 +326,12 @@
         self.catch_up();
         let contact = self.contact();
         self.look(|control, now| {
-            let holds = |duty| control.duties.holds(now, duty).map(|term| term.term);
-            let seen =
-                Seen { contact, muster: control.muster(), held: DUTIES.map(|duty| (duty, holds(duty))) };
+            let holds = |duty| control.leases.held_lease(now, duty).map(|term| term.term);
+            let seen = Seen {
+                contact,
+                muster: control.voter_set(),
+                held: SINGLETON_ROLES.map(|duty| (duty, holds(duty))),
+            };
             self.notices.borrow_mut().look(now, &seen)
         })
         .into_iter()
@@ -339,35 +348,35 @@
         yield_now().await;
     }
 
-    pub fn chart(&self) -> Option<Rc<Chart>> {
+    pub fn chart(&self) -> Option<Rc<Configuration>> {
         self.chart.borrow().clone()
     }
 
     /// Totals of a data gateway's adds; none where this gateway does not hold the counts, or not long enough.
-    pub fn count(&self, term: u64, adds: &[Add]) -> Option<Vec<f32>> {
+    pub fn count(&self, term: u64, adds: &[CounterAdd]) -> Option<Vec<f32>> {
         let now = self.clock.now();
-        let held = self.control.borrow().tally(now).filter(|held| held.term == term)?;
-        if now < held.since + SILENCE {
+        let held = self.control.borrow().counter_lease(now).filter(|held| held.term == term)?;
+        if now < held.since + NEW_HOLDER_SILENCE {
             return None;
         }
         self.book.borrow_mut().add(now, term, adds)
     }
 
     pub fn names(&self) -> usize {
-        self.book.borrow().names()
+        self.book.borrow().key_count()
     }
 }
 
 /// A caller that is gone takes back what is not under way yet.
 struct Withdraw<'a> {
-    port: &'a Port,
+    port: &'a Node,
     token: u64,
 }
 
 impl Drop for Withdraw<'_> {
     fn drop(&mut self) {
         if self.port.waiting.borrow_mut().remove(&self.token).is_some() {
-            self.port.control.borrow_mut().helm.withdraw(self.token);
+            self.port.control.borrow_mut().proposer.withdraw(self.token);
         }
     }
 }
--- a/crates/control-plane/src/callers.rs
+++ b/crates/control-plane/src/peer_identity.rs
@@ -6,14 +6,14 @@
 //! ports between own processes are reached by own processes alone is the operators' to see to; here it is seen to that
 //! words of one life, or of one connection, are not taken for another's.
 
-use archlink_messages::{Node, Word};
+use archlink_messages::{Message, NodeId};
 use std::collections::HashMap;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Who {
-    Keeper(Node),
+    Keeper(NodeId),
     /// A data gateway's session.
-    Pilot(Node),
+    Pilot(NodeId),
     /// Asks for counts, which needs no name: totals go back on the connection that asked.
     Counts,
 }
@@ -41,11 +41,13 @@
     }
 
     /// Is that its word to say? An error is why the connection ends.
-    pub fn says(&mut self, speakers: &mut Speakers, word: &Word) -> Result<(), &'static str> {
+    pub fn says(&mut self, speakers: &mut Speakers, word: &Message) -> Result<(), &'static str> {
         let (told, serial) = match word {
-            Word::Greet { keeper, .. } => (Some(Who::Keeper(keeper.node)), None),
-            Word::Hail { serial, pilot, .. } => (Some(Who::Pilot(pilot.node)), Some(*serial)),
-            Word::Adds { serial, .. } => (Some(Who::Counts), Some(*serial)),
+            Message::PeerHello { control_node: keeper, .. } => (Some(Who::Keeper(keeper.node)), None),
+            Message::SessionHeartbeat { serial, data_node: pilot, .. } => {
+                (Some(Who::Pilot(pilot.node)), Some(*serial))
+            }
+            Message::CounterAdds { serial, .. } => (Some(Who::Counts), Some(*serial)),
             _ => (None, None),
         };
         if let Some(serial) = serial {
@@ -83,36 +85,39 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use archlink_messages::{Keeper, Muster, Pilot, Poll, Vector};
+    use archlink_messages::{ConsensusMessage, ControlNode, DataNode, VersionVector, VoterSet};
     use std::net::{Ipv4Addr, SocketAddrV4};
 
     const AT: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 1);
 
-    fn hail(node: Node, serial: u64) -> Word {
+    fn hail(node: NodeId, serial: u64) -> Message {
         let (zone, region) = (String::new(), String::new());
-        Word::Hail {
+        Message::SessionHeartbeat {
             serial,
-            pilot: Pilot { node, zone, region, front: AT, ready: true },
+            data_node: DataNode { node, zone, region, client_address: AT, ready: true },
             clock: 0.0,
-            terms: vec![],
+            leases: vec![],
         }
     }
 
-    fn greet(node: Node) -> Word {
+    fn greet(node: NodeId) -> Message {
         let (zone, region) = (String::new(), String::new());
-        Word::Greet { keeper: Keeper { node, zone, region, control: AT }, muster: Muster::default() }
+        Message::PeerHello {
+            control_node: ControlNode { node, zone, region, operator_address: AT },
+            voter_set: VoterSet::default(),
+        }
     }
 
-    fn adds(serial: u64) -> Word {
-        Word::Adds { serial, term: 1, clock: 0.0, adds: vec![] }
+    fn adds(serial: u64) -> Message {
+        Message::CounterAdds { serial, term: 1, clock: 0.0, adds: vec![] }
     }
 
     /// A connection is bound by its first word: what comes in another name, or in none, ends it.
     #[test]
     fn a_connection_has_one_name_for_life() {
-        let pull = || Word::Pull(Vector::default());
+        let pull = || Message::UpdateRequest(VersionVector::default());
         for (words, well) in [
-            (vec![greet(1), Word::Poll(1, Poll::Ask(1)), greet(1)], true),
+            (vec![greet(1), Message::Consensus(1, ConsensusMessage::ReadRequest(1)), greet(1)], true),
             (vec![greet(1), greet(2)], false),
             (vec![greet(1), hail(1, 1)], false),
             (vec![greet(1), adds(1)], false),
@@ -124,7 +129,7 @@
             (vec![adds(1), adds(1)], false),
             (vec![adds(1), greet(1)], false),
             (vec![pull()], false),
-            (vec![Word::Poll(1, Poll::Ask(1))], false),
+            (vec![Message::Consensus(1, ConsensusMessage::ReadRequest(1))], false),
         ] {
             let mut speakers = Speakers::default();
             let mut caller = Caller::new(&mut speakers);
--- a/crates/control-plane/src/links.rs
+++ b/crates/control-plane/src/peer_links.rs
@@ -2,13 +2,13 @@
 //! that come in, from control gateways, from data gateways' sessions and from those that count. Owns them and their bounds;
 //! who may say what on one is `callers`'. Must never answer for the core: words go in, words come out.
 
-use crate::callers::{Caller, Speakers, Who};
-use crate::port::Port;
+use crate::node::Node;
+use crate::peer_identity::{Caller, Speakers, Who};
 use crate::read_settings;
 use archlink_config::Settings;
-use archlink_consensus::journal::Event;
-use archlink_messages::{Node, Word};
-use archlink_runtime::{Out, split};
+use archlink_consensus::event_log::Event;
+use archlink_messages::{Message, NodeId};
+use archlink_runtime::{MessageSender, split_connection};
 use futures_util::StreamExt;
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -31,15 +31,15 @@
 const MOST_CONNECTIONS: usize = 2048;
 
 /// Control gateways that are known, and the seeds.
-fn known(port: &Port) -> Vec<Node> {
-    let mut known: Vec<Node> =
-        port.look(|control, _| control.journal.roster.keepers().iter().map(|k| k.node).collect());
+fn known(port: &Node) -> Vec<NodeId> {
+    let mut known: Vec<NodeId> =
+        port.look(|control, _| control.event_log.registry.control_nodes().iter().map(|k| k.node).collect());
     known.extend(port.seeds.borrow().iter());
     known
 }
 
 /// Keeps a link to each of them.
-pub async fn keep(port: Rc<Port>) {
+pub async fn keep(port: Rc<Node>) {
     loop {
         for node in known(&port) {
             if node != port.me && !port.links.borrow().contains_key(&node) {
@@ -54,7 +54,7 @@
 
 /// Reads the seeds in the settings file anew while no majority answers: all that this gateway knew may have been replaced while
 /// it was cut off.
-pub async fn follow_seeds(port: Rc<Port>) {
+pub async fn follow_seeds(port: Rc<Node>) {
     loop {
         sleep(SEEDS_AGAIN).await;
         if port.fresh() {
@@ -63,7 +63,7 @@
         match read_settings() {
             Ok(read) => port.seeds.replace(seeds(&read)),
             Err(e) => {
-                log::warn!("settings: {}; the seeds stay", archlink_runtime::told(&e));
+                log::warn!("settings: {}; the seeds stay", archlink_runtime::report_line(&e));
                 continue;
             }
         };
@@ -71,19 +71,19 @@
 }
 
 /// The control gateways that a settings file names.
-pub fn seeds(settings: &Settings) -> Vec<Node> {
-    settings.seeds.iter().map(|seed| archlink_runtime::node_of(*seed.ip())).collect()
+pub fn seeds(settings: &Settings) -> Vec<NodeId> {
+    settings.seeds.iter().map(|seed| archlink_runtime::node_id(*seed.ip())).collect()
 }
 
 /// The link to one control gateway, called again for as long as it is known.
-async fn link(port: Rc<Port>, node: Node, mut words: mpsc::Receiver<Word>) {
-    let to = archlink_runtime::address_of(node, port.settings.port);
+async fn link(port: Rc<Node>, node: NodeId, mut words: mpsc::Receiver<Message>) {
+    let to = archlink_runtime::node_address(node, port.settings.internal_port);
     while known(&port).contains(&node) {
-        if let Ok(framed) = archlink_runtime::call(to).await {
-            let (out, mut source) = split(framed, MOST_WORDS);
+        if let Ok(framed) = archlink_runtime::connect(to).await {
+            let (out, mut source) = split_connection(framed, MOST_WORDS);
             // What waited for a link that was down is old.
             while words.try_recv().is_ok() {}
-            let greeting = port.look(|control, _| control.greeting());
+            let greeting = port.look(|control, _| control.peer_hello());
             let mut open = out.try_send(greeting).is_ok();
             while open {
                 tokio::select! {
@@ -102,7 +102,7 @@
     port.links.borrow_mut().remove(&node);
 }
 
-pub async fn listen(port: Rc<Port>, listener: TcpListener) {
+pub async fn listen(port: Rc<Node>, listener: TcpListener) {
     let open = Rc::new(());
     let speakers = Rc::new(RefCell::new(Speakers::default()));
     loop {
@@ -121,14 +121,15 @@
 }
 
 async fn serve(
-    port: Rc<Port>,
+    port: Rc<Node>,
     stream: TcpStream,
     from: SocketAddr,
     (speakers, mut caller): (Rc<RefCell<Speakers>>, Caller),
     _open: Rc<()>,
 ) {
-    archlink_runtime::tune(&stream);
-    let (out, mut words) = split(Framed::new(stream, archlink_messages::Wire::default()), MOST_WORDS);
+    archlink_runtime::configure_stream(&stream);
+    let (out, mut words) =
+        split_connection(Framed::new(stream, archlink_messages::MessageCodec::default()), MOST_WORDS);
     let Ok(Some(first)) = timeout(FIRST_WORD, words.next()).await else { return };
     let mut next = Some(first);
     while let Some(word) = next {
@@ -146,37 +147,37 @@
     let last = caller.ends(&mut speakers.borrow_mut());
     if let (Some(Who::Pilot(node)), true) = (caller.who, last) {
         port.sessions.borrow_mut().remove(&node);
-        port.step(|control, now| control.happened(now, Event::Lost(node)));
+        port.step(|control, now| control.record_event(now, Event::SessionClosed(node)));
     }
 }
 
 /// Takes a word of a caller that may say it; an error ends the connection.
-fn heard(port: &Port, caller: &Caller, out: &Out, word: Word) -> Result<(), &'static str> {
+fn heard(port: &Node, caller: &Caller, out: &MessageSender, word: Message) -> Result<(), &'static str> {
     match (word, caller.who) {
-        (Word::Hail { serial, pilot, clock, terms }, _) => {
+        (Message::SessionHeartbeat { serial, data_node: pilot, clock, leases: terms }, _) => {
             port.sessions.borrow_mut().insert(pilot.node, out.clone());
             port.step(|control, now| {
-                control.heard_clock(now, clock);
-                terms.iter().for_each(|&post| control.duties.told(now, 0, post));
-                control.happened(now, Event::Hailed(pilot))
+                control.observe_clock(now, clock);
+                terms.iter().for_each(|&post| control.leases.learn_holder(now, 0, post));
+                control.record_event(now, Event::SessionRenewed(pilot))
             });
             // One that is lost is asked for again with the next hail, by another number.
-            out.try_send(port.look(|control, now| control.beat(now, serial))).ok();
+            out.try_send(port.look(|control, now| control.heartbeat(now, serial))).ok();
         }
-        (Word::Adds { serial, term, clock, adds }, _) => {
+        (Message::CounterAdds { serial, term, clock, adds }, _) => {
             port.step(|control, now| {
-                control.heard_clock(now, clock);
+                control.observe_clock(now, clock);
                 Vec::new()
             });
             let totals = port.count(term, &adds);
-            let clock = port.look(|control, now| control.clock(now));
-            let answer = Word::Totals { serial, clock, totals };
+            let clock = port.look(|control, now| control.cluster_clock(now));
+            let answer = Message::CounterTotals { serial, clock, totals };
             out.try_send(answer).map_err(|_| "it does not read its totals")?;
         }
-        (Word::Pull(theirs), Some(Who::Pilot(_))) => {
+        (Message::UpdateRequest(theirs), Some(Who::Pilot(_))) => {
             let pieces = port.lacking(&theirs);
             if !pieces.is_empty() {
-                out.try_send(Word::News(pieces)).ok();
+                out.try_send(Message::StateUpdates(pieces)).ok();
             }
         }
         (word, Some(Who::Keeper(node))) => port.hear(node, word),
--- a/crates/control-plane/src/made_up.rs
+++ b/crates/control-plane/src/simulated_cluster.rs
@@ -1,16 +1,16 @@
 //! Four control gateways, three of which vote, on one thread, without sockets: their links are channels that can be cut, their disks are made
 //! up, their time is the test's own. What the cores, ports and calls are is the program's.
 
-use crate::backlog::Disk;
+use crate::admin_server::respond;
 use crate::calls::Call;
-use crate::office::respond;
-use crate::port::{Kept, Port};
+use crate::node::{Kept, Node};
+use crate::write_queue::Disk;
 use archlink_config::Settings;
-use archlink_consensus::control::{Control, Start};
-use archlink_http::plain::{Answer, Field, Request};
-use archlink_messages::{Keeper, Muster, Node, Word};
+use archlink_consensus::control::{ControlNodeState, InitialState};
+use archlink_http::codec::{HeaderValue, Request, Response};
+use archlink_messages::{ControlNode, Message, NodeId, VoterSet};
 use archlink_runtime::Clock;
-use archlink_storage::{Entered, State};
+use archlink_storage::{DurableState, StateChange};
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -22,7 +22,7 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-pub const NODES: [Node; 4] = [0x0a00_0001, 0x0a00_0002, 0x0a00_0003, 0x0a00_0004];
+pub const NODES: [NodeId; 4] = [0x0a00_0001, 0x0a00_0002, 0x0a00_0003, 0x0a00_0004];
 const SEATS: usize = 3;
 const TICK: Duration = Duration::from_millis(50);
 /// One way between two gateways.
@@ -40,35 +40,35 @@
 
 /// A disk that takes everything at once, or nothing.
 #[derive(Clone, Default)]
-pub struct Shelf(Rc<(RefCell<State>, Cell<bool>)>);
+pub struct Shelf(Rc<(RefCell<DurableState>, Cell<bool>)>);
 
 impl Shelf {
     pub fn refuse(&self, refuses: bool) {
         self.0.1.set(refuses);
     }
 
-    pub fn state(&self) -> State {
+    pub fn state(&self) -> DurableState {
         self.0.0.borrow().clone()
     }
 }
 
 impl Disk for Shelf {
-    fn enter(&self, entered: Entered, kept: Box<dyn FnOnce() + Send>) -> bool {
+    fn enter(&self, entered: StateChange, kept: Box<dyn FnOnce() + Send>) -> bool {
         if self.0.1.get() {
             return false;
         }
         let mut state = self.0.0.borrow_mut();
-        if let Some(muster) = entered.muster {
-            state.muster = muster;
+        if let Some(muster) = entered.voter_set {
+            state.voter_set = muster;
         }
-        state.slots.extend(entered.slots);
-        state.posts.extend(entered.posts.into_iter().map(|post| (post.duty, post)));
+        state.acceptors.extend(entered.acceptors);
+        state.grants.extend(entered.grants.into_iter().map(|post| (post.role, post)));
         kept();
         true
     }
 }
 
-pub fn settings(node: Node) -> Settings {
+pub fn settings(node: NodeId) -> Settings {
     let ip = Ipv4Addr::from(node);
     let seeds: Vec<String> =
         NODES[..SEATS].iter().map(|&node| format!("{}:8200", Ipv4Addr::from(node))).collect();
@@ -85,28 +85,28 @@
 }
 
 /// One gateway, with a link to nobody yet, whose process stands still.
-pub fn still(node: Node, shelf: Shelf) -> Rc<Port> {
+pub fn still(node: NodeId, shelf: Shelf) -> Rc<Node> {
     let (settings, clock) = (settings(node), Clock::start());
-    let keeper = Keeper {
+    let keeper = ControlNode {
         node,
         zone: settings.zone.clone(),
         region: settings.region.clone(),
-        control: SocketAddrV4::new(node.into(), 8200),
+        operator_address: SocketAddrV4::new(node.into(), 8200),
     };
-    let muster = Muster::first(&NODES[..SEATS]);
+    let muster = VoterSet::initial(&NODES[..SEATS]);
     let slots = Some(Default::default());
-    let start = Start {
-        keeper,
-        muster,
-        needed: SEATS,
+    let start = InitialState {
+        identity: keeper,
+        voter_set: muster,
+        required_voters: SEATS,
         catch_up: 1000.0,
-        slots,
-        posts: Vec::new(),
+        acceptors: slots,
+        grants: Vec::new(),
         seed: u64::from(node),
     };
     let (kept, mut words) = mpsc::unbounded_channel::<Kept>();
-    let control = Control::new(clock.now(), start);
-    let port = Port::new(settings, clock, control, Some(Box::new(shelf)), kept);
+    let control = ControlNodeState::new(clock.now(), start);
+    let port = Node::new(settings, clock, control, Some(Box::new(shelf)), kept);
     let on_disk = port.clone();
     spawn_local(async move {
         while let Some(then) = words.recv().await {
@@ -117,7 +117,7 @@
 }
 
 /// The same one that runs.
-pub fn port(node: Node, shelf: Shelf) -> Rc<Port> {
+pub fn port(node: NodeId, shelf: Shelf) -> Rc<Node> {
     let port = still(node, shelf);
     let ticked = port.clone();
     spawn_local(async move {
@@ -130,24 +130,24 @@
 }
 
 pub struct Sound {
-    pub ports: Vec<Rc<Port>>,
+    pub ports: Vec<Rc<Node>>,
     pub shelves: Vec<Shelf>,
-    cut: Rc<RefCell<BTreeSet<Node>>>,
+    cut: Rc<RefCell<BTreeSet<NodeId>>>,
 }
 
 impl Sound {
     /// All of them, hearing each other.
     pub fn new() -> Sound {
         let shelves: Vec<Shelf> = NODES.iter().map(|_| Shelf::default()).collect();
-        let ports: Vec<Rc<Port>> =
+        let ports: Vec<Rc<Node>> =
             NODES.iter().zip(&shelves).map(|(&node, s)| port(node, s.clone())).collect();
-        let cut: Rc<RefCell<BTreeSet<Node>>> = Rc::default();
+        let cut: Rc<RefCell<BTreeSet<NodeId>>> = Rc::default();
         for from in &ports {
             for to in ports.iter().filter(|to| to.me != from.me) {
-                let (out, mut words) = mpsc::channel::<Word>(256);
+                let (out, mut words) = mpsc::channel::<Message>(256);
                 let (from, to, cut) = (from.clone(), to.clone(), cut.clone());
                 from.links.borrow_mut().insert(to.me, out.clone());
-                out.try_send(from.look(|control, _| control.greeting())).unwrap();
+                out.try_send(from.look(|control, _| control.peer_hello())).unwrap();
                 spawn_local(async move {
                     while let Some(word) = words.recv().await {
                         sleep(WAY).await;
@@ -167,18 +167,18 @@
         self.cut.borrow_mut().extend(cut.then_some(NODES[n]));
     }
 
-    pub async fn call(&self, n: usize, call: Call, names: &str, body: &str) -> (Answer, Value) {
+    pub async fn call(&self, n: usize, call: Call, names: &str, body: &str) -> (Response, Value) {
         ask(&self.ports[n], call, names, body).await
     }
 }
 
-pub async fn ask(port: &Port, call: Call, names: &str, body: &str) -> (Answer, Value) {
+pub async fn ask(port: &Node, call: Call, names: &str, body: &str) -> (Response, Value) {
     let request = Request {
         method: call.method().to_string(),
         target: format!("{}{names}", call.path()),
-        host: Field::Absent,
+        host: HeaderValue::Absent,
         fields: Vec::new(),
-        passed: Vec::new(),
+        forwarded: Vec::new(),
         body: body.as_bytes().to_vec().into(),
         close: false,
         held: None,
--- a/crates/control-plane/src/notices.rs
+++ b/crates/control-plane/src/state_change_log.rs
@@ -1,28 +1,29 @@
 //! What operators find in the log about contact, epochs and duties: each once, when it changes. Owns what was said last.
 //! Must never act on any of it.
 
-use crate::port::{FRESH, YOUNG};
-use archlink_messages::{DUTIES, Duty, Muster, Node};
+use crate::answer_names;
+use crate::node::{FRESH, YOUNG};
+use archlink_messages::{NodeId, SINGLETON_ROLES, SingletonRole, VoterSet};
 use std::net::Ipv4Addr;
 
 /// What is looked at each tick.
 pub struct Seen<'a> {
     /// Seconds since a question was asked to which a majority answered.
     pub contact: Option<f64>,
-    pub muster: &'a Muster,
+    pub muster: &'a VoterSet,
     /// The term in which this gateway holds each duty.
-    pub held: [(Duty, Option<u64>); DUTIES.len()],
+    pub held: [(SingletonRole, Option<u64>); SINGLETON_ROLES.len()],
 }
 
 #[derive(Default)]
 pub struct Notices {
     /// Since when there is contact, or none; not known before the first.
     contact: Option<(bool, f64)>,
-    muster: Muster,
-    held: [Option<u64>; DUTIES.len()],
+    muster: VoterSet,
+    held: [Option<u64>; SINGLETON_ROLES.len()],
 }
 
-fn list(nodes: &[Node]) -> String {
+fn list(nodes: &[NodeId]) -> String {
     nodes.iter().map(|&node| Ipv4Addr::from(node).to_string()).collect::<Vec<_>>().join(",")
 }
 
@@ -60,8 +61,10 @@
         }
         for (before, (duty, term)) in self.held.iter_mut().zip(seen.held) {
             match (*before, term) {
-                (was, Some(term)) if was != Some(term) => lines.push(format!("{duty:?} won, term {term}")),
-                (Some(was), None) => lines.push(format!("{duty:?} lost, term {was}")),
+                (was, Some(term)) if was != Some(term) => {
+                    lines.push(format!("{} won, term {term}", answer_names::role(duty)))
+                }
+                (Some(was), None) => lines.push(format!("{} lost, term {was}", answer_names::role(duty))),
                 _ => {}
             }
             *before = term;
@@ -69,20 +72,20 @@
         lines
     }
 
-    fn epoch(&self, muster: &Muster) -> Vec<String> {
-        let (before, epoch, seats) = (&self.muster, muster.epoch, list(&muster.seats));
-        let mut lines = vec![match muster.changing() {
-            true => format!("epoch {epoch}: {seats} vote, and {} with them", list(&muster.coming)),
+    fn epoch(&self, muster: &VoterSet) -> Vec<String> {
+        let (before, epoch, seats) = (&self.muster, muster.epoch, list(&muster.voters));
+        let mut lines = vec![match muster.is_joint() {
+            true => format!("epoch {epoch}: {seats} vote, and {} with them", list(&muster.incoming)),
             false => format!("epoch {epoch}: {seats} vote"),
         }];
         // A joint epoch may have gone by between two looks: then its end is told by who votes.
         let came =
-            if before.changing() { before.coming == muster.seats } else { before.seats != muster.seats };
-        if !before.known() {
-        } else if muster.least_round() != before.least_round() {
+            if before.is_joint() { before.incoming == muster.voters } else { before.voters != muster.voters };
+        if !before.is_known() {
+        } else if muster.first_round() != before.first_round() {
             lines.push(format!("founded anew: {seats}; what other disks hold is void"));
-        } else if muster.changing() {
-            lines.push(format!("change of the voters begun: {seats} to {}", list(&muster.coming)));
+        } else if muster.is_joint() {
+            lines.push(format!("change of the voters begun: {seats} to {}", list(&muster.incoming)));
         } else if came {
             lines.push(format!("change of the voters ended: {seats}"));
         } else {
@@ -100,12 +103,12 @@
     #[test]
     fn what_changes_is_said_once() {
         let mut notices = Notices::default();
-        let mut look = |now, contact, muster: &Muster, tally| {
-            let held = [(Duty::Lookout, None), (Duty::Tally, tally)];
+        let mut look = |now, contact, muster: &VoterSet, tally| {
+            let held = [(SingletonRole::HostDiscovery, None), (SingletonRole::QuotaCounter, tally)];
             notices.look(now, &Seen { contact, muster, held }).join("; ")
         };
-        let first = Muster::first(&[1, 2, 3]);
-        let joint = first.begin(vec![1, 2, 4]);
+        let first = VoterSet::initial(&[1, 2, 3]);
+        let joint = first.enter_joint(vec![1, 2, 4]);
         assert_eq!(look(0.0, None, &first, None), "epoch 1: 0.0.0.1,0.0.0.2,0.0.0.3 vote");
         assert_eq!(
             look(1.0, Some(0.1), &first, Some(7)),
@@ -120,10 +123,10 @@
         let begun = "epoch 2: 0.0.0.1,0.0.0.2,0.0.0.3 vote, and 0.0.0.1,0.0.0.2,0.0.0.4 with them; \
             change of the voters begun: 0.0.0.1,0.0.0.2,0.0.0.3 to 0.0.0.1,0.0.0.2,0.0.0.4";
         assert_eq!(look(7.0, Some(0.1), &joint, None), format!("contact regained after 4.5 s; {begun}"));
-        assert!(look(8.0, Some(0.1), &joint.end(&first.seats), None).contains("rolled back"));
+        assert!(look(8.0, Some(0.1), &joint.leave_joint(&first.voters), None).contains("rolled back"));
         let mut notices = Notices { muster: joint.clone(), ..Notices::default() };
-        let held = [(Duty::Lookout, None), (Duty::Tally, None)];
-        let ended = joint.end(&joint.coming);
+        let held = [(SingletonRole::HostDiscovery, None), (SingletonRole::QuotaCounter, None)];
+        let ended = joint.leave_joint(&joint.incoming);
         assert!(notices.look(1.0, &Seen { contact: None, muster: &ended, held })[1].contains("ended"));
     }
 }
--- a/crates/control-plane/src/tests.rs
+++ b/crates/control-plane/src/tests.rs
@@ -3,18 +3,24 @@
 mod answers;
 
 use crate::calls::{Call, Rests};
-use crate::made_up::{NODES, Shelf, Sound, ask, configuration, pass, play, port, still};
-use crate::{office, orders};
-use archlink_messages::{Ballot, Held, Pilot, Poll, Register, Word};
+use crate::simulated_cluster::{NODES, Shelf, Sound, ask, configuration, pass, play, port, still};
+use crate::{admin_commands, admin_server};
+use archlink_messages::{AcceptedValue, ConsensusMessage, DataNode, Message, ProposalNumber, Register};
 use std::io::{Read, Write};
 use std::net::SocketAddrV4;
 use strum::IntoEnumIterator;
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 
-fn pilot() -> Pilot {
+fn pilot() -> DataNode {
     let front = SocketAddrV4::new([10, 0, 1, 1].into(), 8206);
-    Pilot { node: 0x0a00_0101, zone: "west".into(), region: "coast".into(), front, ready: true }
+    DataNode {
+        node: 0x0a00_0101,
+        zone: "west".into(),
+        region: "coast".into(),
+        client_address: front,
+        ready: true,
+    }
 }
 
 /// What stands behind a path or in a body where the call wants something.
@@ -39,8 +45,8 @@
             let sound = Sound::new();
             pass(1.0).await;
             assert_eq!(sound.call(0, Call::Replace, "", &configuration(1, 5)).await.0.status, 200);
-            let hailed = archlink_consensus::journal::Event::Hailed(pilot());
-            sound.ports[1].step(|control, now| control.happened(now, hailed));
+            let hailed = archlink_consensus::event_log::Event::SessionRenewed(pilot());
+            sound.ports[1].step(|control, now| control.record_event(now, hailed));
             pass(1.0).await;
             let (names, body) = wanted(call);
             let before = sound.call(0, call, names, &body).await;
@@ -49,7 +55,7 @@
             sound.cut(0, true);
             pass(6.0).await;
             let round = |n: usize| {
-                sound.shelves[n].state().slots.values().map(|slot| slot.promised.round).sum::<u64>()
+                sound.shelves[n].state().acceptors.values().map(|slot| slot.promised.round).sum::<u64>()
             };
             let (asked_at, rounds) = (sound.ports[0].clock.now(), [round(0), round(1)]);
             let (answer, told) = sound.call(0, call, names, &body).await;
@@ -123,12 +129,13 @@
             caller.write_all(b"POST /archlink/Evacuation.Begin/east HTTP/1.1\r\n\r\n").unwrap();
             let kept = (!gone).then_some(caller);
             let (stream, _) = listener.accept().await.unwrap();
-            let serving = office::serve(gateway.clone(), stream, Default::default(), Default::default());
+            let serving =
+                admin_server::serve(gateway.clone(), stream, Default::default(), Default::default());
             tokio::time::timeout(std::time::Duration::from_secs(3), serving).await.ok();
             drop(kept);
             let mut begun = 0;
             while let Ok(word) = words.try_recv() {
-                begun += u32::from(matches!(word, Word::Poll(_, Poll::Prepare(..))));
+                begun += u32::from(matches!(word, Message::Consensus(_, ConsensusMessage::Prepare(..))));
             }
             assert_eq!(begun == 0, gone, "{begun} promises were asked for");
         }
@@ -144,7 +151,7 @@
     let kept = (!leaves).then_some(caller);
     let (stream, _) = listener.accept().await.unwrap();
     let began = gateway.clock.now();
-    let serving = office::serve(gateway.clone(), stream, Default::default(), Default::default());
+    let serving = admin_server::serve(gateway.clone(), stream, Default::default(), Default::default());
     tokio::time::timeout(std::time::Duration::from_secs(seconds), serving).await.ok();
     let mut said = String::new();
     kept.map(|mut caller| caller.read_to_string(&mut said).unwrap());
@@ -181,8 +188,9 @@
 fn who_stood_still_names_no_session_from_before() {
     play(async {
         let gateway = still(NODES[0], Shelf::default());
-        gateway
-            .step(|control, now| control.happened(now, archlink_consensus::journal::Event::Hailed(pilot())));
+        gateway.step(|control, now| {
+            control.record_event(now, archlink_consensus::event_log::Event::SessionRenewed(pilot()))
+        });
         assert_eq!(ask(&gateway, Call::Resolution, "", "").await.0.status, 200);
         pass(20.0).await;
         assert_eq!(ask(&gateway, Call::Resolution, "", "").await.0.status, 503);
@@ -198,34 +206,42 @@
         let gateway = port(NODES[0], shelf.clone());
         let (out, mut words) = mpsc::channel(256);
         gateway.links.borrow_mut().insert(NODES[1], out);
-        let ballot = Ballot { round: 5, node: NODES[1], nonce: 1 };
-        let held = Held { ballot, stamp: 3, value: "east".into(), marks: Vec::new() };
-        let say = |poll| gateway.hear(NODES[1], Word::Poll(1, poll));
+        let ballot = ProposalNumber { round: 5, node: NODES[1], nonce: 1 };
+        let held = AcceptedValue {
+            proposal: ballot,
+            revision: 3,
+            value: "east".into(),
+            recent_versions: Vec::new(),
+        };
+        let say = |poll| gateway.hear(NODES[1], Message::Consensus(1, poll));
         shelf.refuse(true);
-        say(Poll::Accept(Register::Evacuations, held));
-        let (next, disk) =
-            (Ballot { round: 6, ..ballot }, |register| shelf.state().slots.get(&register).cloned());
-        say(Poll::Prepare(Register::Chart, next));
+        say(ConsensusMessage::Accept(Register::Evacuations, held));
+        let (next, disk) = (ProposalNumber { round: 6, ..ballot }, |register| {
+            shelf.state().acceptors.get(&register).cloned()
+        });
+        say(ConsensusMessage::Prepare(Register::Configuration, next));
         shelf.refuse(false);
-        say(Poll::Ask(1));
+        say(ConsensusMessage::ReadRequest(1));
         pass(0.01).await;
-        let mut told = Ballot::default();
+        let mut told = ProposalNumber::default();
         while let Ok(word) = words.try_recv() {
             match word {
-                Word::Poll(_, Poll::Answer(1, ballots)) => told = ballots[1].1,
-                Word::Poll(_, Poll::Accepted(..) | Poll::Promise(..)) => panic!("{word:?} was said"),
+                Message::Consensus(_, ConsensusMessage::ReadReply(1, ballots)) => told = ballots[1].1,
+                Message::Consensus(_, ConsensusMessage::Accepted(..) | ConsensusMessage::Promise(..)) => {
+                    panic!("{word:?} was said")
+                }
                 _ => {}
             }
         }
         assert_eq!(told, ballot);
-        let on_disk = disk(Register::Evacuations).and_then(|slot| slot.held).map(|held| held.ballot);
+        let on_disk = disk(Register::Evacuations).and_then(|slot| slot.accepted).map(|held| held.proposal);
         assert_eq!(on_disk, Some(ballot), "it was told of and is on no disk");
         // With nothing asked any more the next tick brings it to disk.
         shelf.refuse(true);
-        say(Poll::Prepare(Register::Chart, Ballot { round: 7, ..ballot }));
+        say(ConsensusMessage::Prepare(Register::Configuration, ProposalNumber { round: 7, ..ballot }));
         shelf.refuse(false);
         pass(0.1).await;
-        assert_eq!(disk(Register::Chart).map(|slot| slot.promised.round), Some(7));
+        assert_eq!(disk(Register::Configuration).map(|slot| slot.promised.round), Some(7));
     });
 }
 
@@ -255,7 +271,7 @@
             (&refusal["Digest"], &refusal["ConfigVersion"]),
             (&told["Digest"], &told["ConfigVersion"])
         );
-        assert_eq!(refusal["YourDigest"], orders::hex(&orders::digest(other.as_bytes())));
+        assert_eq!(refusal["YourDigest"], admin_commands::hex(&admin_commands::digest(other.as_bytes())));
         let (_, newer) = sound.call(1, Call::Replace, "", &second).await;
         assert!(
             newer["InForce"]["Digest"] == newer["Digest"] && newer["Digest"] != told["Digest"],
--- a/crates/control-plane/src/tests/answers.rs
+++ b/crates/control-plane/src/tests/answers.rs
@@ -2,15 +2,18 @@
 //! out here. They stay as they are when types of the program are renamed.
 
 use super::{pilot, served};
+use crate::admin_commands;
+use crate::answer_names;
 use crate::calls::Call;
-use crate::made_up::{NODES, Shelf, Sound, configuration, pass, play, still};
-use crate::notices::{Notices, Seen};
-use crate::orders;
-use crate::port::Unbegun;
-use archlink_consensus::journal::Event;
-use archlink_consensus::{Outcome, Refusal};
-use archlink_http::plain::Answer;
-use archlink_messages::{DUTIES, HostLine, Hosts, Keeper, Muster, Register, Sessions};
+use crate::node::Unbegun;
+use crate::simulated_cluster::{NODES, Shelf, Sound, configuration, pass, play, still};
+use crate::state_change_log::{Notices, Seen};
+use archlink_consensus::event_log::Event;
+use archlink_consensus::{MembershipError, Outcome};
+use archlink_http::codec::Response;
+use archlink_messages::{
+    ControlNode, HostInstance, HostList, Register, SINGLETON_ROLES, SessionTable, VoterSet,
+};
 use serde_json::{Value, json};
 use std::net::SocketAddrV4;
 use strum::IntoEnumIterator;
@@ -18,11 +21,11 @@
 const JSON: &str = "Content-Type: application/json\r\n";
 const JSON_AND_COME_BACK: &str = "Content-Type: application/json\r\nRetry-After: 0.3\r\n";
 
-fn lines(answer: &Answer) -> String {
+fn lines(answer: &Response) -> String {
     String::from_utf8_lossy(&answer.lines).into_owned()
 }
 
-fn body(answer: &Answer) -> Value {
+fn body(answer: &Response) -> Value {
     serde_json::from_slice(&answer.body).unwrap()
 }
 
@@ -62,19 +65,22 @@
     let sound = Sound::new();
     pass(2.0).await;
     assert_eq!(sound.call(0, Call::Replace, "", &configuration(10, 5)).await.0.status, 200);
-    let host = |id: &str, draining, cold_for| HostLine {
+    let host = |id: &str, draining, cold_for| HostInstance {
         id: id.into(),
         service: "reports".into(),
         address: SocketAddrV4::new([10, 1, 0, 1].into(), 9000),
         zone: "west".into(),
         capacity: 4,
         draining,
-        cold_for,
+        warm_up_seconds: cold_for,
     };
-    let hosts =
-        Hosts { term: 1000, version: 12, lines: vec![host("i-1", false, 1.5), host("i-2", true, 0.0)] };
-    sound.ports[0].step(|control, now| control.happened(now, Event::Listed(hosts)));
-    sound.ports[0].step(|control, now| control.happened(now, Event::Hailed(pilot())));
+    let hosts = HostList {
+        term: 1000,
+        version: 12,
+        instances: vec![host("i-1", false, 1.5), host("i-2", true, 0.0)],
+    };
+    sound.ports[0].step(|control, now| control.record_event(now, Event::HostListChanged(hosts)));
+    sound.ports[0].step(|control, now| control.record_event(now, Event::SessionRenewed(pilot())));
     sound
 }
 
@@ -133,7 +139,7 @@
     play(async {
         let sound = running().await;
         let (own, newer) = (configuration(10, 5), configuration(11, 6));
-        let digest = |text: &str| orders::hex(&orders::digest(text.as_bytes()));
+        let digest = |text: &str| admin_commands::hex(&admin_commands::digest(text.as_bytes()));
         let told = answered(&sound, Call::Replace, "", &newer).await;
         let mark = |version: &str, text: &str| json!({"ConfigVersion": version, "Digest": digest(text)});
         let mut expected = mark("0000000b", &newer);
@@ -180,7 +186,7 @@
         let (answer, _) = sound.call(0, Call::Read, "", "").await;
         assert_eq!((answer.status, &answer.body[..]), (200, text.as_bytes()));
         let lines = lines(&answer);
-        let digest = orders::hex(&orders::digest(text.as_bytes()));
+        let digest = admin_commands::hex(&admin_commands::digest(text.as_bytes()));
         let (before, ago) = lines.split_once("Confirmed-Seconds-Ago: ").unwrap();
         assert_eq!(before, format!("{JSON}Config-Version: 0000000a\r\nConfig-Digest: {digest}\r\n"));
         let (whole, thousandths) = ago.trim_end().split_once('.').unwrap();
@@ -248,34 +254,42 @@
 fn each_refusal_has_its_reason_and_text() {
     for (why, reason, error) in [
         (
-            Refusal::Unknown,
+            MembershipError::Unknown,
             "Unknown",
             "who votes is not known here yet: ask again once this gateway has reached another, or ask another",
         ),
         (
-            Refusal::UnderWay,
+            MembershipError::ChangeInProgress,
             "UnderWay",
             "another change of the voters is under way: see `voters`, and order again once it has ended",
         ),
-        (Refusal::NoSeat, "NoSeat", "the one that is to go has no seat: see `voters` for those that have"),
-        (Refusal::Seated, "Seated", "the one that is to come has a seat already: see `voters`"),
         (
-            Refusal::Absent,
+            MembershipError::NotAVoter,
+            "NoSeat",
+            "the one that is to go has no seat: see `voters` for those that have",
+        ),
+        (
+            MembershipError::AlreadyAVoter,
+            "Seated",
+            "the one that is to come has a seat already: see `voters`",
+        ),
+        (
+            MembershipError::Unreachable,
             "Absent",
             "the one that is to come is not heard of: start it, and order again once `members` names it",
         ),
         (
-            Refusal::NotWhole,
+            MembershipError::NotRecovered,
             "NotWhole",
             "too many voters are not there or have not read back their disks: see `voters`, and bring those back first",
         ),
         (
-            Refusal::Epoch,
+            MembershipError::WrongEpoch,
             "Epoch",
             "the epoch that was named is not the one that stands: see `voters`, and name that",
         ),
     ] {
-        let answer = orders::not_so(why);
+        let answer = admin_commands::not_so(why);
         assert_eq!((answer.status, lines(&answer).as_str()), (409, JSON));
         assert_eq!(body(&answer), json!({"Error": error, "Reason": reason}));
     }
@@ -286,7 +300,7 @@
 fn an_order_without_an_end_is_answered_with_its_text() {
     for (ended, error) in [
         (
-            Ok(Outcome::Unclear),
+            Ok(Outcome::Unknown),
             "no majority has taken it yet: it may or may not come to be; the same order sent again tells",
         ),
         (
@@ -296,7 +310,7 @@
         (Err(Unbegun::Founding), "not begun: the first start has not taken in as many voters as are needed"),
         (Err(Unbegun::Many), "not begun: too many orders wait; nothing was altered, nor will be"),
     ] {
-        let answer = orders::settled(ended).unwrap_err();
+        let answer = admin_commands::settled(ended).unwrap_err();
         assert_eq!((answer.status, lines(&answer).as_str()), (503, JSON_AND_COME_BACK));
         assert_eq!(body(&answer), json!({"Error": error}));
     }
@@ -477,32 +491,35 @@
 
 #[test]
 fn the_journal_tells_events_in_these_words() {
-    let keeper = Keeper {
+    let keeper = ControlNode {
         node: NODES[1],
         zone: "east".into(),
         region: "coast".into(),
-        control: SocketAddrV4::new(NODES[1].into(), 8200),
+        operator_address: SocketAddrV4::new(NODES[1].into(), 8200),
     };
-    let sessions = Sessions { source: NODES[1], boot: 1, version: 1, pilots: vec![pilot()] };
-    let hosts = Hosts { term: 4, version: 12, lines: Vec::new() };
+    let sessions = SessionTable { source: NODES[1], incarnation: 1, version: 1, data_nodes: vec![pilot()] };
+    let hosts = HostList { term: 4, version: 12, instances: Vec::new() };
     let events = [
-        (Event::Met(keeper.clone()), "control gateway 10.0.0.2:8200 in east"),
-        (Event::Hailed(pilot()), "data gateway 10.0.1.1:8206 in west, ready true"),
-        (Event::Lost(pilot().node), "session of 10.0.1.1 ended"),
-        (Event::Told(sessions), "10.0.0.2 has 1 sessions"),
-        (Event::Heard(NODES[1], Vec::new()), "10.0.0.2 lives"),
-        (Event::Listed(hosts.clone()), "list 4.12 of 0 hosts"),
-        (Event::Passed { contact: true }, "a session fell silent"),
+        (Event::ControlNodeDiscovered(keeper.clone()), "control gateway 10.0.0.2:8200 in east"),
+        (Event::SessionRenewed(pilot()), "data gateway 10.0.1.1:8206 in west, ready true"),
+        (Event::SessionClosed(pilot().node), "session of 10.0.1.1 ended"),
+        (Event::PeerSessions(sessions), "10.0.0.2 has 1 sessions"),
+        (Event::PeerHeartbeat(NODES[1], Vec::new()), "10.0.0.2 lives"),
+        (Event::HostListChanged(hosts.clone()), "list 4.12 of 0 hosts"),
+        (Event::TimePassed { contact: true }, "a session fell silent"),
     ];
     for (event, line) in events {
-        assert_eq!(event.line(), line);
+        assert_eq!(event.describe(), line);
     }
     play(async move {
         let gateway = still(NODES[0], Shelf::default());
-        for event in
-            [Event::Met(keeper), Event::Hailed(pilot()), Event::Listed(hosts), Event::Lost(pilot().node)]
-        {
-            gateway.step(|control, now| control.happened(now, event));
+        for event in [
+            Event::ControlNodeDiscovered(keeper),
+            Event::SessionRenewed(pilot()),
+            Event::HostListChanged(hosts),
+            Event::SessionClosed(pilot().node),
+        ] {
+            gateway.step(|control, now| control.record_event(now, event));
         }
         let (answer, told) = super::ask(&gateway, Call::Journal, "", "").await;
         assert_eq!((answer.status, lines(&answer).as_str()), (200, JSON));
@@ -523,13 +540,13 @@
 /// The log names duties and registers by the same words as the answers.
 #[test]
 fn the_log_names_duties_and_registers_in_these_words() {
-    let (muster, mut notices) = (Muster::default(), Notices::default());
+    let (muster, mut notices) = (VoterSet::default(), Notices::default());
     let mut lines = |term: Option<u64>| {
-        let held = DUTIES.map(|duty| (duty, term));
+        let held = SINGLETON_ROLES.map(|duty| (duty, term));
         notices.look(0.0, &Seen { contact: None, muster: &muster, held })
     };
     assert_eq!(lines(Some(3)), ["Lookout won, term 3", "Tally won, term 3"]);
     assert_eq!(lines(None), ["Lookout lost, term 3", "Tally lost, term 3"]);
-    let registers = [Register::Chart, Register::Evacuations, Register::Muster];
-    assert_eq!(registers.map(|register| format!("{register:?}")), ["Chart", "Evacuations", "Muster"]);
+    let registers = [Register::Configuration, Register::Evacuations, Register::VoterSet];
+    assert_eq!(registers.map(answer_names::register), ["Chart", "Evacuations", "Muster"]);
 }
--- a/crates/control-plane/src/voters.rs
+++ b/crates/control-plane/src/voter_admin.rs
@@ -1,15 +1,16 @@
 //! Operators' calls about who votes: what this gateway holds and hears, and orders to change it. Owns how seats are named.
 //! Must never found anew where a majority answers, nor give up a seat that is heard of or was not named.
 
+use crate::admin_commands::{not_so, settled};
+use crate::admin_server::refused;
+use crate::answer_names;
 use crate::calls::Call;
-use crate::office::refused;
-use crate::orders::{not_so, settled};
-use crate::port::{Order, Port};
-use archlink_consensus::control::Member;
-use archlink_consensus::membership::Ended;
-use archlink_consensus::{Outcome, Reseat};
-use archlink_http::plain::Answer;
-use archlink_messages::{Ballot, Keeper, Node, Register};
+use crate::node::{Node, Order};
+use archlink_consensus::control::MemberStatus;
+use archlink_consensus::membership::ChangeResult;
+use archlink_consensus::{MembershipChange, Outcome};
+use archlink_http::codec::Response;
+use archlink_messages::{ControlNode, NodeId, ProposalNumber, Register};
 use serde::Deserialize;
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
@@ -20,57 +21,65 @@
 const LOST: f64 = 5.0;
 
 /// A machine's address, also with a port behind it.
-pub fn node(text: &str) -> Option<Node> {
+pub fn node(text: &str) -> Option<NodeId> {
     let bare = || text.parse::<Ipv4Addr>().ok();
     text.parse::<SocketAddrV4>()
         .map(|address| *address.ip())
         .ok()
         .or_else(bare)
-        .map(archlink_runtime::node_of)
+        .map(archlink_runtime::node_id)
 }
 
-fn address(node: Node) -> Ipv4Addr {
+fn address(node: NodeId) -> Ipv4Addr {
     Ipv4Addr::from(node)
 }
 
 /// Voters of which nothing is heard here.
-fn lost(port: &Port) -> BTreeSet<Node> {
-    let members = port.look(|control, now| control.voters(now).members).into_iter();
-    let silent = |member: &Member| member.heard.is_none_or(|ago| ago > LOST);
-    members.filter(|m| (m.seat || m.comes) && silent(m)).map(|m| m.node).collect()
+fn lost(port: &Node) -> BTreeSet<NodeId> {
+    let members = port.look(|control, now| control.voter_set_status(now).members).into_iter();
+    let silent = |member: &MemberStatus| member.last_heard_age.is_none_or(|ago| ago > LOST);
+    members.filter(|m| (m.voter || m.incoming) && silent(m)).map(|m| m.node).collect()
 }
 
-fn member(member: Member, me: Node, keepers: &[Keeper]) -> Value {
-    let Member { node, zone, seat, comes, heard, whole } = member;
-    let control = keepers.iter().find(|keeper| keeper.node == node).map(|keeper| keeper.control);
+fn member(member: MemberStatus, me: NodeId, keepers: &[ControlNode]) -> Value {
+    let MemberStatus { node, zone, voter: seat, incoming: comes, last_heard_age: heard, recovered: whole } =
+        member;
+    let control = keepers.iter().find(|keeper| keeper.node == node).map(|keeper| keeper.operator_address);
     json!({"Address": address(node), "Control": control, "Zone": zone, "Seat": seat, "Comes": comes,
         "Here": node == me, "HeardSecondsAgo": heard.map(|ago| (ago * 1e3).round() / 1e3), "DiskWhole": whole})
 }
 
-fn held((register, stamp, ballot): (Register, u64, Ballot)) -> Value {
-    let version = (register == Register::Chart).then(|| format!("{:08x}", stamp.saturating_sub(1)));
-    json!({"Register": format!("{register:?}"), "Stamp": stamp, "ConfigVersion": version,
+fn held((register, stamp, ballot): (Register, u64, ProposalNumber)) -> Value {
+    let version = (register == Register::Configuration).then(|| format!("{:08x}", stamp.saturating_sub(1)));
+    json!({"Register": answer_names::register(register), "Stamp": stamp, "ConfigVersion": version,
         "Ballot": [ballot.round, u64::from(ballot.node), u64::from(ballot.nonce)]})
 }
 
-pub fn look(port: &Port) -> Value {
+pub fn look(port: &Node) -> Value {
     let lost: Vec<Ipv4Addr> = lost(port).into_iter().map(address).collect();
-    let (voters, keepers, whole) = port
-        .look(|control, now| (control.voters(now), control.journal.roster.keepers(), control.voter.whole()));
-    let changing = voters.muster.changing();
+    let (voters, keepers, whole) = port.look(|control, now| {
+        (
+            control.voter_set_status(now),
+            control.event_log.registry.control_nodes(),
+            control.acceptor.is_recovered(),
+        )
+    });
+    let changing = voters.voter_set.is_joint();
     let members: Vec<Value> = voters.members.into_iter().map(|m| member(m, port.me, &keepers)).collect();
-    let last = voters.last.map(|(ago, ended)| json!({"SecondsAgo": ago, "Came": ended == Ended::Came}));
-    json!({"Here": address(port.me), "Epoch": voters.muster.epoch, "Founded": voters.founded, "Changing": changing,
+    let last = voters
+        .last_change
+        .map(|(ago, ended)| json!({"SecondsAgo": ago, "Came": ended == ChangeResult::Committed}));
+    json!({"Here": address(port.me), "Epoch": voters.voter_set.epoch, "Founded": voters.established, "Changing": changing,
         "Members": members, "Lost": lost, "DiskWhole": whole, "LastChange": last,
-        "Held": voters.holds.into_iter().map(held).collect::<Vec<_>>()})
+        "Held": voters.accepted.into_iter().map(held).collect::<Vec<_>>()})
 }
 
-fn named(text: &str) -> Result<Node, Answer> {
+fn named(text: &str) -> Result<NodeId, Response> {
     node(text).ok_or_else(|| refused(400, format_args!("{text:?} is no address of a machine, as 10.0.0.1")))
 }
 
 /// `OLD/NEW`: a seat passes to another machine.
-pub async fn replace(port: &Port, names: &str) -> Answer {
+pub async fn replace(port: &Node, names: &str) -> Response {
     let Some((old, new)) = names.split_once('/') else {
         return refused(400, "two addresses are needed: OLD/NEW");
     };
@@ -78,13 +87,13 @@
         (Ok(old), Ok(new)) => (old, new),
         (Err(answer), _) | (_, Err(answer)) => return answer,
     };
-    reseat(port, Call::VotersReplace, Reseat::Replace { old, new }).await
+    reseat(port, Call::VotersReplace, MembershipChange::Replace { old, new }).await
 }
 
-async fn reseat(port: &Port, call: Call, order: Reseat) -> Answer {
+async fn reseat(port: &Node, call: Call, order: MembershipChange) -> Response {
     match settled(port.order(call, Order::Reseat(order)).await) {
-        Ok(Outcome::Refused(why)) => not_so(why),
-        Ok(_) => Answer::json(200, look(port).to_string()),
+        Ok(Outcome::Rejected(why)) => not_so(why),
+        Ok(_) => Response::json(200, look(port).to_string()),
         Err(answer) => answer,
     }
 }
@@ -97,7 +106,7 @@
     lose: Vec<String>,
 }
 
-pub async fn refound(port: &Port, body: &[u8]) -> Answer {
+pub async fn refound(port: &Node, body: &[u8]) -> Response {
     let Refounding { epoch, lose } = match serde_json::from_slice(body) {
         Ok(read) => read,
         Err(e) => return refused(400, format_args!("the body names Epoch and Lose: {e}")),
@@ -130,10 +139,10 @@
             format!("the seats that nothing is heard of here are {}: name exactly these", list.join(","));
         return refused(409, why);
     }
-    let voters = port.look(|control, _| control.muster().voters());
-    let seats: Vec<Node> = voters.into_iter().filter(|node| !given_up.contains(node)).collect();
+    let voters = port.look(|control, _| control.voter_set().all_voters());
+    let seats: Vec<NodeId> = voters.into_iter().filter(|node| !given_up.contains(node)).collect();
     log::warn!("founding anew beyond epoch {epoch}; given up: {}", lose.join(","));
-    reseat(port, Call::VotersRefound, Reseat::Refound { epoch, seats }).await
+    reseat(port, Call::VotersRefound, MembershipChange::ForceNewGeneration { epoch, voters: seats }).await
 }
 
 #[cfg(test)]
--- a/crates/control-plane/src/backlog.rs
+++ b/crates/control-plane/src/write_queue.rs
@@ -2,7 +2,7 @@
 //! that was not taken goes with the next one, so that no word ever leaves ahead of what is on disk. Must never drop a record:
 //! of each register, each duty and the set of voters the newest is kept, which is all that the disk keeps as well.
 
-use archlink_storage::{Entered, Logbook};
+use archlink_storage::{StateChange, Storage};
 
 /// Records that were given to the disk and are not told of as kept. More than the disk's own queue holds means that this
 /// thread does not come to hear of them.
@@ -11,12 +11,12 @@
 /// Where records are kept for good.
 pub trait Disk {
     /// Has something kept, and `kept` called once it is synced, in the order of the calls. False where too much waits.
-    fn enter(&self, entered: Entered, kept: Box<dyn FnOnce() + Send>) -> bool;
+    fn enter(&self, entered: StateChange, kept: Box<dyn FnOnce() + Send>) -> bool;
 }
 
-impl Disk for Logbook {
-    fn enter(&self, entered: Entered, kept: Box<dyn FnOnce() + Send>) -> bool {
-        Logbook::enter(self, entered, kept)
+impl Disk for Storage {
+    fn enter(&self, entered: StateChange, kept: Box<dyn FnOnce() + Send>) -> bool {
+        Storage::enter(self, entered, kept)
     }
 }
 
@@ -24,20 +24,20 @@
 pub struct Backlog {
     out: usize,
     /// What the core takes for entered and no disk has: at most one slot a register, one post a duty and one muster.
-    behind: Option<Entered>,
+    behind: Option<StateChange>,
 }
 
-fn joined(older: Entered, newer: Entered) -> Entered {
-    let Entered { muster, mut slots, mut posts } = older;
-    for (register, slot) in newer.slots {
+fn joined(older: StateChange, newer: StateChange) -> StateChange {
+    let StateChange { voter_set: muster, acceptors: mut slots, grants: mut posts } = older;
+    for (register, slot) in newer.acceptors {
         slots.retain(|(known, _)| *known != register);
         slots.push((register, slot));
     }
-    for post in newer.posts {
-        posts.retain(|known| known.duty != post.duty);
+    for post in newer.grants {
+        posts.retain(|known| known.role != post.role);
         posts.push(post);
     }
-    Entered { muster: newer.muster.or(muster), slots, posts }
+    StateChange { voter_set: newer.voter_set.or(muster), acceptors: slots, grants: posts }
 }
 
 impl Backlog {
@@ -48,7 +48,12 @@
 
     /// Gives a record to the disk, with all that waits from before; false where it has to wait itself. The words that hang on
     /// it are then not said: whoever asked asks again.
-    pub fn enter(&mut self, disk: &dyn Disk, entered: Entered, told: impl FnOnce() + Send + 'static) -> bool {
+    pub fn enter(
+        &mut self,
+        disk: &dyn Disk,
+        entered: StateChange,
+        told: impl FnOnce() + Send + 'static,
+    ) -> bool {
         let entered = match self.behind.take() {
             Some(behind) => joined(behind, entered),
             None => entered,
--- a/crates/data-plane/src/front.rs
+++ b/crates/data-plane/src/front.rs
@@ -4,8 +4,8 @@
 use crate::client::Client;
 use crate::gateway::Gateway;
 use crate::request;
-use archlink_http::departure::{Departure, departure};
-use archlink_http::plain::{Answer, Asked, Request, ServerSide};
+use archlink_http::codec::{Decoded, Request, Response, ServerCodec};
+use archlink_http::disconnect::{Disconnect, wait_for_disconnect};
 use futures_util::{SinkExt, StreamExt};
 use std::cell::Cell;
 use std::pin::pin;
@@ -83,7 +83,7 @@
 async fn serve(front: Rc<Front>, stream: TcpStream) {
     let _open = Count::of(&front.open);
     stream.set_nodelay(true).ok();
-    let codec = ServerSide::new(request::READ, MOST_BODY, front.room.clone());
+    let codec = ServerCodec::new(request::READ, MOST_BODY, front.room.clone());
     let mut framed = Framed::new(stream, codec);
     let mut stage = front.stage.clone();
     loop {
@@ -93,20 +93,22 @@
         let asked = tokio::select! {
             biased;
             asked = framed.next() => asked,
-            _ = stage.wait_for(|stage| *stage == Stage::Closed), if !framed.codec().begun() => return,
+            _ = stage.wait_for(|stage| *stage == Stage::Closed), if !framed.codec().is_partial() => return,
             _ = sleep(idle) => return,
         };
         let Some(Ok(asked)) = asked else { return };
         let _at_work = Count::of(&front.at_work);
         let attended = match asked {
-            Asked::Bad(status) => Attended { answer: Answer::plain(status), close: true, departure: None },
-            Asked::Request(request) => attend(&front, &mut framed, *request).await,
+            Decoded::Bad(status) => {
+                Attended { answer: Response::plain(status), close: true, departure: None }
+            }
+            Decoded::Request(request) => attend(&front, &mut framed, *request).await,
         };
         let Attended { mut answer, close, departure } = attended;
         match departure {
-            Some(Departure::Reset) => return,
+            Some(Disconnect::Reset) => return,
             // One that only ended its sending still reads.
-            Some(Departure::Closed) => answer.close = true,
+            Some(Disconnect::Closed) => answer.close = true,
             None => front.gateway.metrics.answered(answer.status),
         }
         answer.close |= close || answer.status == 400 || *front.stage.borrow() != Stage::Serving;
@@ -120,21 +122,21 @@
 
 /// What came of one request.
 struct Attended {
-    answer: Answer,
+    answer: Response,
     /// The client asked for the end of the connection, or what it sent leaves no other way.
     close: bool,
     /// How the client left before its answer.
-    departure: Option<Departure>,
+    departure: Option<Disconnect>,
 }
 
 /// Answers one request, with an eye on its client.
-async fn attend(front: &Front, framed: &mut Framed<TcpStream, ServerSide>, request: Request) -> Attended {
+async fn attend(front: &Front, framed: &mut Framed<TcpStream, ServerCodec>, request: Request) -> Attended {
     let (close, id) = (request.close, request.fields[request::ATTEMPT_ID].once().map(str::to_string));
     let client = Client::new();
     let mut respond = pin!(request::respond(&front.gateway, request, &client));
     let (answer, departure) = tokio::select! {
         biased;
-        departure = departure(framed, READ_AHEAD) => {
+        departure = wait_for_disconnect(framed, READ_AHEAD) => {
             client.depart();
             (respond.await, Some(departure))
         }
--- a/crates/data-plane/src/gateway.rs
+++ b/crates/data-plane/src/gateway.rs
@@ -3,16 +3,16 @@
 //! and go on.
 
 use crate::metrics::Metrics;
-use archlink_balancer::budget::{Budget, Rule};
-use archlink_balancer::choice::{Berth, ColdRule, ServiceTerms};
-use archlink_config::{Chart, Settings, Tenant};
-use archlink_control_client::views::{Turn, Views};
-use archlink_http::kept::Kept;
-use archlink_http::plain::CallerSide;
-use archlink_messages::{Add, Lot, Node, Pilot};
-use archlink_quota::asker::{Asker, Quota, Verdict};
-use archlink_quota::frames::Settled;
-use archlink_quota::share::{Bound, Share};
+use archlink_balancer::balancer::{Balancer, ServiceLimits, WarmUpBound};
+use archlink_balancer::retry_budget::{RetryBound, RetryBudget};
+use archlink_config::{Configuration, Settings, Tenant};
+use archlink_control_client::fleet_view::{FleetView, ViewChange};
+use archlink_http::codec::ClientCodec;
+use archlink_http::connection_pool::ConnectionPool;
+use archlink_messages::{CounterAdd, DataNode, NodeId, NodeRank};
+use archlink_quota::counter_client::{Asker, Quota, Verdict};
+use archlink_quota::local_share::{LocalShare, QuotaBound};
+use archlink_quota::pending_calls::CallResult;
 use archlink_runtime::Clock;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -28,12 +28,12 @@
 pub struct Gateway {
     pub settings: Settings,
     pub clock: Clock,
-    pub kept: Rc<Kept<CallerSide>>,
-    pub views: RefCell<Views>,
-    pub berth: RefCell<Berth>,
-    pub budget: RefCell<Budget>,
+    pub kept: Rc<ConnectionPool<ClientCodec>>,
+    pub views: RefCell<FleetView>,
+    pub berth: RefCell<Balancer>,
+    pub budget: RefCell<RetryBudget>,
     pub metrics: Metrics,
-    shares: RefCell<HashMap<String, Share>>,
+    shares: RefCell<HashMap<String, LocalShare>>,
     asker: RefCell<Asker>,
     verdicts: RefCell<HashMap<u32, oneshot::Sender<Verdict>>>,
     pub leaving: Cell<bool>,
@@ -49,21 +49,21 @@
 }
 
 impl Gateway {
-    pub fn new(settings: Settings, clock: Clock, kept: Rc<Kept<CallerSide>>) -> Rc<Gateway> {
-        let bounds = settings.bounds;
-        let cold = ColdRule { overrun: bounds.cold_overrun, slack: bounds.cold_slack };
-        let me = archlink_runtime::node_of(settings.ip);
+    pub fn new(settings: Settings, clock: Clock, kept: Rc<ConnectionPool<ClientCodec>>) -> Rc<Gateway> {
+        let bounds = settings.timing_bounds;
+        let cold = WarmUpBound { overrun: bounds.warm_up_overrun, slack: bounds.warm_up_slack };
+        let me = archlink_runtime::node_id(settings.ip);
         let (zone, region, zones) = (settings.zone.clone(), settings.region.clone(), settings.zones.clone());
-        let berth = Berth::new(me, zone, region, zones, cold, archlink_runtime::chance());
+        let berth = Balancer::new(me, zone, region, zones, cold, archlink_runtime::random_seed());
         Rc::new(Gateway {
             clock,
             kept,
-            views: RefCell::new(Views::new(bounds.revoke - REVOKE_MARGIN)),
+            views: RefCell::new(FleetView::new(bounds.revoke - REVOKE_MARGIN)),
             berth: RefCell::new(berth),
             budget: RefCell::default(),
             metrics: Metrics::new(),
             shares: RefCell::default(),
-            asker: RefCell::new(Asker::new(clock.now(), archlink_runtime::chance())),
+            asker: RefCell::new(Asker::new(clock.now(), archlink_runtime::random_seed())),
             verdicts: RefCell::default(),
             leaving: Cell::new(false),
             counted: Cell::new(false),
@@ -76,92 +76,93 @@
         })
     }
 
-    pub fn chart(&self) -> Option<Rc<Chart>> {
-        self.views.borrow().chart()
+    pub fn chart(&self) -> Option<Rc<Configuration>> {
+        self.views.borrow().configuration()
     }
 
     pub fn fleet_clock(&self) -> f64 {
-        self.views.borrow().clock(self.clock.now())
+        self.views.borrow().cluster_clock(self.clock.now())
     }
 
     pub fn heard_clock(&self, clock: f64) {
-        self.views.borrow_mut().heard_clock(self.clock.now(), clock);
+        self.views.borrow_mut().observe_clock(self.clock.now(), clock);
     }
 
     /// May keys be served by the configuration that is held? Asked again before each hand-off.
     pub fn vouched(&self) -> bool {
-        self.views.borrow().vouched(self.clock.now())
+        self.views.borrow().is_confirmed(self.clock.now())
     }
 
     /// Can clients be sent here? A gateway that has only started has no share yet, and waits for the counter; one that has
     /// lost the counter later goes on.
     pub fn ready(&self) -> bool {
-        let counts = self.has_counted.get() || self.clock.now() > self.settings.bounds.quota_window;
+        let counts = self.has_counted.get() || self.clock.now() > self.settings.timing_bounds.quota_window;
         counts
             && !self.leaving.get()
             && self.chart().is_some()
             && self.vouched()
-            && self.berth.borrow().count().1 > 0
+            && self.berth.borrow().host_counts().1 > 0
     }
 
-    pub fn pilot(&self) -> Pilot {
+    pub fn pilot(&self) -> DataNode {
         let unset = SocketAddrV4::new(self.settings.ip, 0);
-        let front = match self.settings.front {
+        let front = match self.settings.client_address {
             Some(SocketAddr::V4(front)) => front,
             _ => unset,
         };
-        Pilot {
-            node: archlink_runtime::node_of(self.settings.ip),
+        DataNode {
+            node: archlink_runtime::node_id(self.settings.ip),
             zone: self.settings.zone.clone(),
             region: self.settings.region.clone(),
-            front,
+            client_address: front,
             ready: self.ready(),
         }
     }
 
     /// Who holds the counts, and in which term.
-    pub fn counter(&self) -> Option<(Node, u64)> {
-        self.views.borrow().counter()
+    pub fn counter(&self) -> Option<(NodeId, u64)> {
+        self.views.borrow().counter_holder()
     }
 
     /// Data gateways that may be at work; 0 is not known yet.
     pub fn pilots(&self) -> u32 {
-        self.views.borrow().pilots().len() as u32
+        self.views.borrow().data_nodes().len() as u32
     }
 
     /// Hands on what changed in the views to those that go by it.
-    pub fn turn(&self, turns: Vec<Turn>) {
+    pub fn turn(&self, turns: Vec<ViewChange>) {
         if turns.is_empty() {
             return;
         }
         let now = self.clock.now();
         for turn in turns {
-            if let Turn::Chart(_) | Turn::Evacuated(_) = turn {
-                log::info!("{}", turn.line());
+            if let ViewChange::Configuration(_) | ViewChange::EvacuatedZones(_) = turn {
+                log::info!("{}", turn.describe());
             }
             match turn {
-                Turn::Chart(chart) => self.take_chart(&chart),
-                Turn::Evacuated(zones) => {
+                ViewChange::Configuration(chart) => self.take_chart(&chart),
+                ViewChange::EvacuatedZones(zones) => {
                     self.berth.borrow_mut().set_evacuated(now, zones);
                 }
-                Turn::Hosts(hosts) => {
-                    let left = self.berth.borrow_mut().list(now, &hosts.lines);
+                ViewChange::HostList(hosts) => {
+                    let left = self.berth.borrow_mut().update_hosts(now, &hosts.instances);
                     left.into_iter().for_each(|key| self.kept.forget(key));
                 }
-                Turn::Pilots => {
+                ViewChange::DataNodes => {
                     self.split_quotas();
-                    self.berth.borrow_mut().set_gateways(self.views.borrow().pilots());
+                    self.berth.borrow_mut().set_gateways(self.views.borrow().data_nodes());
                 }
-                Turn::Unusable(why) => log::error!("{why}"),
-                Turn::Keepers | Turn::Posts | Turn::Vouched => {}
+                ViewChange::InvalidUpdate(why) => log::error!("{why}"),
+                ViewChange::ControlNodes | ViewChange::Leases | ViewChange::ConfirmationChanged => {}
             }
         }
         self.turned.notify_waiters();
     }
 
-    fn take_chart(&self, chart: &Chart) {
+    fn take_chart(&self, chart: &Configuration) {
         let services = chart.services.values().map(|service| {
-            let terms = ServiceTerms { cold_rate: service.cold_rate, cold_period: service.cold_period };
+            let terms =
+                ServiceLimits { warm_up_rate: service.warm_up_rate, warm_up_period: service.warm_up_period };
             (service.name.clone(), terms)
         });
         self.berth.borrow_mut().set_services(services.collect());
@@ -172,20 +173,23 @@
     fn split_quotas(&self) {
         let (Some(chart), bound, pilots) = (self.chart(), self.bound(), self.pilots()) else { return };
         let quota = |t: &Tenant| {
-            let counted = bound.counted(t.rate, t.burst, pilots);
+            let counted = bound.counted_fraction(t.rate, t.burst, pilots);
             Quota { tenant: t.name.clone(), rate: t.rate, burst: t.burst, counted }
         };
         let quotas: Vec<Quota> = chart.tenants.iter().map(quota).collect();
         self.asker.borrow_mut().quotas(&quotas);
     }
 
-    fn bound(&self) -> Bound {
-        let bounds = &self.settings.bounds;
-        Bound { window: bounds.quota_window, overrun: bounds.quota_overrun, slack: bounds.quota_slack }
+    fn bound(&self) -> QuotaBound {
+        let bounds = &self.settings.timing_bounds;
+        QuotaBound { window: bounds.quota_window, overrun: bounds.quota_overrun, slack: bounds.quota_slack }
     }
 
-    pub fn budget_rule(&self) -> Rule {
-        Rule { ratio: self.settings.bounds.retry_ratio, slack: self.settings.bounds.retry_slack }
+    pub fn budget_rule(&self) -> RetryBound {
+        RetryBound {
+            ratio: self.settings.timing_bounds.retry_ratio,
+            slack: self.settings.timing_bounds.retry_slack,
+        }
     }
 
     /// One request against its tenant's quota: the design's question first, and this gateway's share where the answer is no.
@@ -201,7 +205,7 @@
             if !asker.has_room() {
                 return Err(UNCOUNTED_WAIT);
             }
-            let asked = asker.ask(self.fleet_clock(), &tenant.name, left);
+            let asked = asker.request(self.fleet_clock(), &tenant.name, left);
             if let Some(id) = asked {
                 self.verdicts.borrow_mut().insert(id, sender);
             }
@@ -224,21 +228,21 @@
         let (bound, now) = (self.bound(), self.clock.now());
         let mut shares = self.shares.borrow_mut();
         // The steady clock counts from this process's start.
-        let share = shares.entry(tenant.name.clone()).or_insert_with(|| Share::new(0.0));
+        let share = shares.entry(tenant.name.clone()).or_insert_with(|| LocalShare::new(0.0));
         let views = self.views.borrow();
-        let lot = Lot::of(archlink_runtime::node_of(self.settings.ip), &tenant.name, views.pilots());
-        share.take(now, &bound, tenant.rate, tenant.burst, lot)
+        let lot = NodeRank::of(archlink_runtime::node_id(self.settings.ip), &tenant.name, views.data_nodes());
+        share.try_admit(now, &bound, tenant.rate, tenant.burst, lot)
     }
 
     /// Hands out what the asker has to say after each call on it.
     fn settle(&self) {
         let mut asker = self.asker.borrow_mut();
-        for (id, verdict) in asker.verdicts() {
+        for (id, verdict) in asker.take_verdicts() {
             if let Some(waiting) = self.verdicts.borrow_mut().remove(&id) {
                 waiting.send(verdict).ok();
             }
         }
-        asker.lines().into_iter().for_each(|line| log::info!("{line}"));
+        asker.take_log_lines().into_iter().for_each(|line| log::info!("{line}"));
         if asker.has_adds() {
             self.to_count.notify_one();
         }
@@ -256,20 +260,20 @@
         }
         if self.counted.replace(counted) != counted {
             if counted {
-                self.asker.borrow_mut().back();
+                self.asker.borrow_mut().counter_recovered();
             }
             log::info!("{}", if counted { "the counter answers" } else { "no counter: shares alone" });
         }
     }
 
-    pub fn adds(&self) -> Vec<Add> {
-        self.asker.borrow_mut().adds()
+    pub fn adds(&self) -> Vec<CounterAdd> {
+        self.asker.borrow_mut().take_adds()
     }
 
     /// What became of adds.
-    pub fn settled(&self, settled: Vec<Settled>) {
+    pub fn settled(&self, settled: Vec<CallResult>) {
         let now = self.fleet_clock();
-        settled.into_iter().for_each(|one| self.asker.borrow_mut().settled(now, one));
+        settled.into_iter().for_each(|one| self.asker.borrow_mut().call_finished(now, one));
         self.settle();
     }
 
@@ -278,10 +282,10 @@
         loop {
             let at = self.asker.borrow().wake_at().unwrap_or(f64::INFINITY);
             self.woken_at.set(at);
-            let until = self.clock.instant(at - self.views.borrow().ahead());
+            let until = self.clock.instant_at(at - self.views.borrow().clock_offset());
             tokio::select! {
                 _ = tokio::time::sleep_until(until) => {
-                    self.asker.borrow_mut().woken(self.fleet_clock());
+                    self.asker.borrow_mut().timer_fired(self.fleet_clock());
                     self.settle();
                 }
                 _ = self.to_wake.notified() => {}
@@ -299,7 +303,7 @@
 impl Drop for Gone<'_> {
     fn drop(&mut self) {
         if self.gateway.verdicts.borrow_mut().remove(&self.id).is_some() {
-            self.gateway.asker.borrow_mut().left(self.gateway.fleet_clock(), self.id);
+            self.gateway.asker.borrow_mut().client_disconnected(self.gateway.fleet_clock(), self.id);
         }
     }
 }
--- a/crates/data-plane/src/hand_off.rs
+++ b/crates/data-plane/src/hand_off.rs
@@ -7,9 +7,9 @@
 use crate::client::Client;
 use crate::gateway::Gateway;
 use crate::metrics::DepartedEnd;
-use archlink_balancer::choice::{Chosen, End};
-use archlink_http::kept::Line;
-use archlink_http::plain::{CallerSide, Reply, Request, Sending};
+use archlink_balancer::balancer::{AttemptEnd, SelectedHost};
+use archlink_http::codec::{ClientCodec, HostResponse, OutgoingRequest, Request};
+use archlink_http::connection_pool::Connection;
 use futures_util::{SinkExt, StreamExt};
 use std::io;
 use std::rc::Rc;
@@ -41,7 +41,7 @@
 
 /// One hand-off that was decided on.
 pub struct HandOff {
-    pub to: Chosen,
+    pub to: SelectedHost,
     /// The service whose host that is.
     pub service: String,
     /// When the request's time is up.
@@ -52,7 +52,7 @@
 /// What came of a hand-off.
 pub struct Outcome {
     pub came: Came,
-    pub reply: Option<Reply>,
+    pub reply: Option<HostResponse>,
 }
 
 fn load(text: &str) -> Option<(f64, f64, f64)> {
@@ -70,10 +70,10 @@
 /// A connection to the host, kept or new.
 async fn connect(
     gateway: &Gateway,
-    to: &Chosen,
+    to: &SelectedHost,
     client: &Client,
     until: Instant,
-) -> Result<Line<CallerSide>, Broken> {
+) -> Result<Connection<ClientCodec>, Broken> {
     if let Some(line) = gateway.kept.take(to.key, to.address.into()) {
         return Ok(line);
     }
@@ -85,10 +85,10 @@
 
 async fn exchange(
     gateway: &Gateway,
-    to: &Chosen,
+    to: &SelectedHost,
     outgoing: &Outgoing,
     until: Instant,
-) -> Result<Reply, Broken> {
+) -> Result<HostResponse, Broken> {
     let Outgoing { client, .. } = outgoing;
     let left = |came: Came| (came, io::Error::other("its client has left"));
     let connected = client.unless_departed(connect(gateway, to, client, until)).await;
@@ -98,7 +98,7 @@
         return Err(left(Came::Withdrawn));
     }
     // A new connection took its time: what is no longer allowed is not sent.
-    if !gateway.berth.borrow().still(to.key) || Instant::now() >= until {
+    if !gateway.berth.borrow().is_listed(to.key) || Instant::now() >= until {
         return Err(nowhere(io::ErrorKind::Interrupted));
     }
     let remaining = (until - Instant::now()).as_millis().max(1);
@@ -106,7 +106,7 @@
     let own = format!("Time-Remaining: {remaining}\r\nTarget-Instance: {}\r\n", to.id);
     lines.extend_from_slice(own.as_bytes());
     let Request { method, target, body, .. } = &outgoing.request;
-    let sending = Sending { method, target, host: &outgoing.origin, lines: &lines, body };
+    let sending = OutgoingRequest { method, target, host: &outgoing.origin, lines: &lines, body };
     let spoken = speak(gateway, to.key, line, sending, &outgoing.id);
     if outgoing.repeatable {
         let spoken = client.unless_departed(spoken).await;
@@ -117,11 +117,11 @@
 }
 
 /// Sends all of it or says how far it came: a socket that took a byte may have passed it on, whatever it says later.
-async fn send(line: &mut Line<CallerSide>, sending: Sending<'_>) -> Result<(), Broken> {
+async fn send(line: &mut Connection<ClientCodec>, sending: OutgoingRequest<'_>) -> Result<(), Broken> {
     // Nothing is written yet: the buffer of a connection between two requests is empty.
     line.framed.feed(sending).await.map_err(|e| (Came::Untouched, e))?;
     let whole = line.framed.write_buffer().len();
-    let flushed = SinkExt::<Sending<'_>>::flush(&mut line.framed).await;
+    let flushed = SinkExt::<OutgoingRequest<'_>>::flush(&mut line.framed).await;
     let taken = whole - line.framed.write_buffer().len();
     flushed.map_err(|e| (if taken == 0 { Came::Untouched } else { Came::Halfway }, e))
 }
@@ -131,10 +131,10 @@
 async fn speak(
     gateway: &Gateway,
     key: u64,
-    mut line: Line<CallerSide>,
-    sending: Sending<'_>,
+    mut line: Connection<ClientCodec>,
+    sending: OutgoingRequest<'_>,
     id: &str,
-) -> Result<Reply, Broken> {
+) -> Result<HostResponse, Broken> {
     send(&mut line, sending).await?;
     let lost = |cause: io::Error| (Came::Unanswered, cause);
     let unfit = |text: &str| lost(io::Error::new(io::ErrorKind::InvalidData, text.to_string()));
@@ -155,7 +155,7 @@
             return Err(unfit("an answer without its seal"));
         }
         if reply.keep && surplus == 0 && line.framed.read_buffer().is_empty() {
-            gateway.kept.keep(key, line, reply.idle);
+            gateway.kept.put(key, line, reply.idle);
         }
         return Ok(reply);
     }
@@ -172,26 +172,26 @@
             let load = reply.fields[SERVER_LOAD].once().and_then(load);
             let declined = reply.fields[NOT_EXECUTED].once() == Some("1");
             let end = match reply.status {
-                421 => End::Elsewhere,
-                _ if declined => End::Full(load),
-                500.. => End::Failed(load),
-                _ => End::Answered(load),
+                421 => AttemptEnd::Misdirected,
+                _ if declined => AttemptEnd::Full(load),
+                500.. => AttemptEnd::Failed(load),
+                _ => AttemptEnd::Answered(load),
             };
             (Came::Answered { status: reply.status, declined }, end, Some(reply))
         }
         Ok(Err((came, cause))) => {
             log::debug!("host {}: {cause}", to.id);
             let end = match came {
-                Came::Withdrawn => End::Withdrawn,
-                Came::Abandoned => End::Abandoned,
-                Came::Nowhere | Came::Untouched => End::Unreached,
-                _ => End::Broken,
+                Came::Withdrawn => AttemptEnd::Withdrawn,
+                Came::Abandoned => AttemptEnd::Abandoned,
+                Came::Nowhere | Came::Untouched => AttemptEnd::ConnectFailed,
+                _ => AttemptEnd::Broken,
             };
             (came, end, None)
         }
-        Err(_) => (Came::TimeUp, End::Silent, None),
+        Err(_) => (Came::TimeUp, AttemptEnd::TimedOut, None),
     };
-    if end == End::Unreached || end == End::Silent {
+    if end == AttemptEnd::ConnectFailed || end == AttemptEnd::TimedOut {
         gateway.kept.forget(to.key);
     }
     if let Some(after) = outgoing.client.gone_for() {
@@ -203,12 +203,12 @@
         gateway.metrics.departed_hand_off(&service, how, after);
     }
     let now = gateway.clock.now();
-    gateway.berth.borrow_mut().ended(now, to.key, now - began, end);
+    gateway.berth.borrow_mut().attempt_ended(now, to.key, now - began, end);
     done.try_send(Outcome { came, reply }).ok();
 }
 
 /// The host's answer as the client gets it.
-pub fn relayed(reply: Reply) -> archlink_http::plain::Answer {
+pub fn relayed(reply: HostResponse) -> archlink_http::codec::Response {
     let mut lines = Vec::with_capacity(reply.passed.len() + 96);
     for (name, field) in [("Attempt-Id", ATTEMPT_ID), ("Server-Seal", SERVER_SEAL)] {
         if let Some(text) = reply.fields[field].once() {
@@ -216,7 +216,7 @@
         }
     }
     lines.extend_from_slice(&reply.passed);
-    archlink_http::plain::Answer { status: reply.status, lines, body: reply.body, close: false }
+    archlink_http::codec::Response { status: reply.status, lines, body: reply.body, close: false }
 }
 
 #[cfg(test)]
--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -15,8 +15,8 @@
 mod tests;
 
 use archlink_config::Settings;
-use archlink_http::kept::Kept;
-use archlink_http::plain::CallerSide;
+use archlink_http::codec::ClientCodec;
+use archlink_http::connection_pool::ConnectionPool;
 use archlink_runtime::Clock;
 use error_stack::{Report, ResultExt};
 use front::{Front, Stage};
@@ -98,14 +98,16 @@
 /// `metrics` is the port for operators' figures, if they want any.
 pub async fn serve(settings: Settings, metrics: Option<u16>, until: impl Future<Output = ()>) -> Outcome<()> {
     let clock = Clock::start();
-    let (clients, ready) =
-        (bind(settings.front, "Listen.Front").await?, bind(settings.ready, "Listen.Ready").await?);
-    let places = |part: f64| (settings.descriptors as f64 * part) as usize;
-    let room = Rc::new(Cell::new((settings.memory * BODIES) as usize));
+    let (clients, ready) = (
+        bind(settings.client_address, "Listen.Front").await?,
+        bind(settings.readiness_address, "Listen.Ready").await?,
+    );
+    let places = |part: f64| (settings.max_descriptors as f64 * part) as usize;
+    let room = Rc::new(Cell::new((settings.memory_bytes * BODIES) as usize));
     let replies = room.clone();
-    let codec = move || CallerSide::new(hand_off::READ, MOST_REPLY, replies.clone());
-    let kept = Kept::new(places(HOSTS), HOST_IDLE, HOST_CONNECT, codec);
-    let grace = if settings.bounds.grace.is_finite() { settings.bounds.grace } else { GRACE };
+    let codec = move || ClientCodec::new(hand_off::READ, MOST_REPLY, replies.clone());
+    let kept = ConnectionPool::new(places(HOSTS), HOST_IDLE, HOST_CONNECT, codec);
+    let grace = if settings.timing_bounds.grace.is_finite() { settings.timing_bounds.grace } else { GRACE };
     let (stage, stages) = watch::channel(Stage::Serving);
     let most = places(CLIENTS);
     let gateway = Gateway::new(settings, clock, kept.clone());
@@ -124,9 +126,9 @@
     spawn_local(async move {
         for second in 1_u64.. {
             sleep(Duration::from_secs(1)).await;
-            kept.sweep();
+            kept.close_idle();
             if second % LINES_EVERY == 0 {
-                let doors = swept.berth.borrow().doors(swept.clock.now());
+                let doors = swept.berth.borrow().admission_log_lines(swept.clock.now());
                 let lines = doors.into_iter().chain(swept.metrics.departure_lines());
                 lines.for_each(|line| log::info!("{line}"));
             }
--- a/crates/data-plane/src/main.rs
+++ b/crates/data-plane/src/main.rs
@@ -3,7 +3,7 @@
 #![forbid(unsafe_code)]
 
 use archlink_data_plane::{DataPlaneError, Outcome, read_settings, serve};
-use archlink_runtime::until_told;
+use archlink_runtime::until_terminated;
 use clap::{Arg, Command, value_parser};
 use error_stack::ResultExt;
 use tokio::runtime::LocalOptions;
@@ -12,7 +12,7 @@
 fn read_again() {
     match read_settings() {
         Ok(read) => log::info!("settings read again: {} seeds; what is in use stays", read.seeds.len()),
-        Err(e) => log::error!("settings: {}; what is in use stays", archlink_runtime::told(&e)),
+        Err(e) => log::error!("settings: {}; what is in use stays", archlink_runtime::report_line(&e)),
     }
 }
 
@@ -24,7 +24,7 @@
     let runtime =
         builder.enable_all().build_local(LocalOptions::default()).change_context(DataPlaneError::Start)?;
     runtime.block_on(async {
-        serve(settings, metrics, until_told(read_again).change_context(DataPlaneError::Start)?).await
+        serve(settings, metrics, until_terminated(read_again).change_context(DataPlaneError::Start)?).await
     })?;
     std::process::exit(0)
 }
@@ -40,7 +40,7 @@
         Command::new("archlink-data-plane").version(env!("CARGO_PKG_VERSION")).about(about).arg(metrics);
     let given = command.get_matches();
     if let Err(e) = begin(given.get_one("metrics-port").copied()) {
-        eprintln!("archlink-data-plane: {}", archlink_runtime::told(&e));
+        eprintln!("archlink-data-plane: {}", archlink_runtime::report_line(&e));
         std::process::exit(2);
     }
 }
--- a/crates/data-plane/src/request.rs
+++ b/crates/data-plane/src/request.rs
@@ -6,9 +6,9 @@
 use crate::client::Client;
 use crate::gateway::Gateway;
 use crate::hand_off::{HandOff, Outcome, Outgoing, carry, relayed};
-use archlink_balancer::choice::{Chosen, Door, Need};
-use archlink_config::{Chart, Route, Tenant};
-use archlink_http::plain::{Answer, Field, Request};
+use archlink_balancer::balancer::{HostRequest, QueueTicket, SelectedHost};
+use archlink_config::{Configuration, Route, Tenant};
+use archlink_http::codec::{HeaderValue, Request, Response};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::mpsc;
@@ -26,19 +26,19 @@
 /// Where a configuration, or a word that it still holds, is due any moment.
 const SOON: f64 = 0.25;
 
-fn come_back(status: u16, after: f64) -> Answer {
-    Answer::plain(status).with("Retry-After", format_args!("{:.3}", after.max(0.001)))
+fn come_back(status: u16, after: f64) -> Response {
+    Response::plain(status).with("Retry-After", format_args!("{:.3}", after.max(0.001)))
 }
 
 /// Homes of the route and of the tenant bind both; `None`: no region is left.
 fn homes(route: &Route, tenant: Option<&Tenant>) -> Option<Vec<String>> {
     let theirs = tenant.map_or(&[][..], |tenant| &tenant.homes);
-    match (route.homes.is_empty(), theirs.is_empty()) {
-        (_, true) => Some(route.homes.clone()),
+    match (route.home_regions.is_empty(), theirs.is_empty()) {
+        (_, true) => Some(route.home_regions.clone()),
         (true, _) => Some(theirs.to_vec()),
         _ => {
             let both: Vec<String> =
-                route.homes.iter().filter(|home| theirs.contains(home)).cloned().collect();
+                route.home_regions.iter().filter(|home| theirs.contains(home)).cloned().collect();
             (!both.is_empty()).then_some(both)
         }
     }
@@ -50,8 +50,8 @@
 }
 
 /// The route and the tenant of a request, or the answer that it gets instead.
-fn place<'a>(gateway: &Gateway, chart: &'a Chart, request: &Request) -> Result<Asked<'a>, Answer> {
-    let Some(origin) = request.host.once() else { return Err(Answer::plain(400)) };
+fn place<'a>(gateway: &Gateway, chart: &'a Configuration, request: &Request) -> Result<Asked<'a>, Response> {
+    let Some(origin) = request.host.once() else { return Err(Response::plain(400)) };
     let path = request.target.split('?').next().unwrap_or("");
     let origin = origin
         .rsplit_once(':')
@@ -60,7 +60,7 @@
     // Which routes and keys there are may have changed: who can't know says so.
     let known = gateway.vouched();
     let Some(number) = chart.route(origin, path) else {
-        return Err(if known { Answer::plain(404) } else { come_back(503, SOON) });
+        return Err(if known { Response::plain(404) } else { come_back(503, SOON) });
     };
     let route = &chart.routes[number];
     if route.public || !chart.keyed {
@@ -70,13 +70,13 @@
         return Err(come_back(503, SOON));
     }
     let tenant = match &request.fields[KEY] {
-        Field::Once(key) => chart.tenant(key),
-        Field::Absent => None,
-        Field::Unclear => return Err(Answer::plain(400)),
+        HeaderValue::Once(key) => chart.tenant(key),
+        HeaderValue::Absent => None,
+        HeaderValue::Ambiguous => return Err(Response::plain(400)),
     };
     match tenant {
         Some(number) => Ok(Asked { route, tenant: Some(&chart.tenants[number]) }),
-        None => Err(Answer::plain(401)),
+        None => Err(Response::plain(401)),
     }
 }
 
@@ -86,44 +86,45 @@
 
 /// A number from 0 to 1.
 fn draw() -> f64 {
-    (archlink_runtime::chance() >> 11) as f64 / (1_u64 << 53) as f64
+    (archlink_runtime::random_seed() >> 11) as f64 / (1_u64 << 53) as f64
 }
 
 /// One of a route's services by their weights, first, and the others after it.
 fn services(route: &Route) -> Vec<&str> {
-    let sum: f64 = route.shares.iter().map(|share| share.weight).sum();
+    let sum: f64 = route.distribution.iter().map(|share| share.weight).sum();
     let mut at = draw() * sum;
     let mut first = 0;
-    for (n, share) in route.shares.iter().enumerate().filter(|_| route.shares.len() > 1) {
+    for (n, share) in route.distribution.iter().enumerate().filter(|_| route.distribution.len() > 1) {
         first = n;
         at -= share.weight;
         if at < 0.0 {
             break;
         }
     }
-    let weighty = route.shares.iter().enumerate().filter(|(n, share)| *n != first && share.weight > 0.0);
-    [route.shares[first].service.as_str()]
+    let weighty =
+        route.distribution.iter().enumerate().filter(|(n, share)| *n != first && share.weight > 0.0);
+    [route.distribution[first].service.as_str()]
         .into_iter()
         .chain(weighty.map(|(_, s)| s.service.as_str()))
         .collect()
 }
 
 /// The answer to a request of that client.
-pub async fn respond(gateway: &Rc<Gateway>, request: Request, client: &Client) -> Answer {
+pub async fn respond(gateway: &Rc<Gateway>, request: Request, client: &Client) -> Response {
     let began = gateway.clock.now();
     let Some(chart) = gateway.chart() else { return come_back(503, SOON) };
     let (id, told) = match (&request.fields[ATTEMPT_ID], &request.fields[TIME_REMAINING]) {
-        (Field::Once(id), Field::Once(told)) => (id.clone(), Some(told.parse::<f64>())),
-        (Field::Once(id), Field::Absent) => (id.clone(), None),
-        _ => return Answer::plain(400),
+        (HeaderValue::Once(id), HeaderValue::Once(told)) => (id.clone(), Some(told.parse::<f64>())),
+        (HeaderValue::Once(id), HeaderValue::Absent) => (id.clone(), None),
+        _ => return Response::plain(400),
     };
     let told = match told {
         Some(Ok(millis)) if millis.is_finite() && millis >= 0.0 => millis / 1e3,
         None => LONGEST,
-        _ => return Answer::plain(400),
+        _ => return Response::plain(400),
     };
-    if request.body.len() > chart.most_body {
-        return Answer::plain(413);
+    if request.body.len() > chart.max_body {
+        return Response::plain(413);
     }
     let asked = match place(gateway, &chart, &request) {
         Ok(asked) => asked,
@@ -134,17 +135,20 @@
         gateway,
         homes: homes(asked.route, asked.tenant),
         services: services(asked.route),
-        goal: asked.route.goal,
-        within: asked.route.goal * PATIENCE,
+        goal: asked.route.latency_target,
+        within: asked.route.latency_target * PATIENCE,
         until: began + left,
         tried: Vec::new(),
-        door: Some(Door {
-            rank: asked.tenant.and_then(|tenant| tenant.rank).unwrap_or(asked.route.rank),
+        door: Some(QueueTicket {
+            priority: asked.tenant.and_then(|tenant| tenant.priority).unwrap_or(asked.route.priority),
             draw: draw(),
         }),
     };
-    let rules =
-        Rules { repeatable: asked.route.repeatable, attempts: asked.route.attempts, goal: asked.route.goal };
+    let rules = Rules {
+        repeatable: asked.route.idempotent,
+        attempts: asked.route.max_attempts,
+        goal: asked.route.latency_target,
+    };
     // Room first: a request that no host can take costs its tenant nothing.
     if selection.choose().is_none() {
         return finally(Attempts::new(rules).no_more());
@@ -158,7 +162,7 @@
         }
     }
     selection.door = None;
-    let mut lines = request.passed.clone();
+    let mut lines = request.forwarded.clone();
     lines.extend_from_slice(format!("Attempt-Id: {id}\r\n").as_bytes());
     if let Some(tenant) = asked.tenant {
         lines.extend_from_slice(format!("Subscriber: {}\r\n", tenant.name).as_bytes());
@@ -169,10 +173,10 @@
     forward(&mut selection, Attempts::new(rules), &outgoing, &asked).await
 }
 
-fn finally(last: Final) -> Answer {
+fn finally(last: Final) -> Response {
     match last {
         Final::ComeBack(after) => come_back(503, after),
-        Final::Unknown => Answer::plain(502),
+        Final::Unknown => Response::plain(502),
     }
 }
 
@@ -185,30 +189,30 @@
     within: f64,
     until: f64,
     tried: Vec<u64>,
-    door: Option<Door>,
+    door: Option<QueueTicket>,
 }
 
 impl HostSelection<'_> {
     /// A host for it, and its service; the one that the weights drew first.
-    fn choose(&self) -> Option<(Chosen, &str)> {
+    fn choose(&self) -> Option<(SelectedHost, &str)> {
         let homes = self.homes.as_deref()?;
         let now = self.gateway.clock.now();
         let mut berth = self.gateway.berth.borrow_mut();
         self.services.iter().find_map(|service| {
-            let need = Need {
+            let need = HostRequest {
                 service,
-                homes,
-                goal: self.goal,
-                left: self.within.min(self.until - now),
+                home_regions: homes,
+                latency_target: self.goal,
+                remaining: self.within.min(self.until - now),
                 tried: &self.tried,
-                door: self.door,
+                queue_ticket: self.door,
             };
-            berth.choose(now, &need).map(|chosen| (chosen, *service))
+            berth.select(now, &need).map(|chosen| (chosen, *service))
         })
     }
 
     /// The client left: its request ends so.
-    fn abandoned(&self, last: Final) -> Answer {
+    fn abandoned(&self, last: Final) -> Response {
         self.gateway.metrics.client_departed(self.services[0]);
         finally(last)
     }
@@ -219,10 +223,10 @@
     mut attempts: Attempts,
     outgoing: &Rc<Outgoing>,
     asked: &Asked<'_>,
-) -> Answer {
+) -> Response {
     const MOST_OUT: usize = 8;
     let (gateway, client) = (selection.gateway.clone(), &outgoing.client);
-    let until = gateway.clock.instant(selection.until);
+    let until = gateway.clock.instant_at(selection.until);
     let (sender, mut outcomes) = mpsc::channel::<Outcome>(MOST_OUT);
     let (mut go, mut paid) = (true, false);
     let mut doubt: Option<Instant> = None;
@@ -236,20 +240,26 @@
             let allowed = asked.tenant.is_none() || gateway.vouched();
             let chosen =
                 selection.choose().filter(|_| allowed).map(|(chosen, service)| (chosen, service.to_string()));
-            let chosen = chosen.filter(|(_, service)| !paid || gateway.budget.borrow_mut().take(service));
+            let chosen =
+                chosen.filter(|(_, service)| !paid || gateway.budget.borrow_mut().try_withdraw(service));
             match chosen {
                 Some((to, service)) => {
                     let now = gateway.clock.now();
                     if !paid {
-                        gateway.budget.borrow_mut().earn(&gateway.budget_rule(), &service, gateway.pilots());
+                        gateway.budget.borrow_mut().deposit(
+                            &gateway.budget_rule(),
+                            &service,
+                            gateway.pilots(),
+                        );
                     }
-                    doubt = attempts.doubt_after(to.expected).map(|after| gateway.clock.instant(now + after));
+                    doubt =
+                        attempts.doubt_after(to.expected).map(|after| gateway.clock.instant_at(now + after));
                     attempts.begins();
                     if attempts.doubt_after(0.0).is_none() {
                         doubt = None;
                     }
                     selection.tried.push(to.key);
-                    gateway.berth.borrow_mut().sent(now, to.key, selection.goal);
+                    gateway.berth.borrow_mut().attempt_started(now, to.key, selection.goal);
                     let order = HandOff { to, service, until, outgoing: outgoing.clone() };
                     spawn_local(carry(gateway.clone(), order, sender.clone()));
                 }
