--- a/crates/data-plane/src/session.rs
+++ b/crates/data-plane/src/session.rs
@@ -4,10 +4,10 @@
 
 use crate::gateway::Gateway;
 use archlink_config::Settings;
-use archlink_control_client::session::{Act, Place, Session};
-use archlink_messages::{Add, Node, Word};
-use archlink_quota::frames::{Frames, Heard, Settled};
-use archlink_runtime::{Out, split};
+use archlink_control_client::session::{LocalNode, Session, SessionAction};
+use archlink_messages::{CounterAdd, Message, NodeId};
+use archlink_quota::pending_calls::{CallResult, PendingCalls, ReplyMatch};
+use archlink_runtime::{MessageSender, split_connection};
 use futures_util::{Stream, StreamExt};
 use std::io;
 use std::pin::Pin;
@@ -22,15 +22,15 @@
 const SEEDS_AGAIN: Duration = Duration::from_secs(2);
 const MOST_WORDS: usize = 256;
 
-type Words = Pin<Box<dyn Stream<Item = io::Result<Word>>>>;
+type Words = Pin<Box<dyn Stream<Item = io::Result<Message>>>>;
 
 /// The control gateways that a settings file names.
-fn seeds(settings: &Settings) -> Vec<Node> {
-    settings.seeds.iter().map(|seed| archlink_runtime::node_of(*seed.ip())).collect()
+fn seeds(settings: &Settings) -> Vec<NodeId> {
+    settings.seeds.iter().map(|seed| archlink_runtime::node_id(*seed.ip())).collect()
 }
 
 /// The same of the file as it is now; none where it can't be read.
-fn seeds_now() -> Option<Vec<Node>> {
+fn seeds_now() -> Option<Vec<NodeId>> {
     let text = archlink_runtime::settings_text().ok()?;
     Settings::read(&text).ok().map(|settings| seeds(&settings))
 }
@@ -38,15 +38,15 @@
 /// Keeps a session for as long as this process lives.
 pub async fn keep(gateway: Rc<Gateway>) {
     let mut alone_since = Instant::now();
-    let mut session = Session::new(Place {
-        node: archlink_runtime::node_of(gateway.settings.ip),
+    let mut session = Session::new(LocalNode {
+        node: archlink_runtime::node_id(gateway.settings.ip),
         zone: gateway.settings.zone.clone(),
         region: gateway.settings.region.clone(),
         seeds: seeds(&gateway.settings),
     });
-    let mut line: Option<(Out, Words)> = None;
+    let mut line: Option<(MessageSender, Words)> = None;
     loop {
-        if session.with().is_some() {
+        if session.peer().is_some() {
             alone_since = Instant::now();
         } else if alone_since.elapsed() > SEEDS_AGAIN {
             alone_since = Instant::now();
@@ -54,7 +54,7 @@
         }
         let acts = session.tick(gateway.clock.now(), &gateway.views.borrow(), || gateway.pilot());
         perform(&gateway, &mut session, &mut line, acts).await;
-        let until = gateway.clock.instant(session.wake_at().min(1e6));
+        let until = gateway.clock.instant_at(session.wake_at().min(1e6));
         let word = async {
             match &mut line {
                 Some((_, words)) => words.next().await,
@@ -66,17 +66,17 @@
                 let now = gateway.clock.now();
                 match word {
                     Some(Ok(word)) => {
-                        let (acts, turns) = session.hear(now, word, &mut gateway.views.borrow_mut());
+                        let (acts, turns) = session.step(now, word, &mut gateway.views.borrow_mut());
                         gateway.turn(turns);
                         acts
                     }
-                    Some(Err(e)) => session.lost(now, &e.to_string()),
-                    None => session.lost(now, "it closed the connection"),
+                    Some(Err(e)) => session.connection_lost(now, &e.to_string()),
+                    None => session.connection_lost(now, "it closed the connection"),
                 }
             }
             _ = sleep_until(until) => continue,
             _ = gateway.turned.notified() => {
-                session.hurry(gateway.clock.now());
+                session.heartbeat_soon(gateway.clock.now());
                 continue;
             }
         };
@@ -84,33 +84,41 @@
     }
 }
 
-async fn perform(gateway: &Gateway, session: &mut Session, line: &mut Option<(Out, Words)>, acts: Vec<Act>) {
+async fn perform(
+    gateway: &Gateway,
+    session: &mut Session,
+    line: &mut Option<(MessageSender, Words)>,
+    acts: Vec<SessionAction>,
+) {
     let mut acts = std::collections::VecDeque::from(acts);
     while let Some(act) = acts.pop_front() {
         match act {
-            Act::Call(node) => {
-                let called =
-                    archlink_runtime::call(archlink_runtime::address_of(node, gateway.settings.port)).await;
+            SessionAction::Connect(node) => {
+                let called = archlink_runtime::connect(archlink_runtime::node_address(
+                    node,
+                    gateway.settings.internal_port,
+                ))
+                .await;
                 let called = called.map(|framed| {
-                    let (out, words) = split(framed, MOST_WORDS);
+                    let (out, words) = split_connection(framed, MOST_WORDS);
                     *line = Some((out, Box::pin(words)));
                 });
-                acts.extend(session.called(gateway.clock.now(), called.map_err(|e| e.to_string())));
+                acts.extend(session.connected(gateway.clock.now(), called.map_err(|e| e.to_string())));
             }
-            Act::HangUp => *line = None,
-            Act::Send(word) => {
+            SessionAction::Disconnect => *line = None,
+            SessionAction::Send(word) => {
                 if line.as_ref().is_some_and(|(out, _)| out.try_send(word).is_err()) {
-                    acts.extend(session.lost(gateway.clock.now(), "it does not read"));
+                    acts.extend(session.connection_lost(gateway.clock.now(), "it does not read"));
                 }
             }
-            Act::Warn(text) => log::warn!("{text}"),
+            SessionAction::Warn(text) => log::warn!("{text}"),
         }
     }
 }
 
 /// The connection to the holder of the counts, moved when that changes. Each question's answer names its number.
 pub async fn count(gateway: Rc<Gateway>) {
-    let mut frames = Frames::default();
+    let mut frames = PendingCalls::default();
     loop {
         gateway.set_counted(false);
         let Some(holder) = gateway.counter() else {
@@ -118,11 +126,16 @@
             pause(&gateway).await;
             continue;
         };
-        match archlink_runtime::call(archlink_runtime::address_of(holder.0, gateway.settings.port)).await {
+        match archlink_runtime::connect(archlink_runtime::node_address(
+            holder.0,
+            gateway.settings.internal_port,
+        ))
+        .await
+        {
             Ok(framed) => {
-                let (out, words) = split(framed, MOST_WORDS);
+                let (out, words) = split_connection(framed, MOST_WORDS);
                 talk(&gateway, &mut frames, &out, Box::pin(words), holder).await;
-                gateway.settled(frames.hang_up());
+                gateway.settled(frames.disconnected());
             }
             Err(_) => fail_adds(&gateway),
         }
@@ -132,7 +145,7 @@
 
 /// What can't be sent is not added.
 fn fail_adds(gateway: &Gateway) {
-    gateway.settled(vec![Settled::NotAdded(gateway.adds())]);
+    gateway.settled(vec![CallResult::NotAdded(gateway.adds())]);
 }
 
 async fn pause(gateway: &Gateway) {
@@ -146,10 +159,17 @@
 }
 
 /// Sends one question; false where the connection does not take it.
-fn ask(gateway: &Gateway, frames: &mut Frames, out: &Out, term: u64, adds: Vec<Add>) -> bool {
-    match frames.ask(gateway.clock.now(), adds) {
+fn ask(
+    gateway: &Gateway,
+    frames: &mut PendingCalls,
+    out: &MessageSender,
+    term: u64,
+    adds: Vec<CounterAdd>,
+) -> bool {
+    match frames.send(gateway.clock.now(), adds) {
         Ok((serial, adds)) => {
-            let word = Word::Adds { serial, term, clock: gateway.fleet_clock(), adds: adds.to_vec() };
+            let word =
+                Message::CounterAdds { serial, term, clock: gateway.fleet_clock(), adds: adds.to_vec() };
             out.try_send(word).is_ok()
         }
         Err(unsent) => {
@@ -163,29 +183,29 @@
 /// settled.
 async fn talk(
     gateway: &Gateway,
-    frames: &mut Frames,
-    out: &Out,
+    frames: &mut PendingCalls,
+    out: &MessageSender,
     mut words: Words,
-    (node, term): (Node, u64),
+    (node, term): (NodeId, u64),
 ) {
     /// Between two questions of nothing, while the holder does not count yet.
     const PROBE_EVERY: Duration = Duration::from_millis(60);
     let mut probe = Some(Instant::now());
     while gateway.counter() == Some((node, term)) || !frames.is_empty() {
-        let due = frames.silent_at().map(|at| gateway.clock.instant(at));
+        let due = frames.times_out_at().map(|at| gateway.clock.instant_at(at));
         tokio::select! {
             word = words.next() => {
-                let Some(Ok(Word::Totals { serial, clock, totals })) = word else { return };
+                let Some(Ok(Message::CounterTotals { serial, clock, totals })) = word else { return };
                 gateway.heard_clock(clock);
-                let (heard, settled) = frames.hear(gateway.clock.now(), serial, totals);
+                let (heard, settled) = frames.receive(gateway.clock.now(), serial, totals);
                 gateway.settled(settled);
                 match heard {
-                    Heard::Answer { counts } => {
+                    ReplyMatch::Answer { counts } => {
                         gateway.set_counted(counts);
                         probe = (!counts).then(|| Instant::now() + PROBE_EVERY);
                     }
-                    Heard::Nobodys => log::warn!("totals to no question that is out: {serial}"),
-                    Heard::Unfit => return log::warn!("totals that do not fit their question"),
+                    ReplyMatch::Unmatched => log::warn!("totals to no question that is out: {serial}"),
+                    ReplyMatch::Malformed => return log::warn!("totals that do not fit their question"),
                 }
             }
             _ = gateway.to_count.notified() => {
@@ -209,85 +229,97 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use archlink_control_client::views::Views;
-    use archlink_messages::{Beat, Duty, Held, Hosts, Piece, Pilot, Post, Register, Vector, pack};
+    use archlink_control_client::fleet_view::FleetView;
+    use archlink_messages::{
+        AcceptedValue, DataNode, Heartbeat, HostList, LeaseGrant, Register, SingletonRole, StateUpdate,
+        VersionVector, patch,
+    };
     use std::net::{Ipv4Addr, SocketAddrV4};
 
     const LEASE: f64 = 3.0;
 
-    fn pilot() -> Pilot {
+    fn pilot() -> DataNode {
         let front = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 1);
-        Pilot { node: 1, zone: "z".into(), region: "r".into(), front, ready: true }
+        DataNode { node: 1, zone: "z".into(), region: "r".into(), client_address: front, ready: true }
     }
 
     /// A hail's number.
-    fn hail(session: &mut Session, views: &Views, now: f64) -> u64 {
+    fn hail(session: &mut Session, views: &FleetView, now: f64) -> u64 {
         let acts = session.tick(now, views, pilot);
         let number = acts.iter().find_map(|act| match act {
-            Act::Send(Word::Hail { serial, .. }) => Some(*serial),
+            SessionAction::Send(Message::SessionHeartbeat { serial, .. }) => Some(*serial),
             _ => None,
         });
         number.unwrap_or_else(|| panic!("no hail at {now}: {acts:?}"))
     }
 
-    fn call(session: &mut Session, views: &Views, now: f64) {
-        assert!(matches!(session.tick(now, views, pilot)[..], [Act::Call(2)]));
-        session.called(now, Ok(()));
+    fn call(session: &mut Session, views: &FleetView, now: f64) {
+        assert!(matches!(session.tick(now, views, pilot)[..], [SessionAction::Connect(2)]));
+        session.connected(now, Ok(()));
     }
 
     /// What a control gateway says when the fleet stands at the n-th of everything.
-    fn words(n: u64, serial: u64) -> [Word; 2] {
-        let post = Post { duty: Duty::Tally, holder: 10 + n as u32, term: n };
-        let vector = Vector { chart: n, evacuations: n, hosts: (1, n), ..Vector::default() };
+    fn words(n: u64, serial: u64) -> [Message; 2] {
+        let post = LeaseGrant { role: SingletonRole::QuotaCounter, holder: 10 + n as u32, term: n };
+        let vector =
+            VersionVector { configuration: n, evacuations: n, hosts: (1, n), ..VersionVector::default() };
         let (clock, confirmed) = (n as f64, Some(0.0));
-        let beat = Beat {
+        let beat = Heartbeat {
             serial,
-            clock,
-            confirmed,
-            vector,
-            posts: vec![post],
-            muster: Default::default(),
-            whole: true,
-            missing: vec![],
+            cluster_clock: clock,
+            confirmed_age: confirmed,
+            versions: vector,
+            leases: vec![post],
+            voter_set: Default::default(),
+            recovered: true,
+            suspected: vec![],
         };
         let text = format!(
             r#"{{"ConfigVersion": "{n:08x}", "RouteTable": {{"ColumnNames": [], "Records": []}},
                 "ServiceTable": {{"ColumnNames": [], "Records": []}}}}"#
         );
-        let packed = pack::pack(text.as_bytes(), b"").unwrap().into();
+        let packed = patch::compress(text.as_bytes(), b"").unwrap().into();
         let value = format!("zone-{n}").into();
         let pieces = vec![
-            Piece::Chart { stamp: n, base: 0, packed },
-            Piece::Chosen(Register::Evacuations, Held { stamp: n, value, ..Held::default() }),
-            Piece::Hosts(Hosts { term: 1, version: n, lines: Vec::new() }),
+            StateUpdate::ConfigurationPatch { stamp: n, base: 0, packed },
+            StateUpdate::Chosen(
+                Register::Evacuations,
+                AcceptedValue { revision: n, value, ..AcceptedValue::default() },
+            ),
+            StateUpdate::HostList(HostList { term: 1, version: n, instances: Vec::new() }),
         ];
-        [Word::News(pieces), Word::Beat(beat)]
+        [Message::StateUpdates(pieces), Message::Heartbeat(beat)]
     }
 
-    fn state(views: &Views, now: f64) -> String {
-        let version = views.chart().map(|chart| chart.version);
-        format!("{version:?} {:?} {:?} {}", views.vector(), views.counter(), views.clock(now))
+    fn state(views: &FleetView, now: f64) -> String {
+        let version = views.configuration().map(|chart| chart.version);
+        format!(
+            "{version:?} {:?} {:?} {}",
+            views.versions(),
+            views.counter_holder(),
+            views.cluster_clock(now)
+        )
     }
 
     /// Beats and news of before, doubled, in any order, on the session's own connection or on the next one, turn nothing
     /// back and vouch for nothing: a beat vouches once, for the hail whose number it names in the session that sent it.
     #[test]
     fn old_beats_and_news_turn_nothing_back_and_vouch_for_nothing() {
-        let place = Place { node: 1, zone: "z".into(), region: "r".into(), seeds: vec![2] };
-        let (mut session, mut views) = (Session::new(place), Views::new(LEASE));
+        let place = LocalNode { node: 1, zone: "z".into(), region: "r".into(), seeds: vec![2] };
+        let (mut session, mut views) = (Session::new(place), FleetView::new(LEASE));
         call(&mut session, &views, 0.0);
         let mut old = Vec::new();
         for (n, at) in [(1, 0.0), (2, 0.5), (3, 1.0)] {
             let serial = hail(&mut session, &views, at);
             old.extend(words(n, serial));
-            words(n, serial).into_iter().for_each(|word| drop(session.hear(at, word, &mut views)));
+            words(n, serial).into_iter().for_each(|word| drop(session.step(at, word, &mut views)));
         }
         let (late, before) = (1.0 + LEASE - 0.1, state(&views, 1.0));
-        assert!(views.vouched(late) && !views.vouched(1.0 + LEASE));
+        assert!(views.is_confirmed(late) && !views.is_confirmed(1.0 + LEASE));
         for round in 0..2 {
             let now = 1.2 + 0.4 * f64::from(round);
             if round == 1 {
-                session.lost(now, "reset");
+                session.connection_lost(now, "reset");
                 call(&mut session, &views, now + 0.2);
                 hail(&mut session, &views, now + 0.2);
             }
@@ -296,11 +328,11 @@
                 old.rotate_left(1);
                 old.reverse();
                 for word in &old {
-                    session.hear(now + 0.2 + 0.01 * from as f64, word.clone(), &mut views);
+                    session.step(now + 0.2 + 0.01 * from as f64, word.clone(), &mut views);
                     assert_eq!(state(&views, 1.0), before, "round {round}, {word:?}");
                 }
             }
-            assert!(!views.vouched(1.0 + LEASE), "round {round}");
+            assert!(!views.is_confirmed(1.0 + LEASE), "round {round}");
         }
     }
 }
--- a/crates/data-plane/src/status.rs
+++ b/crates/data-plane/src/status.rs
@@ -2,7 +2,7 @@
 //! operators. Owns their sockets and bounds. Must never touch a client's request.
 
 use crate::front::Front;
-use archlink_http::plain::{Answer, Asked, ServerSide};
+use archlink_http::codec::{Decoded, Response, ServerCodec};
 use futures_util::{SinkExt, StreamExt};
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,13 +19,13 @@
 /// Connections at once; more are closed as they come.
 const MOST_CONNECTIONS: usize = 256;
 
-type Respond = fn(&Front, &str) -> Answer;
+type Respond = fn(&Front, &str) -> Response;
 
 /// `GET /archlink/readiness`: 200 while clients can be sent here.
 pub async fn readiness(front: Rc<Front>, listener: TcpListener) {
     serve(front, listener, |front, path| match path {
-        READINESS => Answer::plain(if front.gateway.ready() { 200 } else { 503 }),
-        _ => Answer::plain(404),
+        READINESS => Response::plain(if front.gateway.ready() { 200 } else { 503 }),
+        _ => Response::plain(404),
     })
     .await;
 }
@@ -35,10 +35,10 @@
     serve(front, listener, |front, path| match path {
         METRICS => {
             let text = front.gateway.metrics.text(front.open.get(), front.at_work.get());
-            let answer = Answer { status: 200, body: text.into(), ..Answer::default() };
+            let answer = Response { status: 200, body: text.into(), ..Response::default() };
             answer.with("Content-Type", METRICS_TYPE)
         }
-        _ => Answer::plain(404),
+        _ => Response::plain(404),
     })
     .await;
 }
@@ -64,14 +64,14 @@
 }
 
 async fn converse(front: &Front, stream: TcpStream, respond: Respond) {
-    let mut framed = Framed::new(stream, ServerSide::new(&[], 0, front.room.clone()));
+    let mut framed = Framed::new(stream, ServerCodec::new(&[], 0, front.room.clone()));
     while let Ok(Some(Ok(asked))) = timeout(IDLE, framed.next()).await {
         let (mut answer, close) = match asked {
-            Asked::Request(request) => {
+            Decoded::Request(request) => {
                 let path = request.target.split('?').next().unwrap_or("");
                 (respond(front, path), request.close)
             }
-            Asked::Bad(status) => (Answer::plain(status), true),
+            Decoded::Bad(status) => (Response::plain(status), true),
         };
         answer.close = close;
         if framed.send(answer).await.is_err() || close {
--- a/crates/data-plane/src/tests/departures.rs
+++ b/crates/data-plane/src/tests/departures.rs
@@ -3,8 +3,8 @@
 
 use super::Habit::*;
 use super::*;
-use archlink_messages::Add;
-use archlink_quota::frames::Settled;
+use archlink_messages::CounterAdd;
+use archlink_quota::pending_calls::CallResult;
 use tokio::io::AsyncWriteExt;
 
 /// A request's time, in milliseconds: a run that ends sooner was ended for another reason.
@@ -75,7 +75,7 @@
     gateway: Rc<Gateway>,
     front: Rc<Front>,
     client: TcpStream,
-    adds: Vec<Add>,
+    adds: Vec<CounterAdd>,
     _stage: watch::Sender<Stage>,
 }
 
@@ -116,7 +116,7 @@
         let Counted { world, gateway, front, client, adds, _stage } = counted(target).await;
         drop(client);
         let totals = vec![1.0; adds.len()];
-        gateway.settled(vec![Settled::Totals(adds, totals)]);
+        gateway.settled(vec![CallResult::Totals(adds, totals)]);
         until(|| front.at_work.get() == 0).await;
         for _ in 0..20 {
             yield_now().await;
@@ -133,9 +133,9 @@
         let Counted { world, gateway, front, client, adds, _stage } = counted(target).await;
         drop(client);
         until(|| front.at_work.get() == 0).await;
-        let (name, added) = (adds[0].name, adds[0].amount);
-        gateway.settled(vec![Settled::Totals(adds, vec![1.0])]);
-        let back: f32 = gateway.adds().iter().filter(|add| add.name == name).map(|add| add.amount).sum();
+        let (name, added) = (adds[0].key, adds[0].amount);
+        gateway.settled(vec![CallResult::Totals(adds, vec![1.0])]);
+        let back: f32 = gateway.adds().iter().filter(|add| add.key == name).map(|add| add.amount).sum();
         assert_eq!((added, back), (1.0, -1.0), "{target}");
         assert_eq!(*world.ran.borrow(), [], "{target}");
     };
--- a/crates/data-plane/src/tests/mod.rs
+++ b/crates/data-plane/src/tests/mod.rs
@@ -10,10 +10,10 @@
 use crate::gateway::Gateway;
 use crate::{hand_off, request};
 use archlink_config::Settings;
-use archlink_control_client::views::Event;
-use archlink_http::kept::Kept;
-use archlink_http::plain::{Answer, CallerSide, Field, Request};
-use archlink_messages::{Beat, HostLine, Hosts, Muster, Piece, Vector, pack};
+use archlink_control_client::fleet_view::Event;
+use archlink_http::codec::{ClientCodec, HeaderValue, Request, Response};
+use archlink_http::connection_pool::ConnectionPool;
+use archlink_messages::{Heartbeat, HostInstance, HostList, StateUpdate, VersionVector, VoterSet, patch};
 use archlink_runtime::Clock;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -228,42 +228,54 @@
         "Limits": {"MemoryMb": 256, "FileDescriptors": 1024}, "Cloud": {"RatePerS": 1},
         "TimingBounds": ["RetryBudgetRatio=100,RetryBudgetSlack=100"]}"#;
     let room = Rc::new(Cell::new(64 << 20));
-    let codec = move || CallerSide::new(hand_off::READ, 1 << 20, room.clone());
-    let gateway =
-        Gateway::new(Settings::read(settings).unwrap(), Clock::start(), Kept::new(64, 5.0, 5.0, codec));
-    let line = |(n, at): (usize, &SocketAddr)| HostLine {
+    let codec = move || ClientCodec::new(hand_off::READ, 1 << 20, room.clone());
+    let gateway = Gateway::new(
+        Settings::read(settings).unwrap(),
+        Clock::start(),
+        ConnectionPool::new(64, 5.0, 5.0, codec),
+    );
+    let line = |(n, at): (usize, &SocketAddr)| HostInstance {
         id: format!("host-{n}"),
         service: "s".into(),
         address: at.to_string().parse().unwrap(),
         zone: "west".into(),
         capacity: 4,
         draining: false,
-        cold_for: 0.0,
+        warm_up_seconds: 0.0,
     };
     let lines = hosts.iter().enumerate().map(line).collect();
-    let packed = pack::pack(chart.as_bytes(), b"").unwrap().into();
+    let packed = patch::compress(chart.as_bytes(), b"").unwrap().into();
     for piece in [
-        Piece::Chart { stamp: 1, base: 0, packed },
-        Piece::Pilots(vec![archlink_runtime::node_of([127, 0, 0, 1].into())]),
-        Piece::Hosts(Hosts { term: 1, version: 1, lines }),
+        StateUpdate::ConfigurationPatch { stamp: 1, base: 0, packed },
+        StateUpdate::DataNodes(vec![archlink_runtime::node_id([127, 0, 0, 1].into())]),
+        StateUpdate::HostList(HostList { term: 1, version: 1, instances: lines }),
     ] {
-        let turns = gateway.views.borrow_mut().append(gateway.clock.now(), Event::Told(piece));
+        let turns = gateway.views.borrow_mut().append(gateway.clock.now(), Event::Update(piece));
         gateway.turn(turns);
     }
     // Without a majority's word no configuration is in force.
-    let vector = Vector { chart: 1, ..Vector::default() };
-    let (posts, missing, muster) = (Vec::new(), Vec::new(), Muster::default());
-    let beat =
-        Beat { serial: 1, clock: 0.0, confirmed: Some(0.0), vector, posts, muster, whole: true, missing };
+    let vector = VersionVector { configuration: 1, ..VersionVector::default() };
+    let (posts, missing, muster) = (Vec::new(), Vec::new(), VoterSet::default());
+    let beat = Heartbeat {
+        serial: 1,
+        cluster_clock: 0.0,
+        confirmed_age: Some(0.0),
+        versions: vector,
+        leases: posts,
+        voter_set: muster,
+        recovered: true,
+        suspected: missing,
+    };
     let now = gateway.clock.now();
-    let turns = gateway.views.borrow_mut().append(now, Event::Heard { beat, asked: Some(now) });
+    let turns =
+        gateway.views.borrow_mut().append(now, Event::Heartbeat { heartbeat: beat, requested_at: Some(now) });
     gateway.turn(turns);
-    (0..2).for_each(|_| gateway.budget.borrow_mut().earn(&gateway.budget_rule(), "s", 1));
+    (0..2).for_each(|_| gateway.budget.borrow_mut().deposit(&gateway.budget_rule(), "s", 1));
     gateway
 }
 
 /// A whole request as the front hands it on. Silence takes `millis` at most.
-async fn ask(gateway: &Rc<Gateway>, target: &str, id: &str, millis: u32, body: usize) -> Answer {
+async fn ask(gateway: &Rc<Gateway>, target: &str, id: &str, millis: u32, body: usize) -> Response {
     ask_as(gateway, target, id, millis, body, &Client::new()).await
 }
 
@@ -274,12 +286,18 @@
     millis: u32,
     body: usize,
     client: &Client,
-) -> Answer {
-    let once = |text: &str| Field::Once(text.into());
-    let fields = vec![once(id), once(&millis.to_string()), Field::Absent, Field::Absent, Field::Absent];
+) -> Response {
+    let once = |text: &str| HeaderValue::Once(text.into());
+    let fields = vec![
+        once(id),
+        once(&millis.to_string()),
+        HeaderValue::Absent,
+        HeaderValue::Absent,
+        HeaderValue::Absent,
+    ];
     let (method, target, host) = ("POST".into(), target.into(), once("o"));
     let body = vec![b'x'; body].into();
-    let request = Request { method, target, host, fields, passed: vec![], body, close: false, held: None };
+    let request = Request { method, target, host, fields, forwarded: vec![], body, close: false, held: None };
     request::respond(gateway, request, client).await
 }
 
--- a/crates/demo/src/lib.rs
+++ b/crates/demo/src/lib.rs
@@ -76,7 +76,7 @@
 
 /// What a stand-in host does with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Habit {
+pub enum HostBehavior {
     Well,
     /// Runs it and closes the connection.
     Loses,
@@ -91,7 +91,7 @@
     pub zone: String,
     pub address: SocketAddr,
     pub draining: bool,
-    habit: Arc<Mutex<Habit>>,
+    habit: Arc<Mutex<HostBehavior>>,
     ran: Arc<Mutex<Vec<Message>>>,
 }
 
@@ -99,7 +99,7 @@
     fn start(id: &str, service: &str, zone: &str) -> std::io::Result<Host> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
-        let (habit, ran) = (Arc::new(Mutex::new(Habit::Well)), Arc::new(Mutex::new(Vec::new())));
+        let (habit, ran) = (Arc::new(Mutex::new(HostBehavior::Well)), Arc::new(Mutex::new(Vec::new())));
         let (own, habits, runs) = (id.to_string(), habit.clone(), ran.clone());
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -111,7 +111,7 @@
         Ok(Host { id, service, zone, address, draining: false, habit, ran })
     }
 
-    pub fn set(&self, habit: Habit) {
+    pub fn set(&self, habit: HostBehavior) {
         *locked(&self.habit) = habit;
     }
 
@@ -129,7 +129,7 @@
 fn host_connection(
     stream: TcpStream,
     own: &str,
-    habit: &Mutex<Habit>,
+    habit: &Mutex<HostBehavior>,
     ran: &Mutex<Vec<Message>>,
 ) -> Option<()> {
     let mut to = stream.try_clone().ok()?;
@@ -145,13 +145,13 @@
         let habit = *locked(habit);
         let answer = match habit {
             _ if message.header("target-instance") != own => head("421 Misdirected Request", "", ""),
-            Habit::Full => head("503 Service Unavailable", "Not-Executed: 1\r\n", ""),
+            HostBehavior::Full => head("503 Service Unavailable", "Not-Executed: 1\r\n", ""),
             _ => head("200 OK", "Server-Seal: seal\r\nServer-Load: 1,0,4\r\n", &format!("by {own}")),
         };
-        if message.header("target-instance") == own && habit != Habit::Full {
+        if message.header("target-instance") == own && habit != HostBehavior::Full {
             locked(ran).push(message);
         }
-        if habit == Habit::Loses {
+        if habit == HostBehavior::Loses {
             return None;
         }
         to.write_all(answer.as_bytes()).ok()?;
@@ -240,7 +240,7 @@
 }
 
 /// The system: three control gateways and two data gateways in two zones, the platform and its hosts.
-pub struct Harbour {
+pub struct DemoSystem {
     pub platform: Platform,
     pub folder: PathBuf,
     net: u8,
@@ -252,17 +252,17 @@
 const CONTROL: u16 = 8200;
 const FRONT: u16 = 8206;
 
-impl Harbour {
+impl DemoSystem {
     /// On the loopback network 127.77.`net`: each test has its own.
-    pub fn start(net: u8) -> Result<Harbour, String> {
+    pub fn start(net: u8) -> Result<DemoSystem, String> {
         let folder = std::env::temp_dir().join(format!("archlink-quay-{}-{net}", std::process::id()));
         std::fs::remove_dir_all(&folder).ok();
         let platform = Platform::start().map_err(|e| e.to_string())?;
         let mut harbour =
-            Harbour { platform, folder, net, keepers: Vec::new(), pilots: Vec::new(), lines: channel() };
+            DemoSystem { platform, folder, net, keepers: Vec::new(), pilots: Vec::new(), lines: channel() };
         for n in 0..3 {
             harbour.keepers.push(None);
-            harbour.start_keeper(n, true)?;
+            harbour.start_control_node(n, true)?;
         }
         for n in 0..2 {
             let settings = harbour.settings(n, false, false)?;
@@ -280,7 +280,7 @@
     }
 
     /// Also after it was stopped: its folder is as it was left.
-    pub fn start_keeper(&mut self, n: usize, first: bool) -> Result<(), String> {
+    pub fn start_control_node(&mut self, n: usize, first: bool) -> Result<(), String> {
         let settings = self.settings(n, true, first)?;
         let serve = move |stopped: oneshot::Receiver<()>| async move {
             let until = async move { drop(stopped.await) };
@@ -290,7 +290,7 @@
         Ok(())
     }
 
-    pub fn stop_keeper(&mut self, n: usize) {
+    pub fn stop_control_node(&mut self, n: usize) {
         if let Some(mut running) = self.keepers[n].take() {
             running.stop();
         }
@@ -326,7 +326,7 @@
     }
 
     /// Waits until `what` holds, for a while; each look is a call on a socket.
-    pub fn until(&self, why: &str, mut what: impl FnMut(&Harbour) -> bool) {
+    pub fn until(&self, why: &str, mut what: impl FnMut(&DemoSystem) -> bool) {
         const LOOKS: u32 = 1500;
         for _ in 0..LOOKS {
             if what(self) {
@@ -356,7 +356,7 @@
     }
 }
 
-impl Drop for Harbour {
+impl Drop for DemoSystem {
     fn drop(&mut self) {
         for running in self.keepers.iter_mut().chain(&mut self.pilots).flatten() {
             running.stop.take();
--- a/crates/demo/src/main.rs
+++ b/crates/demo/src/main.rs
@@ -2,7 +2,7 @@
 //! for the platform and the hosts. Owns what is printed.
 #![forbid(unsafe_code)]
 
-use archlink_demo::{Harbour, configuration};
+use archlink_demo::{DemoSystem, configuration};
 use clap::Command;
 
 const NET: u8 = 250;
@@ -19,7 +19,7 @@
 }
 
 fn show() -> Result<(), String> {
-    let mut harbour = Harbour::start(NET)?;
+    let mut harbour = DemoSystem::start(NET)?;
     println!(
         "three control gateways on {}, .11, .12; two data gateways on {}, .21",
         harbour.control(0),
@@ -28,15 +28,16 @@
     for (id, zone) in [("host-a", "west"), ("host-b", "east")] {
         harbour.platform.add(id, "reports", zone).map_err(|e| e.to_string())?;
     }
-    let put = |harbour: &Harbour, n: usize, version| {
+    let put = |harbour: &DemoSystem, n: usize, version| {
         harbour
             .operator(n, "POST", "Configuration.Replace", &configuration(version, 20))
             .map_or(0, |m| m.status())
     };
     harbour.until("a majority of disks takes the configuration", |h| put(h, 0, 1) == 200);
     println!("configuration 1: taken by a majority of disks");
-    let served =
-        |h: &Harbour, n| h.ask(n, "GET", "/read/1", "first", "free-key").is_some_and(|m| m.status() == 200);
+    let served = |h: &DemoSystem, n| {
+        h.ask(n, "GET", "/read/1", "first", "free-key").is_some_and(|m| m.status() == 200)
+    };
     for n in 0..2 {
         harbour.until("a data gateway serves and counts", |h| served(h, n));
     }
@@ -52,12 +53,13 @@
     let statuses: Vec<u16> = (0..asked).map(ask).collect();
     let refused = statuses.iter().filter(|status| **status == 429).count();
     println!("tenant lab, 20 a second: {asked} requests at once through both, {refused} refused with 429");
-    harbour.stop_keeper(0);
+    harbour.stop_control_node(0);
     println!("control gateway 0 is gone");
     harbour.until("the others take a change", |h| put(h, 1, 2) == 200);
     println!("configuration 2: taken by the other two");
-    harbour.start_keeper(0, false)?;
-    let held = |h: &Harbour| h.operator(0, "GET", "Configuration.Read", "").map_or(String::new(), |m| m.body);
+    harbour.start_control_node(0, false)?;
+    let held =
+        |h: &DemoSystem| h.operator(0, "GET", "Configuration.Read", "").map_or(String::new(), |m| m.body);
     harbour.until("it reads what it missed", |h| held(h).contains("00000002"));
     println!("control gateway 0 is back and reads configuration 2");
     Ok(())
--- a/crates/demo/tests/whole.rs
+++ b/crates/demo/tests/whole.rs
@@ -1,15 +1,15 @@
 //! Both programs against stand-ins, on loopback: what a client, a host, the platform and the operator see on their sockets.
 
-use archlink_demo::{Habit, Harbour, call, configuration, exchange};
+use archlink_demo::{DemoSystem, HostBehavior, call, configuration, exchange};
 use std::collections::BTreeSet;
 
 /// Ready to serve: a configuration with that rate for the tenant `lab`, and two hosts in two zones.
-fn harbour(net: u8, rate: u32) -> Harbour {
-    let harbour = Harbour::start(net).unwrap();
+fn harbour(net: u8, rate: u32) -> DemoSystem {
+    let harbour = DemoSystem::start(net).unwrap();
     harbour.platform.add("host-a", "reports", "west").unwrap();
     harbour.platform.add("host-b", "reports", "east").unwrap();
     let text = configuration(1, rate);
-    let put = |h: &Harbour| {
+    let put = |h: &DemoSystem| {
         h.operator(0, "POST", "Configuration.Replace", &text).is_some_and(|m| m.status() == 200)
     };
     harbour.until("the configuration is taken", put);
@@ -22,7 +22,7 @@
     harbour
 }
 
-fn ran(harbour: &Harbour) -> Vec<String> {
+fn ran(harbour: &DemoSystem) -> Vec<String> {
     harbour.platform.hosts().iter().flat_map(|host| host.ran()).collect()
 }
 
@@ -50,10 +50,10 @@
 #[test]
 fn what_may_have_run_is_not_sent_again_and_what_has_not_goes_elsewhere() {
     let harbour = harbour(2, 50);
-    harbour.platform.hosts().iter().for_each(|host| host.set(Habit::Loses));
+    harbour.platform.hosts().iter().for_each(|host| host.set(HostBehavior::Loses));
     assert_eq!(harbour.ask(0, "POST", "/submit/x", "lost", "lab-key").map(|m| m.status()), Some(502));
     assert_eq!(ran(&harbour).iter().filter(|id| *id == "lost").count(), 1);
-    harbour.platform.hosts().iter().for_each(|host| host.set(Habit::Full));
+    harbour.platform.hosts().iter().for_each(|host| host.set(HostBehavior::Full));
     let answer = harbour.ask(0, "POST", "/submit/x", "full", "lab-key").unwrap();
     assert!(answer.status() == 503 && !answer.header("retry-after").is_empty(), "{}", answer.first);
     assert!(!ran(&harbour).contains(&"full".to_string()));
@@ -81,7 +81,7 @@
 fn a_drained_host_gets_nothing_new_and_a_zone_is_evacuated() {
     let harbour = harbour(4, 50);
     harbour.platform.hosts()[0].draining = true;
-    let drained = |h: &Harbour| {
+    let drained = |h: &DemoSystem| {
         let before = h.platform.hosts()[0].ran().len();
         (0..10).for_each(|n| drop(h.ask(n % 2, "GET", "/read/x", "drain", "free-key")));
         h.platform.hosts()[0].ran().len() == before
@@ -90,7 +90,7 @@
     assert!(harbour.operator(2, "POST", "Evacuation.Begin/nowhere", "").is_some_and(|m| m.status() == 404));
     assert!(harbour.operator(2, "POST", "Evacuation.Begin/east", "").is_some_and(|m| m.status() == 200));
     let nothing =
-        |h: &Harbour| h.ask(1, "GET", "/read/x", "none", "free-key").is_some_and(|m| m.status() == 503);
+        |h: &DemoSystem| h.ask(1, "GET", "/read/x", "none", "free-key").is_some_and(|m| m.status() == 503);
     harbour.until("no host is left", nothing);
     assert!(harbour.operator(0, "POST", "Evacuation.Finish/east", "").is_some_and(|m| m.status() == 200));
     harbour.until("the zone is back", |h| {
@@ -101,7 +101,7 @@
 #[test]
 fn the_configuration_outlives_its_gateways_and_bad_ones_change_nothing() {
     let mut harbour = harbour(5, 50);
-    let read = |h: &Harbour, n| {
+    let read = |h: &DemoSystem, n| {
         h.operator(n, "GET", "Configuration.Read", "").filter(|m| m.status() == 200).map(|m| m.body)
     };
     assert_eq!(read(&harbour, 2), Some(configuration(1, 50)));
@@ -110,8 +110,8 @@
     assert!(refused.status() == 400 && refused.body.contains("Timeout"), "{}", refused.body);
     let older = harbour.operator(1, "POST", "Configuration.Replace", &configuration(0, 7)).unwrap();
     assert_eq!(older.status(), 200);
-    (0..3).for_each(|n| harbour.stop_keeper(n));
-    (0..3).for_each(|n| harbour.start_keeper(n, false).unwrap());
+    (0..3).for_each(|n| harbour.stop_control_node(n));
+    (0..3).for_each(|n| harbour.start_control_node(n, false).unwrap());
     harbour.until("it is read back", |h| read(h, 1) == Some(configuration(1, 50)));
 }
 
--- a/crates/gateway/src/admit.rs
+++ b/crates/gateway/src/admit.rs
@@ -17,10 +17,10 @@
 pub fn admit(hall: &Rc<Hall>, call: Call) -> Option<Admitted> {
     let (sender, answer) = oneshot::channel();
     let mut inquiry = call.inquiry.clone();
-    inquiry.id = hall.call(|_, now, hands| hands.seat(call, now + inquiry.left, sender))?;
+    inquiry.id = hall.call(|_, now, hands| hands.seat(call, now + inquiry.remaining, sender))?;
     // Its place is held from here on, so that it is given back whatever happens in between.
     let admitted = Admitted { hall: hall.clone(), id: inquiry.id, answer };
-    hall.call(|module, now, hands| module.arrived(now, hands, inquiry));
+    hall.call(|module, now, hands| module.request_arrived(now, hands, inquiry));
     Some(admitted)
 }
 
@@ -29,7 +29,7 @@
         let id = self.id;
         self.hall.call(|module, now, hands| {
             if hands.vacate(id).is_some() {
-                module.left(now, hands, id);
+                module.client_disconnected(now, hands, id);
             }
         });
     }
--- a/crates/gateway/src/book.rs
+++ b/crates/gateway/src/book.rs
@@ -6,13 +6,13 @@
 use crate::relay;
 use crate::route::Hall;
 use crate::send::{Broken, Ending, Job, Reach};
-use archlink_admission::interface::{Ended, HostId, Load, Outcome};
+use archlink_admission::interface::{AttemptResult, HostId, Load, Outcome};
 use std::rc::Rc;
 
 fn outcome(ending: &Ending) -> Outcome {
     match ending {
         Ending::Replied(reply) => match (reply.status, reply.declined) {
-            (200, _) => Outcome::Honoured,
+            (200, _) => Outcome::Answered,
             (503 | 504, true) => Outcome::Full,
             _ => Outcome::Error,
         },
@@ -52,15 +52,28 @@
         self.told = true;
         let Job { inquiry, nth, host, at, .. } = self.job;
         let load = reply.as_ref().map_or(Load::default(), |reply| reply.load);
-        let true_units = reply.as_ref().filter(|_| outcome == Outcome::Honoured).map_or(0.0, |r| r.units);
+        let true_units = reply.as_ref().filter(|_| outcome == Outcome::Answered).map_or(0.0, |r| r.units);
         self.hall.call(|module, now, hands| {
             hands.out.remove(&(inquiry, nth));
-            if let Some(reply) = reply.filter(|_| outcome == Outcome::Honoured) {
+            if let Some(reply) = reply.filter(|_| outcome == Outcome::Answered) {
                 relay::honour(hands, inquiry, reply);
             }
             let over = !hands.is_open(inquiry);
             let took = now - at;
-            module.ended(now, hands, Ended { inquiry, nth, over, outcome, took, true_units, host, load });
+            module.attempt_ended(
+                now,
+                hands,
+                AttemptResult {
+                    request: inquiry,
+                    attempt: nth,
+                    final_attempt: over,
+                    outcome,
+                    elapsed: took,
+                    true_units,
+                    host,
+                    load,
+                },
+            );
         });
     }
 }
@@ -93,7 +106,7 @@
     fn tell(&mut self, well: bool, load: Load) {
         self.told = true;
         let host = self.host;
-        self.hall.call(|module, now, hands| module.probed(now, hands, host, well, load));
+        self.hall.call(|module, now, hands| module.probe_finished(now, hands, host, well, load));
     }
 }
 
--- a/crates/gateway/src/configuration.rs
+++ b/crates/gateway/src/configuration.rs
@@ -2,7 +2,7 @@
 //! and of the keys in the JSON file; a message about a wrong value names its key. Read again on SIGHUP, whole and with the
 //! same checks, for what may change under way. Holds no value that steers a decision.
 
-use archlink_admission_settings::Told;
+use archlink_admission_settings::ParsedSettings;
 use serde_json::Value;
 use std::net::SocketAddr;
 
@@ -18,7 +18,7 @@
     pub memory: usize,
     pub sockets: usize,
     pub known: Value,
-    pub told: Told,
+    pub told: ParsedSettings,
     pub log: log::LevelFilter,
 }
 
@@ -91,7 +91,7 @@
     let settings = whole.get("settings").ok_or("settings: missing")?;
     let told = archlink_admission_settings::from_json(settings).map_err(|e| format!("settings.{e}"))?;
     let counter = optional("counter")?;
-    if told.terms.may_count && counter.is_none() {
+    if told.admission.may_count && counter.is_none() {
         return Err("counter: missing, though settings.domain.may-count is true".into());
     }
     let log = text("log", "LB_LOG").unwrap_or_else(|| "info".into());
--- a/crates/gateway/src/counter.rs
+++ b/crates/gateway/src/counter.rs
@@ -4,8 +4,8 @@
 //! Moved to another address, it awaits what is out at the old one first: a name's answers keep the order of its calls.
 
 use crate::route::Hall;
-use archlink_admission::again::Again;
-use archlink_admission::interface::Counted;
+use archlink_admission::backoff::Backoff;
+use archlink_admission::interface::CounterReply;
 use bytes::{Buf, BytesMut};
 use futures_util::{SinkExt, StreamExt};
 use std::cell::{Cell, RefCell};
@@ -174,8 +174,8 @@
     }
 
     /// Tells the module of an answer; no borrow of the calls is held, since it may call again.
-    fn tell(&self, hall: &Hall, name: u64, answer: Counted) {
-        hall.call(|module, now, hands| module.counted(now, hands, name, answer));
+    fn tell(&self, hall: &Hall, name: u64, answer: CounterReply) {
+        hall.call(|module, now, hands| module.counter_replied(now, hands, name, answer));
     }
 
     /// Oldest calls first: those whose time is up, or all of them. The hall's timer comes here before each of the
@@ -191,7 +191,7 @@
             }
             let Some(call) = calls.waiting.pop_front() else { return };
             drop(calls);
-            self.tell(hall, call.name, Counted::NotAdded);
+            self.tell(hall, call.name, CounterReply::NotAdded);
         }
     }
 
@@ -207,7 +207,7 @@
             call.told = true;
             let name = call.name;
             drop(calls);
-            self.tell(hall, name, Counted::MayBeAdded);
+            self.tell(hall, name, CounterReply::Unknown);
         }
     }
 
@@ -223,12 +223,12 @@
         };
         let answer = match said {
             Said::Other => None,
-            _ if call.due < Instant::now() => Some(Counted::MayBeAdded),
-            Said::Total(total) => Some(Counted::Total(total)),
-            Said::TurnedAway => Some(Counted::NotAdded),
+            _ if call.due < Instant::now() => Some(CounterReply::Unknown),
+            Said::Total(total) => Some(CounterReply::Total(total)),
+            Said::TurnedAway => Some(CounterReply::NotAdded),
         };
         if !call.told {
-            self.tell(hall, call.name, answer.unwrap_or(Counted::MayBeAdded));
+            self.tell(hall, call.name, answer.unwrap_or(CounterReply::Unknown));
         }
         answer.map(drop).ok_or_else(spoilt)
     }
@@ -319,7 +319,7 @@
     /// Connects, serves, and connects again; never ends.
     pub async fn run(self: Rc<Counter>, hall: Rc<Hall>, connect: f64) {
         let connect = Duration::from_secs_f64(connect.clamp(0.01, 10.0));
-        let mut again = Again::default();
+        let mut again = Backoff::default();
         loop {
             // Written to a connection that ended: may have been added. The others were not; where one goes on
             // at once they are written there.
@@ -343,7 +343,7 @@
             };
             log::debug!("counter: {ended}");
             if answered {
-                again.well();
+                again.reset();
             }
             if !answered && self.address.get() == address {
                 self.lapse(&hall, true);
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -3,10 +3,10 @@
 //! version heard, and so is one whose address has moved. Must never leave out, reorder or interpret what the list says: the module hears it line by line.
 
 use crate::route::{Clock, Hall};
-use archlink_admission::again::Again;
-use archlink_admission::interface::{HostId, HostLine, News, Standing};
-use archlink_admission_settings::Told;
-use archlink_http::frame::Chunks;
+use archlink_admission::backoff::Backoff;
+use archlink_admission::interface::{HostEntry, HostId, HostListUpdate, HostState};
+use archlink_admission_settings::ParsedSettings;
+use archlink_http::frame::ChunkedDecoder;
 use bytes::{Buf, BytesMut};
 use futures_util::StreamExt;
 use httparse::{EMPTY_HEADER, Status};
@@ -38,11 +38,11 @@
 pub struct Piece {
     version: u64,
     whole: bool,
-    hosts: Vec<(String, SocketAddr, HostLine)>,
+    hosts: Vec<(String, SocketAddr, HostEntry)>,
 }
 
 /// Reads a piece; an entry that makes no sense is left out and named in the log.
-pub fn piece(value: &Value, told: &Told, clock: Clock) -> Option<Piece> {
+pub fn piece(value: &Value, told: &ParsedSettings, clock: Clock) -> Option<Piece> {
     let version = value.get("version")?.as_u64()?;
     let whole = value.get("full").and_then(Value::as_bool).unwrap_or(false);
     let mut hosts = Vec::new();
@@ -55,26 +55,30 @@
     Some(Piece { version, whole, hosts })
 }
 
-fn host(entry: &Value, told: &Told, clock: Clock) -> Result<(String, SocketAddr, HostLine), &'static str> {
+fn host(
+    entry: &Value,
+    told: &ParsedSettings,
+    clock: Clock,
+) -> Result<(String, SocketAddr, HostEntry), &'static str> {
     let text = |key: &'static str| entry.get(key).and_then(Value::as_str).ok_or(key);
     let index = |names: &[String], key: &'static str| {
         let name = entry.get(key).and_then(Value::as_str).unwrap_or_default();
         names.iter().position(|n| n == name).map_or(u8::MAX, |n| n.min(254) as u8)
     };
     let standing = match text("state")? {
-        "ready" => Standing::Ready,
-        "draining" => Standing::Draining,
-        "gone" => Standing::Gone,
+        "ready" => HostState::Ready,
+        "draining" => HostState::Draining,
+        "gone" => HostState::Removed,
         _ => return Err("state"),
     };
     let number = |key: &str, absent: f64| entry.get(key).and_then(Value::as_f64).unwrap_or(absent);
     let address = text("addr")?.parse().map_err(|_| "addr")?;
-    let line = HostLine {
+    let line = HostEntry {
         host: 0,
         zone: index(&told.zones, "zone"),
         kind: index(&told.kinds, "kind"),
         cell: number("cell", 0.0).clamp(0.0, 65_535.0) as u16,
-        standing,
+        state: standing,
         size: number("weight", 1.0).max(0.0),
         started: clock.of_unix(number("started_ms", 0.0) / 1e3),
     };
@@ -83,7 +87,7 @@
 
 #[derive(Default)]
 struct Watch {
-    body: Option<Chunks>,
+    body: Option<ChunkedDecoder>,
     lines: BytesMut,
 }
 
@@ -100,7 +104,7 @@
             match response.parse(from) {
                 Ok(Status::Complete(length)) if response.code == Some(200) => {
                     from.advance(length);
-                    self.body = Some(Chunks::default());
+                    self.body = Some(ChunkedDecoder::default());
                 }
                 Ok(Status::Partial) if from.len() < 16 * 1024 => return Ok(None),
                 _ => return Err(broken("no watch")),
@@ -127,7 +131,7 @@
     numbers: RefCell<HashMap<String, HostId>>,
     next: Cell<HostId>,
     version: Cell<u64>,
-    again: Cell<Again>,
+    again: Cell<Backoff>,
 }
 
 impl Discovery {
@@ -144,18 +148,18 @@
         };
         let known = piece(known, &discovery.hall.told, discovery.hall.clock);
         let none = Piece { version: 0, whole: true, hosts: Vec::new() };
-        discovery.take(known.unwrap_or(none), News::Remembered);
+        discovery.take(known.unwrap_or(none), HostListUpdate::Cached);
         Rc::new(discovery)
     }
 
-    fn take(&self, piece: Piece, news: News) {
+    fn take(&self, piece: Piece, news: HostListUpdate) {
         self.version.set(piece.version);
         let mut numbers = self.numbers.borrow_mut();
         let forget = |host: &HostId| {
             self.hall.kept.forget(*host);
             self.hall.call(|_, _, hands| hands.hosts.remove(host));
         };
-        if news != News::Changes {
+        if news != HostListUpdate::Delta {
             // What a whole list leaves out is forgotten, or ids of long ago would pile up.
             let listed: HashSet<&str> = piece.hosts.iter().map(|host| host.0.as_str()).collect();
             numbers.extract_if(|id, _| !listed.contains(id.as_str())).for_each(|(_, host)| forget(&host));
@@ -163,7 +167,7 @@
         let mut lines = Vec::with_capacity(piece.hosts.len());
         for (id, address, line) in piece.hosts {
             // So is one that is gone: should its id or its address come again, that is a new host.
-            let gone = line.standing == Standing::Gone;
+            let gone = line.state == HostState::Removed;
             let host = match numbers.get(&id) {
                 None if gone => continue,
                 None => self.next.replace(self.next.get() + 1),
@@ -179,10 +183,10 @@
                     self.hall.kept.forget(host);
                 }
             }
-            lines.push(HostLine { host, ..line });
+            lines.push(HostEntry { host, ..line });
         }
         drop(numbers);
-        self.hall.call(|module, now, hands| module.list_news(now, hands, news, &lines));
+        self.hall.call(|module, now, hands| module.host_list_updated(now, hands, news, &lines));
     }
 
     /// Lists come from this address from now on.
@@ -204,14 +208,14 @@
         let mut lines = FramedRead::new(stream, Watch::default());
         loop {
             let line = timeout(SILENT, lines.next()).await?.ok_or(io::ErrorKind::UnexpectedEof)??;
-            self.again.set(Again::default());
+            self.again.set(Backoff::default());
             if line.trim_ascii().is_empty() {
                 continue;
             }
             let value = serde_json::from_slice(&line).map_err(io::Error::other)?;
             let piece = piece(&value, &self.hall.told, self.hall.clock);
             let piece = piece.ok_or_else(|| io::Error::other("a line without a version"))?;
-            let news = if piece.whole { News::Whole } else { News::Changes };
+            let news = if piece.whole { HostListUpdate::Full } else { HostListUpdate::Delta };
             let held = self.version.get();
             if piece.version < held {
                 log::warn!("discovery: version {} after {held}; only a whole list counts", piece.version);
@@ -226,7 +230,7 @@
 
     /// Watches for good. Where lists must be asked for, a broken watch is told, and opened when the module asks.
     pub async fn run(self: Rc<Discovery>, asked: Rc<Notify>) {
-        let must_ask = self.hall.told.terms.must_subscribe;
+        let must_ask = self.hall.told.admission.must_subscribe;
         let mut moved = false;
         loop {
             let begun = Instant::now();
@@ -248,7 +252,9 @@
             self.again.set(again);
             log::warn!("discovery: watch failed after {:.1?}: {e}", begun.elapsed());
             if must_ask {
-                self.hall.call(|module, now, hands| module.list_news(now, hands, News::Failed, &[]));
+                self.hall.call(|module, now, hands| {
+                    module.host_list_updated(now, hands, HostListUpdate::Failed, &[])
+                });
             }
             sleep_until(begun + if must_ask { PACE } else { pace }).await;
         }
--- a/crates/gateway/src/http.rs
+++ b/crates/gateway/src/http.rs
@@ -3,10 +3,12 @@
 //! small typed value and encoded once. Must never hold a connection, read a clock, or judge an inquiry: it says
 //! what a message is, or with which plain 4xx it is not one.
 
-use archlink_admission::interface::{Effect, Inquiry, Load};
-use archlink_admission_settings::Told;
-pub use archlink_http::frame::Held;
-use archlink_http::frame::{Body, Chunks, Length, broken, header, lines};
+use archlink_admission::interface::{Effect, Load, Request};
+use archlink_admission_settings::ParsedSettings;
+pub use archlink_http::frame::ReservedBytes;
+use archlink_http::frame::{
+    BodyLength, BodyProgress, ChunkedDecoder, framing_headers, header, protocol_error,
+};
 use bytes::{Buf, Bytes, BytesMut};
 use httparse::{EMPTY_HEADER, Status};
 use std::cell::Cell;
@@ -29,7 +31,7 @@
 pub struct Call {
     /// The client's own name for it, fresh on every inquiry.
     pub id: Rc<str>,
-    pub inquiry: Inquiry,
+    pub inquiry: Request,
     pub verb: &'static str,
     pub target: String,
     pub passed: Vec<u8>,
@@ -51,7 +53,7 @@
 
 #[derive(Debug)]
 pub enum Answer {
-    Honoured { passed: Vec<u8>, body: Bytes, held: Option<Held> },
+    Honoured { passed: Vec<u8>, body: Bytes, held: Option<ReservedBytes> },
     PushedBack { come_back_in: f64 },
     Terminated,
     Up(bool),
@@ -74,7 +76,7 @@
     pub units: f64,
     pub passed: Vec<u8>,
     pub body: Bytes,
-    pub held: Option<Held>,
+    pub held: Option<ReservedBytes>,
     pub keep: bool,
 }
 
@@ -105,14 +107,14 @@
 
 /// The client's side: decodes what is asked, encodes what is answered.
 pub struct ClientSide {
-    told: Rc<Told>,
-    head: Option<(Result<Call, u16>, Length, bool)>,
+    told: Rc<ParsedSettings>,
+    head: Option<(Result<Call, u16>, BodyLength, bool)>,
     up: bool,
     failed: bool,
 }
 
 impl ClientSide {
-    pub fn new(told: Rc<Told>) -> ClientSide {
+    pub fn new(told: Rc<ParsedSettings>) -> ClientSide {
         ClientSide { told, head: None, up: false, failed: false }
     }
 
@@ -127,8 +129,8 @@
         let path = target.split('?').next().unwrap_or(target);
         let class = path.trim_start_matches('/').split('/').next().unwrap_or("");
         let lane =
-            self.told.lanes.iter().position(|name| name == class && !class.is_empty()).ok_or(404u16)?;
-        let effect = self.told.terms.lanes[lane].effect;
+            self.told.classes.iter().position(|name| name == class && !class.is_empty()).ok_or(404u16)?;
+        let effect = self.told.admission.classes[lane].effect;
         let verb = match (effect, request.method) {
             (Effect::Pure, Some("GET")) => "GET",
             (Effect::Receipted | Effect::Effectful, Some("POST")) => "POST",
@@ -146,23 +148,23 @@
             return Err(400);
         }
         // Out of its range a figure would cost the customer named here what others ask for.
-        let terms = &self.told.terms;
+        let terms = &self.told.admission;
         let weight = match request.headers.iter().any(|h| h.name.eq_ignore_ascii_case("X-Weight")) {
             true => field("X-Weight").ok_or(400u16)?,
             false => "",
         };
         let units = listed(weight, "units").map_or(Some(1.0), number);
-        let units = units.filter(|n| *n > 0.0 && *n <= terms.most_units.max(1.0)).ok_or(400u16)?;
+        let units = units.filter(|n| *n > 0.0 && *n <= terms.max_units.max(1.0)).ok_or(400u16)?;
         let whole = |name, absent: u32| listed(weight, name).map_or(Some(absent), |text| text.parse().ok());
         let spread = whole("spread", 1).filter(|n| (1..=terms.gateways).contains(n)).ok_or(400u16)?;
         let first = whole("first", 0).filter(|n| *n < terms.gateways).ok_or(400u16)?;
-        let inquiry = Inquiry {
+        let inquiry = Request {
             id: 0,
-            lane,
+            class: lane,
             plan,
             customer,
             // No client waits a day; and a time must stay one that clocks can add.
-            left: left.min(86_400.0),
+            remaining: left.min(86_400.0),
             units,
             spread,
             first,
@@ -196,23 +198,23 @@
                 Ok(_) | Err(httparse::Error::TooManyHeaders) => return self.bad(431),
                 Err(_) => return self.bad(400),
             };
-            let Some(lines) = lines(request.headers, &OWN) else { return self.bad(400) };
+            let Some(lines) = framing_headers(request.headers, &OWN) else { return self.bad(400) };
             self.up = request.method == Some("GET") && request.path == Some("/up");
             let close = lines.close || (request.version == Some(0) && !lines.keep);
             let body = match lines.chunked {
-                true => Length::Chunked(Chunks::default(), BytesMut::new()),
-                false => Length::Sized(lines.length.unwrap_or(0)),
+                true => BodyLength::Chunked(ChunkedDecoder::default(), BytesMut::new()),
+                false => BodyLength::Sized(lines.length.unwrap_or(0)),
             };
-            let call = self.call(&request, lines.passed);
+            let call = self.call(&request, lines.forwarded);
             from.advance(length);
             self.head = Some((call, body, close));
         }
         let Some((_, body, _)) = &mut self.head else { return Ok(None) };
         match body.take(from, false, MOST_BODY) {
             Err(_) => self.bad(400),
-            Ok(Body::TooLarge) => self.bad(413),
-            Ok(Body::Partial) => Ok(None),
-            Ok(Body::Whole(body)) => Ok(self.head.take().map(|(call, _, close)| {
+            Ok(BodyProgress::TooLarge) => self.bad(413),
+            Ok(BodyProgress::Partial) => Ok(None),
+            Ok(BodyProgress::Whole(body)) => Ok(self.head.take().map(|(call, _, close)| {
                 let what = match call {
                     _ if self.up => What::Up,
                     Ok(call) => What::Inquiry(Box::new(Call { body, ..call })),
@@ -271,7 +273,7 @@
 /// The host's side: encodes what is sent, decodes what is replied.
 #[derive(Default)]
 pub struct HostSide {
-    head: Option<(Reply, Length)>,
+    head: Option<(Reply, BodyLength)>,
     room: Rc<Cell<usize>>,
 }
 
@@ -304,7 +306,7 @@
     let mut load = Load::default();
     for (name, value) in text.split(',').filter_map(|pair| pair.trim().split_once('=')) {
         if let Some(value) = number(value) {
-            archlink_admission_settings::figure(&mut load, name, value);
+            archlink_admission_settings::set_load_field(&mut load, name, value);
         }
     }
     load
@@ -328,15 +330,16 @@
             let length = match response.parse(from) {
                 Ok(Status::Complete(length)) if length <= MOST_HEAD => length,
                 Ok(Status::Partial) if from.len() < MOST_HEAD => return Ok(None),
-                _ => return Err(broken("reply head")),
+                _ => return Err(protocol_error("reply head")),
             };
-            let lines = lines(response.headers, &OWN).ok_or_else(|| broken("reply headers"))?;
+            let lines =
+                framing_headers(response.headers, &OWN).ok_or_else(|| protocol_error("reply headers"))?;
             let status = response.code.unwrap_or(0);
             let body = match (lines.chunked, lines.length) {
-                _ if status == 204 || status == 304 => Length::Sized(0),
-                (true, _) => Length::Chunked(Chunks::default(), BytesMut::new()),
-                (false, Some(length)) => Length::Sized(length),
-                (false, None) => Length::ToEnd,
+                _ if status == 204 || status == 304 => BodyLength::Sized(0),
+                (true, _) => BodyLength::Chunked(ChunkedDecoder::default(), BytesMut::new()),
+                (false, Some(length)) => BodyLength::Sized(length),
+                (false, None) => BodyLength::ToEnd,
             };
             let old = response.version == Some(0) && !lines.keep;
             let reply = Reply {
@@ -346,10 +349,10 @@
                 units: header(response.headers, SRV_UNITS)
                     .and_then(number)
                     .map_or(0.0, |n| n.min(MOST_UNITS)),
-                passed: lines.passed,
+                passed: lines.forwarded,
                 body: Bytes::new(),
                 held: None,
-                keep: !lines.close && !old && !matches!(body, Length::ToEnd),
+                keep: !lines.close && !old && !matches!(body, BodyLength::ToEnd),
             };
             from.advance(length);
             // Interim replies come before the one that counts.
@@ -361,15 +364,15 @@
         let known = body.known(from).min(MOST_REPLY + 1);
         if known > MOST_BODY && reply.held.as_ref().is_none_or(|held| held.bytes < known) {
             reply.held = None;
-            reply.held = Held::take(&self.room, known.next_power_of_two());
+            reply.held = ReservedBytes::reserve(&self.room, known.next_power_of_two());
             if reply.held.is_none() {
-                return Err(broken("no room for a large reply"));
+                return Err(protocol_error("no room for a large reply"));
             }
         }
         match body.take(from, ended, MOST_REPLY)? {
-            Body::TooLarge => Err(broken("reply body too large")),
-            Body::Partial => Ok(None),
-            Body::Whole(body) => Ok(self.head.take().map(|(reply, _)| Reply { body, ..reply })),
+            BodyProgress::TooLarge => Err(protocol_error("reply body too large")),
+            BodyProgress::Partial => Ok(None),
+            BodyProgress::Whole(body) => Ok(self.head.take().map(|(reply, _)| Reply { body, ..reply })),
         }
     }
 }
@@ -384,7 +387,7 @@
 
     fn decode_eof(&mut self, from: &mut BytesMut) -> io::Result<Option<Reply>> {
         match self.step(from, true)? {
-            None if self.head.is_some() || !from.is_empty() => Err(broken("reply cut short")),
+            None if self.head.is_some() || !from.is_empty() => Err(protocol_error("reply cut short")),
             reply => Ok(reply),
         }
     }
@@ -395,7 +398,7 @@
     use super::*;
     use quickcheck::{Gen, QuickCheck};
 
-    fn told() -> Rc<Told> {
+    fn told() -> Rc<ParsedSettings> {
         let lines = "classes.count=2\nclasses.0.name=look\nclasses.0.effect=pure\nclasses.0.on-time-us=1\n\
             classes.0.deadline-us=1\nclasses.1.name=file\nclasses.1.effect=token\nclasses.1.on-time-us=1\n\
             classes.1.deadline-us=1\ncontracts.count=1\ncontracts.0.name=team\npeers-total=1\n\
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -63,12 +63,12 @@
     let places =
         |part: f64| (start.sockets as f64 * part).min(by_memory * part / (CLIENTS + HOSTS)).max(4.0) as usize;
     // Without a counter in the settings no call is ever made, and the address is not used.
-    let counter = Counter::new(told.terms.count_timeout, start.counter.unwrap_or(start.listen));
+    let counter = Counter::new(told.admission.count_timeout, start.counter.unwrap_or(start.listen));
     let room = (start.memory as f64 * 1e6 * LARGE_REPLIES) as usize;
     let room = Rc::new(Cell::new(room));
     let codec = move || HostSide::new(room.clone());
     let kept = Kept::new(places(HOSTS), told.idle_close, told.connect_timeout, codec);
-    let peers = match start.peer_listen.filter(|_| told.terms.may_tell) {
+    let peers = match start.peer_listen.filter(|_| told.admission.may_message_peers) {
         Some(own) => {
             let peers =
                 Peers::open(own, start.peers, start.peers_all).await.map_err(failed("peer_listen"))?;
@@ -85,14 +85,15 @@
     let asked = Rc::new(Notify::new());
     let around = Around { kept: kept.clone(), counter: counter.clone(), peers, watch: asked.clone() };
     let connect = told.connect_timeout;
-    let longest = told.terms.lanes.iter().map(|lane| lane.abandon).fold(3.0, f64::max).min(600.0);
+    let longest =
+        told.admission.classes.iter().map(|lane| lane.client_timeout).fold(3.0, f64::max).min(600.0);
     let hall = Hall::start(told, seed, clock, around).map_err(failed("timer"))?;
     let discovery = Discovery::start(hall.clone(), start.discovery, &start.known);
     let watching = discovery.clone();
     spawn_local(steadily("discovery", move || watching.clone().run(asked.clone())));
     let ticked = hall.clone();
     spawn_local(steadily("timer", move || route::tick(ticked.clone())));
-    if hall.told.terms.may_count {
+    if hall.told.admission.may_count {
         let (hall, counter) = (hall.clone(), counter.clone());
         spawn_local(steadily("counter", move || counter.clone().run(hall.clone(), connect)));
     }
@@ -112,7 +113,7 @@
     spawn_local(async move {
         loop {
             sleep(Duration::from_secs(1)).await;
-            kept.sweep();
+            kept.close_idle();
         }
     });
     let (stage, stages) = watch::channel(Stage::Serving);
--- a/crates/gateway/src/route.rs
+++ b/crates/gateway/src/route.rs
@@ -7,10 +7,10 @@
 use crate::peers::Peers;
 use crate::send::{self, Job, Kept};
 use crate::{book, relay};
-use archlink_admission::again::Again;
+use archlink_admission::admission::Admission;
+use archlink_admission::backoff::Backoff;
 use archlink_admission::interface::*;
-use archlink_admission::logic::Gateway;
-use archlink_admission_settings::Told;
+use archlink_admission_settings::ParsedSettings;
 use rustix::time::{
     Itimerspec, TimerfdClockId, TimerfdFlags, TimerfdTimerFlags, Timespec, timerfd_create, timerfd_settime,
 };
@@ -162,8 +162,8 @@
     }
 }
 
-impl Outward for Hands {
-    fn hand_off(&mut self, inquiry: u32, host: HostId, until: f64) {
+impl Driver for Hands {
+    fn start_attempt(&mut self, inquiry: u32, host: HostId, until: f64) {
         let Some(hall) = self.hall.upgrade() else { return };
         let now = self.clock.now();
         let open = self.open.get_mut(&inquiry);
@@ -181,13 +181,13 @@
         let job = Job { inquiry, nth, host, address: self.hosts.get(&host).copied(), until, at: now };
         spawn_local(send::hand_off(book::Owed::new(hall, job), call, cancelled));
     }
-    fn cancel(&mut self, inquiry: u32, nth: u16) {
+    fn cancel_attempt(&mut self, inquiry: u32, nth: u16) {
         self.out.remove(&(inquiry, nth));
     }
-    fn push_back(&mut self, inquiry: u32, come_back_in: f64) {
+    fn reject(&mut self, inquiry: u32, come_back_in: f64) {
         relay::end(self, inquiry, Answer::PushedBack { come_back_in });
     }
-    fn terminate(&mut self, inquiry: u32) {
+    fn abort(&mut self, inquiry: u32) {
         relay::end(self, inquiry, Answer::Terminated);
     }
     fn probe(&mut self, host: HostId) {
@@ -195,10 +195,10 @@
             spawn_local(send::probe(book::OwedProbe::new(hall, host), self.hosts.get(&host).copied()));
         }
     }
-    fn count(&mut self, name: u64, amount: f64, keep: f64) {
+    fn add_to_counter(&mut self, name: u64, amount: f64, keep: f64) {
         self.counter.call(name, amount, keep);
     }
-    fn tell(&mut self, gateway: Option<u32>, words: &[u8]) {
+    fn send_to_peers(&mut self, gateway: Option<u32>, words: &[u8]) {
         if let Some(peers) = &self.peers {
             peers.tell(gateway, words);
         }
@@ -206,18 +206,18 @@
     fn subscribe(&mut self) {
         self.watch.notify_one();
     }
-    fn wake(&mut self, after: f64) {
+    fn set_timer(&mut self, after: f64) {
         self.timer.set(after);
     }
-    fn trace(&mut self, line: &str) {
+    fn log(&mut self, line: &str) {
         log::info!("{line}");
     }
 }
 
 pub struct Hall {
-    core: RefCell<(Gateway, Hands)>,
+    core: RefCell<(Admission, Hands)>,
     pub clock: Clock,
-    pub told: Rc<Told>,
+    pub told: Rc<ParsedSettings>,
     pub kept: Rc<Kept>,
     counter: Rc<Counter>,
     timer: Rc<Timer>,
@@ -233,7 +233,7 @@
 }
 
 impl Hall {
-    pub fn start(told: Rc<Told>, seed: u64, clock: Clock, around: Around) -> io::Result<Rc<Hall>> {
+    pub fn start(told: Rc<ParsedSettings>, seed: u64, clock: Clock, around: Around) -> io::Result<Rc<Hall>> {
         let timer = Rc::new(Timer::new()?);
         let Around { kept, counter, peers, watch } = around;
         let hall = Rc::new_cyclic(|hall: &Weak<Hall>| {
@@ -250,7 +250,7 @@
                 timer: timer.clone(),
                 watch,
             };
-            let module = Gateway::start(told.terms.clone(), seed, clock.now(), &mut hands);
+            let module = Admission::start(told.admission.clone(), seed, clock.now(), &mut hands);
             // Apart from the module's chance, whose draws follow from its inquiries alone.
             let chance = RefCell::new(oorandom::Rand64::new(u128::from(!seed)));
             Hall {
@@ -267,13 +267,13 @@
     }
 
     /// How long to wait before something that has failed `again` is tried anew, spread by this gateway's chance.
-    pub fn wait(&self, again: &mut Again, first: Duration, most: Duration) -> Duration {
+    pub fn wait(&self, again: &mut Backoff, first: Duration, most: Duration) -> Duration {
         let chance = self.chance.borrow_mut().rand_float();
         Duration::from_secs_f64(again.failed(first.as_secs_f64(), most.as_secs_f64(), chance))
     }
 
     /// The only way to the module: one call at a time, with the time of the call.
-    pub fn call<R>(&self, step: impl FnOnce(&mut Gateway, f64, &mut Hands) -> R) -> R {
+    pub fn call<R>(&self, step: impl FnOnce(&mut Admission, f64, &mut Hands) -> R) -> R {
         let (module, hands) = &mut *self.core.borrow_mut();
         step(module, self.clock.now(), hands)
     }
@@ -287,6 +287,6 @@
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
         hall.counter.lapse(&hall, false);
-        hall.call(|module, now, hands| module.woken(now, hands));
+        hall.call(|module, now, hands| module.timer_fired(now, hands));
     }
 }
--- a/crates/gateway/src/send.rs
+++ b/crates/gateway/src/send.rs
@@ -6,7 +6,7 @@
 use crate::http::{Call, HostSide, Reply, Sending};
 use crate::take_in::LARGE;
 use archlink_admission::interface::HostId;
-use archlink_http::kept::Line;
+use archlink_http::connection_pool::Connection;
 use bytes::BytesMut;
 use futures_util::{SinkExt, StreamExt};
 use std::cell::Cell;
@@ -51,13 +51,13 @@
     pub at: f64,
 }
 
-pub type Kept = archlink_http::kept::Kept<HostSide>;
+pub type Kept = archlink_http::connection_pool::ConnectionPool<HostSide>;
 
 /// `began` is called where a reply has begun and the rest of it is waited for.
 async fn exchange(
     kept: &Kept,
     host: HostId,
-    mut line: Line<HostSide>,
+    mut line: Connection<HostSide>,
     what: Sending<'_>,
     mut began: impl FnMut(),
 ) -> Result<Reply, Broken> {
@@ -78,7 +78,7 @@
         if reply.body.len() > LARGE {
             *line.framed.read_buffer_mut() = BytesMut::new();
         }
-        kept.keep(host, line, None);
+        kept.put(host, line, None);
     }
     Ok(reply)
 }
@@ -94,7 +94,7 @@
     let (host, wait) = (address.to_string(), (job.until - hall.clock.now()).max(0.001));
     let began = || {
         if !begun.replace(true) {
-            hall.call(|module, now, hands| module.reply_began(now, hands, job.inquiry, job.nth));
+            hall.call(|module, now, hands| module.response_started(now, hands, job.inquiry, job.nth));
         }
     };
     exchange(&hall.kept, job.host, line, Sending::HandOff { call, host: &host, wait }, began).await
--- a/crates/gateway/src/take_in.rs
+++ b/crates/gateway/src/take_in.rs
@@ -5,7 +5,7 @@
 use crate::admit::admit;
 use crate::http::{Answer, Asked, ClientSide, What};
 use crate::route::Hall;
-use archlink_http::departure::departure;
+use archlink_http::disconnect::wait_for_disconnect;
 use bytes::BytesMut;
 use futures_util::{SinkExt, StreamExt};
 use std::cell::Cell;
@@ -151,7 +151,7 @@
                     Err(_) => return,
                 },
                 // Its inquiry, and with it what hosts do for it, is dropped here.
-                _ = departure(&mut framed, READ_AHEAD) => return,
+                _ = wait_for_disconnect(&mut framed, READ_AHEAD) => return,
             },
         };
         // An inquiry that was sent early is answered before its connection ends.
--- a/crates/http/src/plain.rs
+++ b/crates/http/src/codec.rs
@@ -2,7 +2,9 @@
 //! caller's side that does the reverse. The user of a codec names the headers that it wants to see; all others are passed
 //! on as they came. Must never let a message through whose end or whose header lines two readers could see differently.
 
-use crate::frame::{Body, Chunks, Held, Length, broken, header, lines};
+use crate::frame::{
+    BodyLength, BodyProgress, ChunkedDecoder, ReservedBytes, framing_headers, header, protocol_error,
+};
 use bytes::{Buf, Bytes, BytesMut};
 use httparse::{EMPTY_HEADER, Header, Status};
 use std::cell::Cell;
@@ -17,25 +19,25 @@
 
 /// What stood under a wanted name.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub enum Field {
+pub enum HeaderValue {
     #[default]
     Absent,
     Once(String),
     /// Two lines of one name, or bytes that are no text: nobody could say what the next reader goes by.
-    Unclear,
+    Ambiguous,
 }
 
-impl Field {
+impl HeaderValue {
     pub fn once(&self) -> Option<&str> {
-        if let Field::Once(text) = self { Some(text) } else { None }
+        if let HeaderValue::Once(text) = self { Some(text) } else { None }
     }
 }
 
-fn fields(headers: &[Header], wanted: &[&str]) -> Vec<Field> {
+fn fields(headers: &[Header], wanted: &[&str]) -> Vec<HeaderValue> {
     let field = |name: &&str| match header(headers, name) {
-        Some(text) => Field::Once(text.to_string()),
-        None if headers.iter().any(|h| h.name.eq_ignore_ascii_case(name)) => Field::Unclear,
-        None => Field::Absent,
+        Some(text) => HeaderValue::Once(text.to_string()),
+        None if headers.iter().any(|h| h.name.eq_ignore_ascii_case(name)) => HeaderValue::Ambiguous,
+        None => HeaderValue::Absent,
     };
     wanted.iter().map(field).collect()
 }
@@ -46,12 +48,12 @@
 }
 
 /// Takes room for a body that is larger than usual; false where there is none.
-fn has_room(held: &mut Option<Held>, room: &Rc<Cell<usize>>, known: usize) -> bool {
+fn has_room(held: &mut Option<ReservedBytes>, room: &Rc<Cell<usize>>, known: usize) -> bool {
     if known <= SMALL || held.as_ref().is_some_and(|held| held.bytes >= known) {
         return true;
     }
     *held = None;
-    *held = Held::take(room, known.next_power_of_two());
+    *held = ReservedBytes::reserve(room, known.next_power_of_two());
     held.is_some()
 }
 
@@ -60,37 +62,37 @@
 pub struct Request {
     pub method: String,
     pub target: String,
-    pub host: Field,
-    pub fields: Vec<Field>,
-    pub passed: Vec<u8>,
+    pub host: HeaderValue,
+    pub fields: Vec<HeaderValue>,
+    pub forwarded: Vec<u8>,
     pub body: Bytes,
     pub close: bool,
-    pub held: Option<Held>,
+    pub held: Option<ReservedBytes>,
 }
 
 /// A request, or the 4xx that is its answer; after that the connection ends.
 #[derive(Debug)]
-pub enum Asked {
+pub enum Decoded {
     Request(Box<Request>),
     Bad(u16),
 }
 
 /// An answer: its status, the header lines beside those about framing, and its body.
 #[derive(Debug, Default)]
-pub struct Answer {
+pub struct Response {
     pub status: u16,
     pub lines: Vec<u8>,
     pub body: Bytes,
     pub close: bool,
 }
 
-impl Answer {
-    pub fn plain(status: u16) -> Answer {
-        Answer { status, ..Answer::default() }
+impl Response {
+    pub fn plain(status: u16) -> Response {
+        Response { status, ..Response::default() }
     }
 
-    pub fn json(status: u16, body: impl Into<Bytes>) -> Answer {
-        Answer {
+    pub fn json(status: u16, body: impl Into<Bytes>) -> Response {
+        Response {
             status,
             lines: b"Content-Type: application/json\r\n".to_vec(),
             body: body.into(),
@@ -99,50 +101,50 @@
     }
 
     /// Adds a header line.
-    pub fn with(mut self, name: &str, value: impl std::fmt::Display) -> Answer {
+    pub fn with(mut self, name: &str, value: impl std::fmt::Display) -> Response {
         write!(self.lines, "{name}: {value}\r\n").ok();
         self
     }
 }
 
-pub struct ServerSide {
+pub struct ServerCodec {
     wanted: &'static [&'static str],
     most_body: usize,
     room: Rc<Cell<usize>>,
-    head: Option<(Request, Length)>,
+    head: Option<(Request, BodyLength)>,
     /// The last request asked for a head alone: a body after it would be read as the next answer.
     bodiless: bool,
     failed: bool,
     full: bool,
 }
 
-impl ServerSide {
+impl ServerCodec {
     /// `room`: bytes left for large bodies, of all connections together.
-    pub fn new(wanted: &'static [&'static str], most_body: usize, room: Rc<Cell<usize>>) -> ServerSide {
-        ServerSide { wanted, most_body, room, head: None, bodiless: false, failed: false, full: false }
+    pub fn new(wanted: &'static [&'static str], most_body: usize, room: Rc<Cell<usize>>) -> ServerCodec {
+        ServerCodec { wanted, most_body, room, head: None, bodiless: false, failed: false, full: false }
     }
 
     /// A request has begun and is not whole.
-    pub fn begun(&self) -> bool {
+    pub fn is_partial(&self) -> bool {
         self.head.is_some()
     }
 
     /// The last 413 is one for want of room: the same body may find some later.
-    pub fn full(&self) -> bool {
+    pub fn out_of_memory(&self) -> bool {
         self.full
     }
 
-    fn bad(&mut self, status: u16) -> io::Result<Option<Asked>> {
+    fn bad(&mut self, status: u16) -> io::Result<Option<Decoded>> {
         self.failed = true;
-        Ok(Some(Asked::Bad(status)))
+        Ok(Some(Decoded::Bad(status)))
     }
 }
 
-impl Decoder for ServerSide {
-    type Item = Asked;
+impl Decoder for ServerCodec {
+    type Item = Decoded;
     type Error = io::Error;
 
-    fn decode(&mut self, from: &mut BytesMut) -> io::Result<Option<Asked>> {
+    fn decode(&mut self, from: &mut BytesMut) -> io::Result<Option<Decoded>> {
         if self.failed {
             from.clear();
             return Ok(None);
@@ -164,7 +166,7 @@
             };
             let target = request.path.unwrap_or("");
             let plain = target.starts_with('/') && target.bytes().all(|b| (0x21..0x7f).contains(&b));
-            let framed = lines(request.headers, self.wanted);
+            let framed = framing_headers(request.headers, self.wanted);
             let (Some(framed), true, false) = (framed, plain, bare_ends(&from[..length])) else {
                 return self.bad(400);
             };
@@ -173,15 +175,15 @@
                 target: target.to_string(),
                 host: fields(request.headers, &["host"]).remove(0),
                 fields: fields(request.headers, self.wanted),
-                passed: framed.passed,
+                forwarded: framed.forwarded,
                 body: Bytes::new(),
                 close: framed.close || (request.version == Some(0) && !framed.keep),
                 held: None,
             };
             let body = match framed.chunked {
                 true if request.version == Some(0) => return self.bad(400),
-                true => Length::Chunked(Chunks::default(), BytesMut::new()),
-                false => Length::Sized(framed.length.unwrap_or(0)),
+                true => BodyLength::Chunked(ChunkedDecoder::default(), BytesMut::new()),
+                false => BodyLength::Sized(framed.length.unwrap_or(0)),
             };
             from.advance(length);
             self.bodiless = read.method == "HEAD";
@@ -195,11 +197,11 @@
         }
         match body.take(from, false, self.most_body) {
             Err(_) => self.bad(400),
-            Ok(Body::TooLarge) => self.bad(413),
-            Ok(Body::Partial) => Ok(None),
-            Ok(Body::Whole(body)) => {
+            Ok(BodyProgress::TooLarge) => self.bad(413),
+            Ok(BodyProgress::Partial) => Ok(None),
+            Ok(BodyProgress::Whole(body)) => {
                 let whole = self.head.take();
-                Ok(whole.map(|(request, _)| Asked::Request(Box::new(Request { body, ..request }))))
+                Ok(whole.map(|(request, _)| Decoded::Request(Box::new(Request { body, ..request }))))
             }
         }
     }
@@ -226,11 +228,11 @@
     }
 }
 
-impl Encoder<Answer> for ServerSide {
+impl Encoder<Response> for ServerCodec {
     type Error = io::Error;
 
-    fn encode(&mut self, answer: Answer, to: &mut BytesMut) -> io::Result<()> {
-        let Answer { status, lines, body, close } = answer;
+    fn encode(&mut self, answer: Response, to: &mut BytesMut) -> io::Result<()> {
+        let Response { status, lines, body, close } = answer;
         let mut head = Vec::with_capacity(96 + lines.len());
         write!(head, "HTTP/1.1 {status} {}\r\n", phrase(status))?;
         if status != 204 && status != 304 {
@@ -252,7 +254,7 @@
 
 /// A request to be sent; the framing is the codec's.
 #[derive(Debug)]
-pub struct Sending<'a> {
+pub struct OutgoingRequest<'a> {
     pub method: &'a str,
     pub target: &'a str,
     pub host: &'a str,
@@ -262,58 +264,59 @@
 
 /// A whole reply; `idle` is how long the other end keeps the connection, where it said so.
 #[derive(Debug)]
-pub struct Reply {
+pub struct HostResponse {
     pub status: u16,
-    pub fields: Vec<Field>,
+    pub fields: Vec<HeaderValue>,
     pub passed: Vec<u8>,
     pub body: Bytes,
     pub keep: bool,
     pub idle: Option<f64>,
-    pub held: Option<Held>,
+    pub held: Option<ReservedBytes>,
 }
 
-pub struct CallerSide {
+pub struct ClientCodec {
     wanted: &'static [&'static str],
     most_body: usize,
     room: Rc<Cell<usize>>,
-    head: Option<(Reply, Length)>,
+    head: Option<(HostResponse, BodyLength)>,
     /// The request that is out asks for a head alone.
     bodiless: bool,
 }
 
-impl CallerSide {
-    pub fn new(wanted: &'static [&'static str], most_body: usize, room: Rc<Cell<usize>>) -> CallerSide {
-        CallerSide { wanted, most_body, room, head: None, bodiless: false }
+impl ClientCodec {
+    pub fn new(wanted: &'static [&'static str], most_body: usize, room: Rc<Cell<usize>>) -> ClientCodec {
+        ClientCodec { wanted, most_body, room, head: None, bodiless: false }
     }
 
-    fn step(&mut self, from: &mut BytesMut, ended: bool) -> io::Result<Option<Reply>> {
+    fn step(&mut self, from: &mut BytesMut, ended: bool) -> io::Result<Option<HostResponse>> {
         while self.head.is_none() {
             let mut headers = [EMPTY_HEADER; MOST_HEADERS];
             let mut response = httparse::Response::new(&mut headers);
             let length = match response.parse(from) {
                 Ok(Status::Complete(length)) if length <= MOST_HEAD => length,
                 Ok(Status::Partial) if from.len() < MOST_HEAD => return Ok(None),
-                _ => return Err(broken("reply head")),
+                _ => return Err(protocol_error("reply head")),
             };
-            let framed = lines(response.headers, self.wanted).ok_or_else(|| broken("reply headers"))?;
+            let framed = framing_headers(response.headers, self.wanted)
+                .ok_or_else(|| protocol_error("reply headers"))?;
             let status = response.code.unwrap_or(0);
             let body = match (framed.chunked, framed.length) {
-                _ if status == 204 || status == 304 || self.bodiless => Length::Sized(0),
-                (true, _) => Length::Chunked(Chunks::default(), BytesMut::new()),
-                (false, Some(length)) => Length::Sized(length),
-                (false, None) => Length::ToEnd,
+                _ if status == 204 || status == 304 || self.bodiless => BodyLength::Sized(0),
+                (true, _) => BodyLength::Chunked(ChunkedDecoder::default(), BytesMut::new()),
+                (false, Some(length)) => BodyLength::Sized(length),
+                (false, None) => BodyLength::ToEnd,
             };
             let old = response.version == Some(0) && !framed.keep;
             let idle = header(response.headers, "keep-alive").and_then(|text| {
                 let part = text.split(',').find_map(|part| part.trim().strip_prefix("timeout="));
                 part.and_then(|seconds| seconds.parse::<u32>().ok()).map(f64::from)
             });
-            let reply = Reply {
+            let reply = HostResponse {
                 status,
                 fields: fields(response.headers, self.wanted),
-                passed: framed.passed,
+                passed: framed.forwarded,
                 body: Bytes::new(),
-                keep: !framed.close && !old && !matches!(body, Length::ToEnd),
+                keep: !framed.close && !old && !matches!(body, BodyLength::ToEnd),
                 idle,
                 held: None,
             };
@@ -326,25 +329,27 @@
         let Some((reply, body)) = &mut self.head else { return Ok(None) };
         let known = body.known(from);
         if known > self.most_body || !has_room(&mut reply.held, &self.room, known) {
-            return Err(broken("no room for a large reply"));
+            return Err(protocol_error("no room for a large reply"));
         }
         match body.take(from, ended, self.most_body)? {
-            Body::TooLarge => Err(broken("reply too large")),
-            Body::Partial => Ok(None),
-            Body::Whole(body) => Ok(self.head.take().map(|(reply, _)| Reply { body, ..reply })),
+            BodyProgress::TooLarge => Err(protocol_error("reply too large")),
+            BodyProgress::Partial => Ok(None),
+            BodyProgress::Whole(body) => {
+                Ok(self.head.take().map(|(reply, _)| HostResponse { body, ..reply }))
+            }
         }
     }
 }
 
-impl Decoder for CallerSide {
-    type Item = Reply;
+impl Decoder for ClientCodec {
+    type Item = HostResponse;
     type Error = io::Error;
 
-    fn decode(&mut self, from: &mut BytesMut) -> io::Result<Option<Reply>> {
+    fn decode(&mut self, from: &mut BytesMut) -> io::Result<Option<HostResponse>> {
         if from.is_empty() && self.head.is_none() { Ok(None) } else { self.step(from, false) }
     }
 
-    fn decode_eof(&mut self, from: &mut BytesMut) -> io::Result<Option<Reply>> {
+    fn decode_eof(&mut self, from: &mut BytesMut) -> io::Result<Option<HostResponse>> {
         if from.is_empty() && self.head.is_none() {
             return Ok(None);
         }
@@ -353,11 +358,11 @@
     }
 }
 
-impl Encoder<Sending<'_>> for CallerSide {
+impl Encoder<OutgoingRequest<'_>> for ClientCodec {
     type Error = io::Error;
 
-    fn encode(&mut self, sending: Sending, to: &mut BytesMut) -> io::Result<()> {
-        let Sending { method, target, host, lines, body } = sending;
+    fn encode(&mut self, sending: OutgoingRequest, to: &mut BytesMut) -> io::Result<()> {
+        let OutgoingRequest { method, target, host, lines, body } = sending;
         self.bodiless = method == "HEAD";
         to.reserve(96 + target.len() + lines.len() + body.len());
         for part in [method, " ", target, " HTTP/1.1\r\nHost: ", host, "\r\n"] {
@@ -378,13 +383,13 @@
     use super::*;
 
     fn asked(bytes: &[u8]) -> Vec<String> {
-        let mut codec = ServerSide::new(&["key"], 100, Rc::new(Cell::new(1000)));
+        let mut codec = ServerCodec::new(&["key"], 100, Rc::new(Cell::new(1000)));
         let mut buffer = BytesMut::from(bytes);
         let mut found = Vec::new();
         while let Ok(Some(asked)) = codec.decode(&mut buffer) {
             found.push(match asked {
-                Asked::Bad(status) => status.to_string(),
-                Asked::Request(r) => {
+                Decoded::Bad(status) => status.to_string(),
+                Decoded::Request(r) => {
                     format!("{} {} {:?} {:?}", r.method, r.target, r.fields[0].once(), r.body)
                 }
             });
@@ -419,10 +424,10 @@
         assert_eq!(asked(b"POST /a HTTP/1.1\r\nContent-Length: 101\r\n\r\n"), ["413"]);
         // For want of room it may find some later, and says so.
         let full = |length: usize| {
-            let mut codec = ServerSide::new(&[], SMALL * 4, Rc::new(Cell::new(SMALL)));
+            let mut codec = ServerCodec::new(&[], SMALL * 4, Rc::new(Cell::new(SMALL)));
             let head = format!("POST /a HTTP/1.1\r\nContent-Length: {length}\r\n\r\n");
             let decoded = codec.decode(&mut BytesMut::from(head.as_bytes()));
-            (matches!(decoded, Ok(Some(Asked::Bad(413)))), codec.full())
+            (matches!(decoded, Ok(Some(Decoded::Bad(413)))), codec.out_of_memory())
         };
         assert_eq!((full(SMALL * 5), full(SMALL * 2)), ((true, false), (true, true)));
         let two = b"POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2;x\r\nab\r\n0\r\n\r\nGET /b HTTP/1.1\r\n\r\n";
@@ -432,15 +437,17 @@
     /// The body of an answer to HEAD would be the next request's answer to its reader; and none is waited for.
     #[test]
     fn an_answer_to_head_has_no_body() {
-        let mut server = ServerSide::new(&[], 100, Rc::new(Cell::new(1000)));
+        let mut server = ServerCodec::new(&[], 100, Rc::new(Cell::new(1000)));
         let (mut asked, mut said) = (BytesMut::from(&b"HEAD /a HTTP/1.1\r\n\r\n"[..]), BytesMut::new());
-        assert!(matches!(server.decode(&mut asked), Ok(Some(Asked::Request(_)))));
-        server.encode(Answer::json(405, "{}"), &mut said).unwrap();
+        assert!(matches!(server.decode(&mut asked), Ok(Some(Decoded::Request(_)))));
+        server.encode(Response::json(405, "{}"), &mut said).unwrap();
         assert!(said.ends_with(b"\r\n\r\n"), "{said:?}");
-        let mut caller = CallerSide::new(&[], 100, Rc::new(Cell::new(1000)));
-        let head = Sending { method: "HEAD", target: "/a", host: "a", lines: b"", body: b"" };
+        let mut caller = ClientCodec::new(&[], 100, Rc::new(Cell::new(1000)));
+        let head = OutgoingRequest { method: "HEAD", target: "/a", host: "a", lines: b"", body: b"" };
         caller.encode(head, &mut asked).unwrap();
-        assert!(matches!(caller.decode(&mut said), Ok(Some(Reply { status: 405, .. }))) && said.is_empty());
+        assert!(
+            matches!(caller.decode(&mut said), Ok(Some(HostResponse { status: 405, .. }))) && said.is_empty()
+        );
     }
 
     /// Whatever bytes come: no panic, and never a body that the head did not announce.
@@ -448,7 +455,7 @@
     fn any_bytes_are_requests_or_refused() {
         bolero::check!().with_iterations(20_000).for_each(|bytes: &[u8]| {
             asked(bytes);
-            let mut codec = CallerSide::new(&["key"], 100, Rc::new(Cell::new(1000)));
+            let mut codec = ClientCodec::new(&["key"], 100, Rc::new(Cell::new(1000)));
             let mut buffer = BytesMut::from(&b"HTTP/1.1 200 OK\r\n"[..]);
             buffer.extend_from_slice(bytes);
             while let Ok(Some(_)) = codec.decode(&mut buffer) {}
--- a/crates/http/src/kept.rs
+++ b/crates/http/src/connection_pool.rs
@@ -22,7 +22,7 @@
 }
 
 /// A connection to a host, spoken over with the codec `C`.
-pub struct Line<C> {
+pub struct Connection<C> {
     pub framed: Framed<TcpStream, C>,
     to: SocketAddr,
     since: Instant,
@@ -33,7 +33,7 @@
 
 /// What a connection on which nothing was asked since the last reply has to say.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Still {
+pub enum IdleState {
     Quiet,
     Ended,
     /// Bytes that nobody asked for: they would be taken for the answer to the next question.
@@ -41,18 +41,18 @@
 }
 
 /// Asks the socket itself, and what was read of it.
-pub fn still<C>(framed: &Framed<TcpStream, C>) -> Still {
+pub fn idle_state<C>(framed: &Framed<TcpStream, C>) -> IdleState {
     let mut byte = [MaybeUninit::uninit()];
     match socket2::SockRef::from(framed.get_ref()).peek(&mut byte) {
-        _ if !framed.read_buffer().is_empty() => Still::Spoke,
-        Err(e) if e.kind() == io::ErrorKind::WouldBlock => Still::Quiet,
-        Ok(0) | Err(_) => Still::Ended,
-        Ok(_) => Still::Spoke,
+        _ if !framed.read_buffer().is_empty() => IdleState::Spoke,
+        Err(e) if e.kind() == io::ErrorKind::WouldBlock => IdleState::Quiet,
+        Ok(0) | Err(_) => IdleState::Ended,
+        Ok(_) => IdleState::Spoke,
     }
 }
 
-pub struct Kept<C> {
-    lines: RefCell<HashMap<u64, Vec<Line<C>>>>,
+pub struct ConnectionPool<C> {
+    lines: RefCell<HashMap<u64, Vec<Connection<C>>>>,
     used: Rc<Cell<usize>>,
     most: usize,
     idle: Duration,
@@ -60,16 +60,21 @@
     codec: Box<dyn Fn() -> C>,
 }
 
-impl<C> Kept<C> {
+impl<C> ConnectionPool<C> {
     /// Given up at this part of the time after which hosts close: far more than a message is under way.
     const SAFE: f64 = 0.8;
 
     /// `idle`: the time after which hosts close a connection at the latest; `codec` makes a new connection's.
-    pub fn new(most: usize, idle: f64, connect: f64, codec: impl Fn() -> C + 'static) -> Rc<Kept<C>> {
+    pub fn new(
+        most: usize,
+        idle: f64,
+        connect: f64,
+        codec: impl Fn() -> C + 'static,
+    ) -> Rc<ConnectionPool<C>> {
         let seconds = |s: f64| Duration::from_secs_f64(s.clamp(0.0, 3600.0));
         let (idle, connect) = (seconds(idle * Self::SAFE), seconds(connect));
         let (lines, used, codec) = (RefCell::default(), Rc::default(), Box::new(codec));
-        Rc::new(Kept { lines, used, most, idle, connect, codec })
+        Rc::new(ConnectionPool { lines, used, most, idle, connect, codec })
     }
 
     /// The longest wait for a new connection.
@@ -77,23 +82,24 @@
         self.connect
     }
 
-    fn fresh(&self, line: &Line<C>) -> bool {
+    fn fresh(&self, line: &Connection<C>) -> bool {
         line.since.elapsed() < self.idle && line.until.is_none_or(|until| Instant::now() < until)
     }
 
     /// Closes what stood idle for long; called now and then.
-    pub fn sweep(&self) {
+    pub fn close_idle(&self) {
         let mut lines = self.lines.borrow_mut();
         lines.values_mut().for_each(|kept| kept.retain(|line| self.fresh(line)));
         lines.retain(|_, kept| !kept.is_empty());
     }
 
-    pub fn take(&self, host: u64, address: SocketAddr) -> Option<Line<C>> {
+    pub fn take(&self, host: u64, address: SocketAddr) -> Option<Connection<C>> {
         let mut lines = self.lines.borrow_mut();
         let kept = lines.get_mut(&host)?;
         // The one used last comes first, so that spare ones grow old and close.
-        let fit =
-            |line: &Line<C>| line.to == address && self.fresh(line) && still(&line.framed) == Still::Quiet;
+        let fit = |line: &Connection<C>| {
+            line.to == address && self.fresh(line) && idle_state(&line.framed) == IdleState::Quiet
+        };
         std::iter::from_fn(|| kept.pop()).find(fit)
     }
 
@@ -103,18 +109,18 @@
     }
 
     /// Keeps a connection for the next hand-off; `idle` is how long the host said that it keeps it.
-    pub fn keep(&self, host: u64, line: Line<C>, idle: Option<f64>) {
+    pub fn put(&self, host: u64, line: Connection<C>, idle: Option<f64>) {
         let now = Instant::now();
         let until = idle.map(|s| now + Duration::from_secs_f64(s.clamp(0.0, 3600.0) * Self::SAFE));
-        self.lines.borrow_mut().entry(host).or_default().push(Line { since: now, until, ..line });
+        self.lines.borrow_mut().entry(host).or_default().push(Connection { since: now, until, ..line });
     }
 
     /// Gives back a connection on which nothing was said: it is kept for no longer than before.
-    pub fn put_back(&self, host: u64, line: Line<C>) {
+    pub fn put_back(&self, host: u64, line: Connection<C>) {
         self.lines.borrow_mut().entry(host).or_default().push(line);
     }
 
-    pub async fn open(&self, address: SocketAddr) -> io::Result<Line<C>> {
+    pub async fn open(&self, address: SocketAddr) -> io::Result<Connection<C>> {
         if self.used.get() >= self.most {
             self.lines.borrow_mut().clear();
         }
@@ -126,6 +132,6 @@
         let stream = timeout(self.connect, TcpStream::connect(address)).await??;
         stream.set_nodelay(true)?;
         let framed = Framed::new(stream, (self.codec)());
-        Ok(Line { framed, to: address, since: Instant::now(), until: None, _place })
+        Ok(Connection { framed, to: address, since: Instant::now(), until: None, _place })
     }
 }
--- a/crates/http/src/departure.rs
+++ b/crates/http/src/disconnect.rs
@@ -13,7 +13,7 @@
 
 /// How the other end went.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Departure {
+pub enum Disconnect {
     /// It ended its sending side. A peer that still reads, and one that closed the whole connection, look the same until
     /// something is written to them.
     Closed,
@@ -23,12 +23,12 @@
 
 /// Ends once the other end has gone. Reads ahead until `most` bytes are buffered; from then on only a close that the
 /// system itself reports beside unread bytes is seen, and looked for ten times a second. May be dropped at any point.
-pub async fn departure<C>(framed: &mut Framed<TcpStream, C>, most: usize) -> Departure {
+pub async fn wait_for_disconnect<C>(framed: &mut Framed<TcpStream, C>, most: usize) -> Disconnect {
     loop {
-        let Ok(ready) = framed.get_ref().ready(Interest::READABLE).await else { return Departure::Reset };
+        let Ok(ready) = framed.get_ref().ready(Interest::READABLE).await else { return Disconnect::Reset };
         if framed.read_buffer().len() >= most {
             if ready.is_read_closed() {
-                return Departure::Closed;
+                return Disconnect::Closed;
             }
             sleep(LOOK_EVERY).await;
             continue;
@@ -37,10 +37,10 @@
         let read = framed.get_ref().try_read_buf(&mut buffer);
         *framed.read_buffer_mut() = buffer;
         match read {
-            Ok(0) => return Departure::Closed,
+            Ok(0) => return Disconnect::Closed,
             Ok(_) => {}
             Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => {}
-            Err(_) => return Departure::Reset,
+            Err(_) => return Disconnect::Reset,
         }
     }
 }
--- a/crates/http/src/frame.rs
+++ b/crates/http/src/frame.rs
@@ -11,26 +11,26 @@
 /// A part of the bytes set aside for large replies, from the first read until the client has the last; given back
 /// when dropped.
 #[derive(Debug)]
-pub struct Held {
+pub struct ReservedBytes {
     room: Rc<Cell<usize>>,
     pub bytes: usize,
 }
 
-impl Held {
-    pub fn take(room: &Rc<Cell<usize>>, bytes: usize) -> Option<Held> {
+impl ReservedBytes {
+    pub fn reserve(room: &Rc<Cell<usize>>, bytes: usize) -> Option<ReservedBytes> {
         room.set(room.get().checked_sub(bytes)?);
-        Some(Held { room: room.clone(), bytes })
+        Some(ReservedBytes { room: room.clone(), bytes })
     }
 }
 
-impl Drop for Held {
+impl Drop for ReservedBytes {
     fn drop(&mut self) {
         self.room.set(self.room.get() + self.bytes);
     }
 }
 
 /// A message that is none.
-pub fn broken(text: &str) -> io::Error {
+pub fn protocol_error(text: &str) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, text)
 }
 
@@ -45,9 +45,9 @@
 
 /// Chunked coding, taken off as bytes arrive.
 #[derive(Debug, Default)]
-pub struct Chunks(Part);
+pub struct ChunkedDecoder(Part);
 
-impl Chunks {
+impl ChunkedDecoder {
     /// Moves what is there from `from` to `to`; true once the last chunk is through.
     pub fn feed(&mut self, from: &mut BytesMut, to: &mut BytesMut) -> io::Result<bool> {
         const MOST_LINE: usize = 1024;
@@ -59,7 +59,7 @@
                         self.0 = if size == 0 { Part::Trailer } else { Part::Data(size) };
                     }
                     Ok(Status::Partial) if from.len() < MOST_LINE => return Ok(false),
-                    _ => return Err(broken("chunk size")),
+                    _ => return Err(protocol_error("chunk size")),
                 },
                 Part::Data(0) => self.0 = Part::End,
                 Part::Data(left) => {
@@ -71,7 +71,7 @@
                     self.0 = Part::Data(left - taken as u64);
                 }
                 Part::End if from.len() < 2 => return Ok(false),
-                Part::End if !from.starts_with(b"\r\n") => return Err(broken("chunk end")),
+                Part::End if !from.starts_with(b"\r\n") => return Err(protocol_error("chunk end")),
                 Part::End => {
                     from.advance(2);
                     self.0 = Part::Size;
@@ -85,7 +85,7 @@
                         }
                     }
                     None if from.len() < MOST_LINE => return Ok(false),
-                    None => return Err(broken("trailer")),
+                    None => return Err(protocol_error("trailer")),
                 },
             }
         }
@@ -94,58 +94,60 @@
 
 /// How long a body is, and what of it has come.
 #[derive(Debug)]
-pub enum Length {
+pub enum BodyLength {
     Sized(usize),
-    Chunked(Chunks, BytesMut),
+    Chunked(ChunkedDecoder, BytesMut),
     ToEnd,
 }
 
-pub enum Body {
+pub enum BodyProgress {
     Whole(Bytes),
     Partial,
     TooLarge,
 }
 
-impl Length {
+impl BodyLength {
     /// Bytes of it as far as known.
     pub fn known(&self, from: &BytesMut) -> usize {
         match self {
-            Length::Sized(size) => *size,
-            Length::Chunked(_, body) => body.len() + from.len(),
-            Length::ToEnd => from.len(),
+            BodyLength::Sized(size) => *size,
+            BodyLength::Chunked(_, body) => body.len() + from.len(),
+            BodyLength::ToEnd => from.len(),
         }
     }
 
     /// The body, once it is whole; `ended` is whether the connection has ended.
-    pub fn take(&mut self, from: &mut BytesMut, ended: bool, most: usize) -> io::Result<Body> {
+    pub fn take(&mut self, from: &mut BytesMut, ended: bool, most: usize) -> io::Result<BodyProgress> {
         match self {
-            Length::Sized(size) if *size > most => Ok(Body::TooLarge),
-            Length::Sized(size) if from.len() >= *size => Ok(Body::Whole(from.split_to(*size).freeze())),
-            Length::Sized(size) => {
+            BodyLength::Sized(size) if *size > most => Ok(BodyProgress::TooLarge),
+            BodyLength::Sized(size) if from.len() >= *size => {
+                Ok(BodyProgress::Whole(from.split_to(*size).freeze()))
+            }
+            BodyLength::Sized(size) => {
                 from.reserve(*size - from.len());
-                Ok(Body::Partial)
+                Ok(BodyProgress::Partial)
             }
-            Length::Chunked(chunks, body) => {
+            BodyLength::Chunked(chunks, body) => {
                 let whole = chunks.feed(from, body)?;
                 if body.len() > most {
-                    return Ok(Body::TooLarge);
+                    return Ok(BodyProgress::TooLarge);
                 }
-                Ok(if whole { Body::Whole(body.split().freeze()) } else { Body::Partial })
+                Ok(if whole { BodyProgress::Whole(body.split().freeze()) } else { BodyProgress::Partial })
             }
-            Length::ToEnd if from.len() > most => Ok(Body::TooLarge),
-            Length::ToEnd if ended => Ok(Body::Whole(from.split().freeze())),
-            Length::ToEnd => Ok(Body::Partial),
+            BodyLength::ToEnd if from.len() > most => Ok(BodyProgress::TooLarge),
+            BodyLength::ToEnd if ended => Ok(BodyProgress::Whole(from.split().freeze())),
+            BodyLength::ToEnd => Ok(BodyProgress::Partial),
         }
     }
 }
 
 /// What the headers say about framing, and the lines that are passed on.
-pub struct Lines {
+pub struct FramingHeaders {
     pub length: Option<usize>,
     pub chunked: bool,
     pub close: bool,
     pub keep: bool,
-    pub passed: Vec<u8>,
+    pub forwarded: Vec<u8>,
 }
 
 /// Headers that belong to one connection, and so are never passed on.
@@ -165,10 +167,11 @@
 
 /// Reads the framing; what is neither about the connection nor among `own` is passed on as it came. None where the
 /// message cannot be framed without doubt.
-pub fn lines(headers: &[Header], own: &[&str]) -> Option<Lines> {
+pub fn framing_headers(headers: &[Header], own: &[&str]) -> Option<FramingHeaders> {
     // Room for the usual lines at once.
     let passed = Vec::with_capacity(256);
-    let mut found = Lines { length: None, chunked: false, close: false, keep: false, passed };
+    let mut found =
+        FramingHeaders { length: None, chunked: false, close: false, keep: false, forwarded: passed };
     for header in headers {
         let is = |name: &str| header.name.eq_ignore_ascii_case(name);
         if is("content-length") {
@@ -191,7 +194,7 @@
             }
         } else if !HOP.iter().chain(own).any(|own| is(own)) {
             for part in [header.name.as_bytes(), b": ", header.value, b"\r\n"] {
-                found.passed.extend_from_slice(part);
+                found.forwarded.extend_from_slice(part);
             }
         }
     }
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -2,7 +2,7 @@
 //! client is still there. Must never know a protocol's own header names, choose a host, or send anything a second time.
 #![forbid(unsafe_code)]
 
-pub mod departure;
+pub mod codec;
+pub mod connection_pool;
+pub mod disconnect;
 pub mod frame;
-pub mod kept;
-pub mod plain;
--- a/crates/http/tests/departure.rs
+++ b/crates/http/tests/departure.rs
@@ -1,8 +1,8 @@
 //! Clients that leave while a request is at work, on loopback sockets: each way to leave is noticed, what was sent early is
 //! kept, and what is read ahead is bounded.
 
-use archlink_http::departure::{Departure, departure};
-use archlink_http::plain::{Asked, ServerSide};
+use archlink_http::codec::{Decoded, ServerCodec};
+use archlink_http::disconnect::{Disconnect, wait_for_disconnect};
 use bytes::BytesMut;
 use futures_util::StreamExt;
 use std::cell::Cell;
@@ -14,14 +14,14 @@
 
 const MOST: usize = 4096;
 
-type Server = Framed<TcpStream, ServerSide>;
+type Server = Framed<TcpStream, ServerCodec>;
 
 /// A client and the server's side of its connection, on which one request was read.
 async fn pair(early: &[u8]) -> (TcpStream, Server) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let mut client = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
     let (server, _) = listener.accept().await.unwrap();
-    let mut server = Framed::new(server, ServerSide::new(&[], 1 << 20, Rc::new(Cell::new(1 << 20))));
+    let mut server = Framed::new(server, ServerCodec::new(&[], 1 << 20, Rc::new(Cell::new(1 << 20))));
     client.write_all(b"GET /first HTTP/1.1\r\n\r\n").await.unwrap();
     assert_eq!(target(&mut server).await.as_deref(), Some("/first"));
     client.write_all(early).await.unwrap();
@@ -30,8 +30,8 @@
 
 async fn target(server: &mut Server) -> Option<String> {
     match server.next().await?.ok()? {
-        Asked::Request(request) => Some(request.target),
-        Asked::Bad(status) => Some(status.to_string()),
+        Decoded::Request(request) => Some(request.target),
+        Decoded::Bad(status) => Some(status.to_string()),
     }
 }
 
@@ -40,10 +40,10 @@
 }
 
 /// Polls for the departure while the runtime turns so many times; none while the client is there.
-async fn watched(server: &mut Server, turns: usize) -> Option<Departure> {
+async fn watched(server: &mut Server, turns: usize) -> Option<Disconnect> {
     tokio::select! {
         biased;
-        departure = departure(server, MOST) => Some(departure),
+        departure = wait_for_disconnect(server, MOST) => Some(departure),
         _ = async { for _ in 0..turns { yield_now().await } } => None,
     }
 }
@@ -55,14 +55,14 @@
             let (client, mut server) = pair(early).await;
             assert_eq!(watched(&mut server, 50).await, None);
             drop(client);
-            assert_eq!(departure(&mut server, MOST).await, Departure::Closed);
+            assert_eq!(wait_for_disconnect(&mut server, MOST).await, Disconnect::Closed);
             let (mut client, mut server) = pair(early).await;
             client.shutdown().await.unwrap();
-            assert_eq!(departure(&mut server, MOST).await, Departure::Closed);
+            assert_eq!(wait_for_disconnect(&mut server, MOST).await, Disconnect::Closed);
             let (client, mut server) = pair(early).await;
             client.set_zero_linger().unwrap();
             drop(client);
-            assert_eq!(departure(&mut server, MOST).await, Departure::Reset);
+            assert_eq!(wait_for_disconnect(&mut server, MOST).await, Disconnect::Reset);
         }
     });
 }
@@ -92,7 +92,7 @@
         let ahead = server.read_buffer().len();
         assert!((MOST..4 * MOST).contains(&ahead), "{ahead} bytes read ahead");
         client.shutdown().await.unwrap();
-        assert_eq!(departure(&mut server, MOST).await, Departure::Closed);
+        assert_eq!(wait_for_disconnect(&mut server, MOST).await, Disconnect::Closed);
         // What a later reader finds is all that was sent.
         let mut rest = BytesMut::from(&server.read_buffer()[..]);
         while server.get_ref().try_read_buf(&mut rest).is_ok_and(|read| read > 0) {}
--- a/crates/messages/tests/wire_fixtures.rs
+++ b/crates/messages/tests/wire_fixtures.rs
@@ -4,8 +4,10 @@
 //! itself: where a line is missing or differs, the test names it and gives the bytes of the code as it stands.
 
 use archlink_messages::{
-    Add, Ballot, Beat, DUTIES, Duty, Held, HostLine, Hosts, Keeper, Mark, Muster, Piece, Pilot, Poll, Post,
-    REGISTERS, Register, Sessions, Slot, Vector, Wire, Word, evacuated, evacuations, pack,
+    AcceptedValue, AcceptorState, ConsensusMessage, ControlNode, CounterAdd, DataNode, Heartbeat,
+    HostInstance, HostList, LeaseGrant, Message, MessageCodec, ProposalNumber, REGISTERS, Register,
+    SINGLETON_ROLES, SessionTable, SingletonRole, StateUpdate, VersionDigest, VersionVector, VoterSet,
+    decode_evacuated_zones, encode_evacuated_zones, patch,
 };
 use bytes::{Bytes, BytesMut};
 use std::collections::{BTreeMap, BTreeSet};
@@ -50,16 +52,17 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn encode(word: &Word) -> Vec<u8> {
+fn encode(word: &Message) -> Vec<u8> {
     let mut buffer = BytesMut::new();
-    Wire::default().encode(word, &mut buffer).unwrap();
+    MessageCodec::default().encode(word, &mut buffer).unwrap();
     buffer.to_vec()
 }
 
 /// Exactly one word, with nothing left over.
-fn decode(name: &str, frame: &[u8]) -> Word {
+fn decode(name: &str, frame: &[u8]) -> Message {
     let mut buffer = BytesMut::from(frame);
-    let word = Wire::default().decode(&mut buffer).unwrap_or_else(|e| panic!("{name} does not decode: {e}"));
+    let word =
+        MessageCodec::default().decode(&mut buffer).unwrap_or_else(|e| panic!("{name} does not decode: {e}"));
     assert!(buffer.is_empty(), "{name} has bytes left over");
     word.unwrap_or_else(|| panic!("{name} is not a whole frame"))
 }
@@ -79,83 +82,89 @@
 
 fn register_name(register: Register) -> &'static str {
     match register {
-        Register::Chart => "chart",
+        Register::Configuration => "chart",
         Register::Evacuations => "evacuations",
-        Register::Muster => "muster",
+        Register::VoterSet => "muster",
     }
 }
 
-fn duty_name(duty: Duty) -> &'static str {
+fn duty_name(duty: SingletonRole) -> &'static str {
     match duty {
-        Duty::Lookout => "lookout",
-        Duty::Tally => "tally",
+        SingletonRole::HostDiscovery => "lookout",
+        SingletonRole::QuotaCounter => "tally",
     }
 }
 
 /// A new variant does not compile without an arm here, and fails the test of numbers without a row in `polls`.
-fn poll_name(poll: &Poll) -> String {
+fn poll_name(poll: &ConsensusMessage) -> String {
     match poll {
-        Poll::Prepare(register, _) => format!("prepare.{}", register_name(*register)),
-        Poll::Promise(register, _, held) => {
+        ConsensusMessage::Prepare(register, _) => format!("prepare.{}", register_name(*register)),
+        ConsensusMessage::Promise(register, _, held) => {
             format!("promise.{}.{}", register_name(*register), option_name(held.is_some()))
         }
-        Poll::Refuse(register, ..) => format!("refuse.{}", register_name(*register)),
-        Poll::Accept(register, held) => {
-            format!("accept.{}.{}", register_name(*register), list_name(held.marks.is_empty()))
+        ConsensusMessage::Reject(register, ..) => format!("refuse.{}", register_name(*register)),
+        ConsensusMessage::Accept(register, held) => {
+            format!("accept.{}.{}", register_name(*register), list_name(held.recent_versions.is_empty()))
         }
-        Poll::Accepted(register, _) => format!("accepted.{}", register_name(*register)),
-        Poll::Ask(_) => "ask".into(),
-        Poll::Answer(_, held) => format!("answer.{}", list_name(held.is_empty())),
-        Poll::Fetch(register) => format!("fetch.{}", register_name(*register)),
-        Poll::Fetched(register, held) => {
-            format!("fetched.{}.{}", register_name(*register), list_name(held.marks.is_empty()))
+        ConsensusMessage::Accepted(register, _) => format!("accepted.{}", register_name(*register)),
+        ConsensusMessage::ReadRequest(_) => "ask".into(),
+        ConsensusMessage::ReadReply(_, held) => format!("answer.{}", list_name(held.is_empty())),
+        ConsensusMessage::FetchValue(register) => format!("fetch.{}", register_name(*register)),
+        ConsensusMessage::FetchedValue(register, held) => {
+            format!("fetched.{}.{}", register_name(*register), list_name(held.recent_versions.is_empty()))
         }
-        Poll::Recall(_) => "recall".into(),
-        Poll::Recalled(_, slots, _) => format!("recalled.{}", list_name(slots.is_empty())),
-        Poll::Bid(post, _) => format!("bid.{}", duty_name(post.duty)),
-        Poll::Renew(post, _) => format!("renew.{}", duty_name(post.duty)),
-        Poll::Kept(post) => format!("kept.{}", duty_name(post.duty)),
-        Poll::Grant(post, _) => format!("grant.{}", duty_name(post.duty)),
-        Poll::Deny(post) => format!("deny.{}", duty_name(post.duty)),
-        Poll::Yield(post, _) => format!("yield.{}", duty_name(post.duty)),
+        ConsensusMessage::StateTransferRequest(_) => "recall".into(),
+        ConsensusMessage::StateTransferReply(_, slots, _) => {
+            format!("recalled.{}", list_name(slots.is_empty()))
+        }
+        ConsensusMessage::LeaseRequest(post, _) => format!("bid.{}", duty_name(post.role)),
+        ConsensusMessage::LeaseRenewal(post, _) => format!("renew.{}", duty_name(post.role)),
+        ConsensusMessage::GrantPersisted(post) => format!("kept.{}", duty_name(post.role)),
+        ConsensusMessage::LeaseGranted(post, _) => format!("grant.{}", duty_name(post.role)),
+        ConsensusMessage::LeaseDenied(post) => format!("deny.{}", duty_name(post.role)),
+        ConsensusMessage::LeaseReleased(post, _) => format!("yield.{}", duty_name(post.role)),
     }
 }
 
 /// As for `poll_name`.
-fn piece_name(piece: &Piece) -> String {
+fn piece_name(piece: &StateUpdate) -> String {
     match piece {
-        Piece::Chosen(register, held) => {
-            format!("chosen.{}.{}", register_name(*register), list_name(held.marks.is_empty()))
+        StateUpdate::Chosen(register, held) => {
+            format!("chosen.{}.{}", register_name(*register), list_name(held.recent_versions.is_empty()))
         }
-        Piece::Chart { packed, .. } => format!("chart.{}", list_name(packed.is_empty())),
-        Piece::Hosts(hosts) => format!("hosts.{}", list_name(hosts.lines.is_empty())),
-        Piece::HostsPatch { packed, .. } => format!("hosts_patch.{}", list_name(packed.is_empty())),
-        Piece::Keepers(keepers) => format!("keepers.{}", list_name(keepers.is_empty())),
-        Piece::Pilots(nodes) => format!("pilots.{}", list_name(nodes.is_empty())),
-        Piece::Sessions(sessions) => format!("sessions.{}", list_name(sessions.pilots.is_empty())),
+        StateUpdate::ConfigurationPatch { packed, .. } => format!("chart.{}", list_name(packed.is_empty())),
+        StateUpdate::HostList(hosts) => format!("hosts.{}", list_name(hosts.instances.is_empty())),
+        StateUpdate::HostListPatch { packed, .. } => format!("hosts_patch.{}", list_name(packed.is_empty())),
+        StateUpdate::ControlNodes(keepers) => format!("keepers.{}", list_name(keepers.is_empty())),
+        StateUpdate::DataNodes(nodes) => format!("pilots.{}", list_name(nodes.is_empty())),
+        StateUpdate::Sessions(sessions) => format!("sessions.{}", list_name(sessions.data_nodes.is_empty())),
     }
 }
 
 /// As for `poll_name`.
-fn word_name(word: &Word) -> String {
+fn word_name(word: &Message) -> String {
     match word {
-        Word::Greet { muster, .. } => format!("greet.{}", list_name(muster.seats.is_empty())),
-        Word::Poll(_, poll) => format!("poll.{}", poll_name(poll)),
-        Word::Muster(muster) => format!("muster.{}", list_name(muster.seats.is_empty())),
-        Word::Beat(beat) => {
-            let lists = list_name(beat.vector.sessions.is_empty());
-            format!("beat.{}.{lists}", option_name(beat.confirmed.is_some()))
+        Message::PeerHello { voter_set: muster, .. } => {
+            format!("greet.{}", list_name(muster.voters.is_empty()))
+        }
+        Message::Consensus(_, poll) => format!("poll.{}", poll_name(poll)),
+        Message::VoterSet(muster) => format!("muster.{}", list_name(muster.voters.is_empty())),
+        Message::Heartbeat(beat) => {
+            let lists = list_name(beat.versions.sessions.is_empty());
+            format!("beat.{}.{lists}", option_name(beat.confirmed_age.is_some()))
         }
-        Word::Pull(vector) => format!("pull.{}", list_name(vector.sessions.is_empty())),
-        Word::News(pieces) => match pieces.as_slice() {
+        Message::UpdateRequest(vector) => format!("pull.{}", list_name(vector.sessions.is_empty())),
+        Message::StateUpdates(pieces) => match pieces.as_slice() {
             [] => "news.empty".into(),
             [piece] => format!("news.{}", piece_name(piece)),
             [..] => "news.several".into(),
         },
-        Word::Hail { terms, .. } => format!("hail.{}", list_name(terms.is_empty())),
-        Word::Adds { adds, .. } => format!("adds.{}", list_name(adds.is_empty())),
-        Word::Totals { totals: None, .. } => "totals.none".into(),
-        Word::Totals { totals: Some(totals), .. } => format!("totals.some.{}", list_name(totals.is_empty())),
+        Message::SessionHeartbeat { leases: terms, .. } => format!("hail.{}", list_name(terms.is_empty())),
+        Message::CounterAdds { adds, .. } => format!("adds.{}", list_name(adds.is_empty())),
+        Message::CounterTotals { totals: None, .. } => "totals.none".into(),
+        Message::CounterTotals { totals: Some(totals), .. } => {
+            format!("totals.some.{}", list_name(totals.is_empty()))
+        }
     }
 }
 
@@ -172,214 +181,242 @@
 }
 
 /// Numbers of one, two and more bytes on the wire, so that a change of the encoding or of the order of fields shows.
-fn ballot() -> Ballot {
-    Ballot { round: 0x0100_0000_0003, node: 0x0a01_0020, nonce: 300 }
+fn ballot() -> ProposalNumber {
+    ProposalNumber { round: 0x0100_0000_0003, node: 0x0a01_0020, nonce: 300 }
 }
 
-fn later_ballot() -> Ballot {
-    Ballot { round: 0x0100_0000_0004, node: 0x0a01_0027, nonce: 7 }
+fn later_ballot() -> ProposalNumber {
+    ProposalNumber { round: 0x0100_0000_0004, node: 0x0a01_0027, nonce: 7 }
 }
 
-fn held() -> Held {
-    Held {
-        ballot: ballot(),
-        stamp: 513,
+fn held() -> AcceptedValue {
+    AcceptedValue {
+        proposal: ballot(),
+        revision: 513,
         value: Bytes::from_static(b"text"),
-        marks: vec![
-            Mark { version: 3, digest: [5; 16] },
-            Mark { version: 1000, digest: *b"0123456789abcdef" },
+        recent_versions: vec![
+            VersionDigest { version: 3, digest: [5; 16] },
+            VersionDigest { version: 1000, digest: *b"0123456789abcdef" },
         ],
     }
 }
 
-fn muster() -> Muster {
-    Muster { epoch: 0x1_0002_0003, seats: vec![0x0a01_0020, 0x0a01_0027], coming: vec![0x0a01_002e] }
+fn muster() -> VoterSet {
+    VoterSet { epoch: 0x1_0002_0003, voters: vec![0x0a01_0020, 0x0a01_0027], incoming: vec![0x0a01_002e] }
 }
 
-fn keeper() -> Keeper {
-    Keeper {
+fn keeper() -> ControlNode {
+    ControlNode {
         node: 0x0a01_0020,
         zone: "zone-1".into(),
         region: "region-2".into(),
-        control: address("10.1.0.32:7301"),
+        operator_address: address("10.1.0.32:7301"),
     }
 }
 
-fn other_keeper() -> Keeper {
-    Keeper { node: 9, zone: String::new(), region: "r".into(), control: address("10.1.0.39:80") }
+fn other_keeper() -> ControlNode {
+    ControlNode {
+        node: 9,
+        zone: String::new(),
+        region: "r".into(),
+        operator_address: address("10.1.0.39:80"),
+    }
 }
 
-fn pilot(ready: bool) -> Pilot {
-    Pilot {
+fn pilot(ready: bool) -> DataNode {
+    DataNode {
         node: 0x0a01_0040,
         zone: "zone-3".into(),
         region: "region-4".into(),
-        front: address("10.1.0.64:8080"),
+        client_address: address("10.1.0.64:8080"),
         ready,
     }
 }
 
-fn hosts() -> Hosts {
-    let line = HostLine {
+fn hosts() -> HostList {
+    let line = HostInstance {
         id: "host-1".into(),
         service: "service-é".into(),
         address: address("10.2.3.4:9000"),
         zone: "zone-1".into(),
         capacity: 640,
         draining: true,
-        cold_for: 2.5,
+        warm_up_seconds: 2.5,
+    };
+    let other = HostInstance {
+        id: "host-2".into(),
+        draining: false,
+        warm_up_seconds: 0.0,
+        capacity: 1,
+        ..line.clone()
     };
-    let other = HostLine { id: "host-2".into(), draining: false, cold_for: 0.0, capacity: 1, ..line.clone() };
-    Hosts { term: 12, version: 345, lines: vec![line, other] }
+    HostList { term: 12, version: 345, instances: vec![line, other] }
 }
 
-fn sessions() -> Sessions {
-    Sessions { source: 0x0a01_0020, boot: 1 << 40, version: 129, pilots: vec![pilot(true), pilot(false)] }
+fn sessions() -> SessionTable {
+    SessionTable {
+        source: 0x0a01_0020,
+        incarnation: 1 << 40,
+        version: 129,
+        data_nodes: vec![pilot(true), pilot(false)],
+    }
 }
 
-fn vector() -> Vector {
-    Vector {
-        chart: 1,
+fn vector() -> VersionVector {
+    VersionVector {
+        configuration: 1,
         evacuations: 200,
         hosts: (3, 40_000),
-        keepers: u64::MAX,
-        pilots: 5,
+        control_nodes: u64::MAX,
+        data_nodes: 5,
         sessions: vec![(0x0a01_0020, 6, 7), (0x0a01_0027, 800, 9)],
     }
 }
 
-fn post(duty: Duty) -> Post {
-    Post { duty, holder: 0x0a01_0020, term: 77 }
+fn post(duty: SingletonRole) -> LeaseGrant {
+    LeaseGrant { role: duty, holder: 0x0a01_0020, term: 77 }
 }
 
-fn posts() -> Vec<Post> {
-    DUTIES.map(post).to_vec()
+fn posts() -> Vec<LeaseGrant> {
+    SINGLETON_ROLES.map(post).to_vec()
 }
 
-fn polls() -> Vec<Poll> {
+fn polls() -> Vec<ConsensusMessage> {
     let mut all = Vec::new();
     for register in REGISTERS {
         all.extend([
-            Poll::Prepare(register, ballot()),
-            Poll::Promise(register, ballot(), None),
-            Poll::Promise(register, ballot(), Some(held())),
-            Poll::Refuse(register, ballot(), later_ballot()),
-            Poll::Accept(register, Held::default()),
-            Poll::Accept(register, held()),
-            Poll::Accepted(register, ballot()),
-            Poll::Fetch(register),
-            Poll::Fetched(register, Held::default()),
-            Poll::Fetched(register, held()),
+            ConsensusMessage::Prepare(register, ballot()),
+            ConsensusMessage::Promise(register, ballot(), None),
+            ConsensusMessage::Promise(register, ballot(), Some(held())),
+            ConsensusMessage::Reject(register, ballot(), later_ballot()),
+            ConsensusMessage::Accept(register, AcceptedValue::default()),
+            ConsensusMessage::Accept(register, held()),
+            ConsensusMessage::Accepted(register, ballot()),
+            ConsensusMessage::FetchValue(register),
+            ConsensusMessage::FetchedValue(register, AcceptedValue::default()),
+            ConsensusMessage::FetchedValue(register, held()),
         ]);
     }
     let slots = vec![
-        (Register::Chart, Slot { promised: later_ballot(), held: Some(held()) }),
-        (Register::Evacuations, Slot { promised: ballot(), held: None }),
-        (Register::Muster, Slot::default()),
+        (Register::Configuration, AcceptorState { promised: later_ballot(), accepted: Some(held()) }),
+        (Register::Evacuations, AcceptorState { promised: ballot(), accepted: None }),
+        (Register::VoterSet, AcceptorState::default()),
     ];
     all.extend([
-        Poll::Ask(501),
-        Poll::Answer(501, Vec::new()),
-        Poll::Answer(
+        ConsensusMessage::ReadRequest(501),
+        ConsensusMessage::ReadReply(501, Vec::new()),
+        ConsensusMessage::ReadReply(
             502,
             vec![
-                (Register::Chart, ballot()),
+                (Register::Configuration, ballot()),
                 (Register::Evacuations, later_ballot()),
-                (Register::Muster, Ballot::default()),
+                (Register::VoterSet, ProposalNumber::default()),
             ],
         ),
-        Poll::Recall(503),
-        Poll::Recalled(503, Vec::new(), Vec::new()),
-        Poll::Recalled(504, slots, posts()),
+        ConsensusMessage::StateTransferRequest(503),
+        ConsensusMessage::StateTransferReply(503, Vec::new(), Vec::new()),
+        ConsensusMessage::StateTransferReply(504, slots, posts()),
     ]);
-    for duty in DUTIES {
+    for duty in SINGLETON_ROLES {
         all.extend([
-            Poll::Bid(post(duty), 601),
-            Poll::Renew(post(duty), 602),
-            Poll::Kept(post(duty)),
-            Poll::Grant(post(duty), 603),
-            Poll::Deny(post(duty)),
-            Poll::Yield(post(duty), 0x0a01_0027),
+            ConsensusMessage::LeaseRequest(post(duty), 601),
+            ConsensusMessage::LeaseRenewal(post(duty), 602),
+            ConsensusMessage::GrantPersisted(post(duty)),
+            ConsensusMessage::LeaseGranted(post(duty), 603),
+            ConsensusMessage::LeaseDenied(post(duty)),
+            ConsensusMessage::LeaseReleased(post(duty), 0x0a01_0027),
         ]);
     }
     all
 }
 
-fn pieces() -> Vec<Piece> {
+fn pieces() -> Vec<StateUpdate> {
     let mut all = Vec::new();
     for register in REGISTERS {
-        all.extend([Piece::Chosen(register, Held::default()), Piece::Chosen(register, held())]);
+        all.extend([
+            StateUpdate::Chosen(register, AcceptedValue::default()),
+            StateUpdate::Chosen(register, held()),
+        ]);
     }
     all.extend([
-        Piece::Chart { stamp: 514, base: 0, packed: Bytes::new() },
-        Piece::Chart { stamp: 514, base: 513, packed: Bytes::from_static(b"packed") },
-        Piece::Hosts(Hosts::default()),
-        Piece::Hosts(hosts()),
-        Piece::HostsPatch { stamp: (12, 346), base: (0, 0), packed: Bytes::new() },
-        Piece::HostsPatch { stamp: (12, 346), base: (11, 345), packed: Bytes::from_static(b"patch") },
-        Piece::Keepers(Vec::new()),
-        Piece::Keepers(vec![keeper(), other_keeper()]),
-        Piece::Pilots(Vec::new()),
-        Piece::Pilots(vec![0x0a01_0040, 3]),
-        Piece::Sessions(Sessions::default()),
-        Piece::Sessions(sessions()),
+        StateUpdate::ConfigurationPatch { stamp: 514, base: 0, packed: Bytes::new() },
+        StateUpdate::ConfigurationPatch { stamp: 514, base: 513, packed: Bytes::from_static(b"packed") },
+        StateUpdate::HostList(HostList::default()),
+        StateUpdate::HostList(hosts()),
+        StateUpdate::HostListPatch { stamp: (12, 346), base: (0, 0), packed: Bytes::new() },
+        StateUpdate::HostListPatch {
+            stamp: (12, 346),
+            base: (11, 345),
+            packed: Bytes::from_static(b"patch"),
+        },
+        StateUpdate::ControlNodes(Vec::new()),
+        StateUpdate::ControlNodes(vec![keeper(), other_keeper()]),
+        StateUpdate::DataNodes(Vec::new()),
+        StateUpdate::DataNodes(vec![0x0a01_0040, 3]),
+        StateUpdate::Sessions(SessionTable::default()),
+        StateUpdate::Sessions(sessions()),
     ]);
     all
 }
 
-fn beats() -> Vec<Beat> {
-    let empty = Beat {
+fn beats() -> Vec<Heartbeat> {
+    let empty = Heartbeat {
         serial: 0,
-        clock: 0.25,
-        confirmed: None,
-        vector: Vector::default(),
-        posts: Vec::new(),
-        muster: Muster::default(),
-        whole: false,
-        missing: Vec::new(),
+        cluster_clock: 0.25,
+        confirmed_age: None,
+        versions: VersionVector::default(),
+        leases: Vec::new(),
+        voter_set: VoterSet::default(),
+        recovered: false,
+        suspected: Vec::new(),
     };
-    let filled = Beat {
+    let filled = Heartbeat {
         serial: 4242,
-        clock: 1234.5,
-        confirmed: Some(0.75),
-        vector: vector(),
-        posts: posts(),
-        muster: muster(),
-        whole: true,
-        missing: vec![0x0a01_002e, 4],
+        cluster_clock: 1234.5,
+        confirmed_age: Some(0.75),
+        versions: vector(),
+        leases: posts(),
+        voter_set: muster(),
+        recovered: true,
+        suspected: vec![0x0a01_002e, 4],
     };
     vec![
-        Beat { confirmed: Some(0.0), ..empty.clone() },
-        Beat { confirmed: None, ..filled.clone() },
+        Heartbeat { confirmed_age: Some(0.0), ..empty.clone() },
+        Heartbeat { confirmed_age: None, ..filled.clone() },
         empty,
         filled,
     ]
 }
 
-fn words() -> Vec<Word> {
-    let mut all: Vec<Word> = polls().into_iter().map(|poll| Word::Poll(0x1_0002_0003, poll)).collect();
-    all.extend(pieces().into_iter().map(|piece| Word::News(vec![piece])));
-    all.extend(beats().into_iter().map(Word::Beat));
+fn words() -> Vec<Message> {
+    let mut all: Vec<Message> =
+        polls().into_iter().map(|poll| Message::Consensus(0x1_0002_0003, poll)).collect();
+    all.extend(pieces().into_iter().map(|piece| Message::StateUpdates(vec![piece])));
+    all.extend(beats().into_iter().map(Message::Heartbeat));
     let adds = vec![
-        Add { name: 0xcbf2_9ce4_8422_2325, amount: 1.5, keep: 60.0 },
-        Add { name: 2, amount: -0.5, keep: 0.25 },
+        CounterAdd { key: 0xcbf2_9ce4_8422_2325, amount: 1.5, lifetime: 60.0 },
+        CounterAdd { key: 2, amount: -0.5, lifetime: 0.25 },
     ];
     all.extend([
-        Word::Greet { keeper: other_keeper(), muster: Muster::default() },
-        Word::Greet { keeper: keeper(), muster: muster() },
-        Word::Muster(Muster::default()),
-        Word::Muster(muster()),
-        Word::Pull(Vector::default()),
-        Word::Pull(vector()),
-        Word::News(Vec::new()),
-        Word::News(vec![Piece::Pilots(vec![3]), Piece::Keepers(vec![keeper()]), Piece::Hosts(hosts())]),
-        Word::Hail { serial: 1, pilot: pilot(false), clock: 0.0, terms: Vec::new() },
-        Word::Hail { serial: 301, pilot: pilot(true), clock: 99.125, terms: posts() },
-        Word::Adds { serial: 2, term: 77, clock: 1.0, adds: Vec::new() },
-        Word::Adds { serial: 302, term: 78, clock: 98.5, adds },
-        Word::Totals { serial: 3, clock: 1.0, totals: None },
-        Word::Totals { serial: 4, clock: 2.0, totals: Some(Vec::new()) },
-        Word::Totals { serial: 303, clock: 97.75, totals: Some(vec![1.5, 0.0, -2.25]) },
+        Message::PeerHello { control_node: other_keeper(), voter_set: VoterSet::default() },
+        Message::PeerHello { control_node: keeper(), voter_set: muster() },
+        Message::VoterSet(VoterSet::default()),
+        Message::VoterSet(muster()),
+        Message::UpdateRequest(VersionVector::default()),
+        Message::UpdateRequest(vector()),
+        Message::StateUpdates(Vec::new()),
+        Message::StateUpdates(vec![
+            StateUpdate::DataNodes(vec![3]),
+            StateUpdate::ControlNodes(vec![keeper()]),
+            StateUpdate::HostList(hosts()),
+        ]),
+        Message::SessionHeartbeat { serial: 1, data_node: pilot(false), clock: 0.0, leases: Vec::new() },
+        Message::SessionHeartbeat { serial: 301, data_node: pilot(true), clock: 99.125, leases: posts() },
+        Message::CounterAdds { serial: 2, term: 77, clock: 1.0, adds: Vec::new() },
+        Message::CounterAdds { serial: 302, term: 78, clock: 98.5, adds },
+        Message::CounterTotals { serial: 3, clock: 1.0, totals: None },
+        Message::CounterTotals { serial: 4, clock: 2.0, totals: Some(Vec::new()) },
+        Message::CounterTotals { serial: 303, clock: 97.75, totals: Some(vec![1.5, 0.0, -2.25]) },
     ]);
     all
 }
@@ -434,11 +471,11 @@
     // A poll of epoch 0, and news of one piece: one byte for the word, one before the inner variant.
     for poll in polls() {
         let name = first(&poll_name(&poll));
-        found[1].insert((encode(&Word::Poll(0, poll))[LENGTH + 2].into(), name));
+        found[1].insert((encode(&Message::Consensus(0, poll))[LENGTH + 2].into(), name));
     }
     for piece in pieces() {
         let name = first(&piece_name(&piece));
-        found[2].insert((encode(&Word::News(vec![piece]))[LENGTH + 2].into(), name));
+        found[2].insert((encode(&Message::StateUpdates(vec![piece]))[LENGTH + 2].into(), name));
     }
     let numbered = |names: &[&str]| names.iter().map(|name| name.to_string()).enumerate().collect();
     assert_eq!(found, [numbered(&WORDS), numbered(&POLLS), numbered(&PIECES)]);
@@ -448,7 +485,7 @@
         for body in [0, 1, 255].into_iter().flat_map(|byte: u8| (0..64).map(move |length| vec![byte; length]))
         {
             let frame = [&((head.len() + body.len()) as u32).to_be_bytes(), head, &body].concat();
-            let read = Wire::default().decode(&mut BytesMut::from(&frame[..]));
+            let read = MessageCodec::default().decode(&mut BytesMut::from(&frame[..]));
             assert!(read.is_err(), "{head:?} is read as {read:?}");
         }
     };
@@ -459,9 +496,9 @@
 
 #[test]
 fn a_list_of_hosts_is_stored_as_the_recorded_bytes() {
-    for (name, hosts) in [("value.hosts.empty", Hosts::default()), ("value.hosts.filled", hosts())] {
+    for (name, hosts) in [("value.hosts.empty", HostList::default()), ("value.hosts.filled", hosts())] {
         assert_recorded(name, &hosts.to_bytes());
-        let read = Hosts::from_bytes(&recorded()[name]).unwrap();
+        let read = HostList::from_bytes(&recorded()[name]).unwrap();
         assert_eq!(read, hosts, "{name}");
         assert_recorded(name, &read.to_bytes());
     }
@@ -470,12 +507,12 @@
 /// The default one, not known yet, is encoded but refused as a stored value.
 #[test]
 fn a_set_of_voters_is_stored_as_the_recorded_bytes() {
-    assert_recorded("value.muster.default", &Muster::default().to_bytes());
-    assert_eq!(Muster::from_bytes(&recorded()["value.muster.default"]), None);
-    let settled = Muster { coming: Vec::new(), ..muster() };
+    assert_recorded("value.muster.default", &VoterSet::default().to_bytes());
+    assert_eq!(VoterSet::from_bytes(&recorded()["value.muster.default"]), None);
+    let settled = VoterSet { incoming: Vec::new(), ..muster() };
     for (name, muster) in [("value.muster.settled", settled), ("value.muster.changing", muster())] {
         assert_recorded(name, &muster.to_bytes());
-        let read = Muster::from_bytes(&recorded()[name]).unwrap();
+        let read = VoterSet::from_bytes(&recorded()[name]).unwrap();
         assert_eq!(read, muster, "{name}");
         assert_recorded(name, &read.to_bytes());
     }
@@ -485,10 +522,10 @@
 fn evacuated_zones_are_stored_as_the_recorded_bytes() {
     let two = BTreeSet::from(["zone-2".to_string(), "zone-1".to_string()]);
     for (name, zones) in [("value.evacuations.none", BTreeSet::new()), ("value.evacuations.two", two)] {
-        assert_recorded(name, &evacuations(zones.clone()));
-        let read = evacuated(&recorded()[name]);
+        assert_recorded(name, &encode_evacuated_zones(zones.clone()));
+        let read = decode_evacuated_zones(&recorded()[name]);
         assert_eq!(read, zones, "{name}");
-        assert_recorded(name, &evacuations(read));
+        assert_recorded(name, &encode_evacuated_zones(read));
     }
 }
 
@@ -496,9 +533,9 @@
 #[test]
 fn recorded_packed_texts_are_unpacked() {
     for (name, base) in [("value.packed.alone", b"".as_slice()), ("value.packed.against_base", BASE)] {
-        assert_eq!(pack::unpack(&recorded()[name], base).unwrap(), TEXT, "{name}");
-        let again = pack::pack(TEXT, base).unwrap();
-        assert_eq!(pack::unpack(&again, base).unwrap(), TEXT, "{name}");
+        assert_eq!(patch::decompress(&recorded()[name], base).unwrap(), TEXT, "{name}");
+        let again = patch::compress(TEXT, base).unwrap();
+        assert_eq!(patch::decompress(&again, base).unwrap(), TEXT, "{name}");
         assert_eq!(again[..4], recorded()[name][..4], "{name}: the text's length");
     }
 }
--- a/crates/migrate/src/lib.rs
+++ b/crates/migrate/src/lib.rs
@@ -57,7 +57,7 @@
             "known" => {
                 leave(key, "it names hosts of the old deployment; the first list is asked for instead")
             }
-            key if PEERS.contains(&key) && !told.terms.may_tell => {
+            key if PEERS.contains(&key) && !told.admission.may_message_peers => {
                 if value.as_array().is_none_or(|peers| !peers.is_empty()) {
                     leave(key, "gateways of the new shape may not talk to each other");
                 }
@@ -66,11 +66,11 @@
             key => leave(key, "no gateway reads this key"),
         }
     }
-    if told.terms.my_number >= told.terms.gateways {
-        let (number, all) = (told.terms.my_number, told.terms.gateways);
+    if told.admission.gateway_number >= told.admission.gateways {
+        let (number, all) = (told.admission.gateway_number, told.admission.gateways);
         return Err(format!("settings.self-index: {number} is none of the {all} gateways of the new shape"));
     }
-    if told.terms.may_count && file.get("counter").is_none_or(Value::is_null) {
+    if told.admission.may_count && file.get("counter").is_none_or(Value::is_null) {
         return Err("counter: missing, though the new shape counts (settings.domain.may-count)".into());
     }
     file.insert("settings".into(), Value::Object(settings));
--- a/crates/quota/src/book.rs
+++ b/crates/quota/src/counter.rs
@@ -2,7 +2,7 @@
 //! on disk or handed over. A new holder answers nothing until what its predecessor granted has left every tier's window.
 //! Must never answer outside its term.
 
-use archlink_messages::Add;
+use archlink_messages::CounterAdd;
 use std::collections::HashMap;
 
 /// Most names at a time; an add to a further one gets no answer, which a gateway takes for a silent counter.
@@ -14,19 +14,19 @@
 /// Data gateways that live on claim their own parts of the present windows again with their first adds; what is lost is the
 /// part of those that died as well. The predecessor's grant, which is over by then, and this make up for that: an eager
 /// tenant's burst comes back at its rate meanwhile.
-pub const SILENCE: f64 = 0.4;
+pub const NEW_HOLDER_SILENCE: f64 = 0.4;
 
 #[derive(Default)]
-pub struct Book {
+pub struct Counter {
     term: u64,
     names: HashMap<u64, (f64, f64)>,
     swept: f64,
 }
 
-impl Book {
+impl Counter {
     /// Totals after these adds, in their order; none, and nothing added, where a name finds no room or the term is over. A
     /// later term begins with nothing.
-    pub fn add(&mut self, now: f64, term: u64, adds: &[Add]) -> Option<Vec<f32>> {
+    pub fn add(&mut self, now: f64, term: u64, adds: &[CounterAdd]) -> Option<Vec<f32>> {
         if term < self.term {
             return None;
         }
@@ -40,7 +40,7 @@
         }
         // "Not added" has to be true of all of them.
         if self.names.len() + adds.len() > MOST_NAMES {
-            let fresh = adds.iter().filter(|add| !self.names.contains_key(&add.name)).count();
+            let fresh = adds.iter().filter(|add| !self.names.contains_key(&add.key)).count();
             if self.names.len() + fresh > MOST_NAMES {
                 return None;
             }
@@ -48,10 +48,10 @@
         Some(adds.iter().map(|add| self.one(now, add)).collect())
     }
 
-    fn one(&mut self, now: f64, add: &Add) -> f32 {
+    fn one(&mut self, now: f64, add: &CounterAdd) -> f32 {
         const MOST_KEEP: f64 = 60.0;
-        let fresh = (0.0, now + f64::from(add.keep).clamp(0.0, MOST_KEEP));
-        let entry = self.names.entry(add.name).or_insert(fresh);
+        let fresh = (0.0, now + f64::from(add.lifetime).clamp(0.0, MOST_KEEP));
+        let entry = self.names.entry(add.key).or_insert(fresh);
         if now >= entry.1 {
             *entry = fresh;
         }
@@ -61,7 +61,7 @@
         entry.0 as f32
     }
 
-    pub fn names(&self) -> usize {
+    pub fn key_count(&self) -> usize {
         self.names.len()
     }
 }
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -4,7 +4,7 @@
 //! sum). None does I/O or reads a clock.
 #![forbid(unsafe_code)]
 
-pub mod asker;
-pub mod book;
-pub mod frames;
-pub mod share;
+pub mod counter;
+pub mod counter_client;
+pub mod local_share;
+pub mod pending_calls;
--- a/crates/quota/src/share.rs
+++ b/crates/quota/src/local_share.rs
@@ -9,7 +9,7 @@
 //! A gateway that starts anew waits for as long first, as its life before may have let on all of it a moment ago; one that
 //! is cut off or wakes from a freeze has no more than its own.
 
-use archlink_messages::Lot;
+use archlink_messages::NodeRank;
 use std::collections::VecDeque;
 
 /// Part of a quota that the counter grants. The rest is not lost: tenants that press are let on by the shares as well. Less
@@ -27,13 +27,13 @@
 const MARGIN: f64 = 0.12;
 /// The rule's figures.
 #[derive(Clone, Copy, Debug)]
-pub struct Bound {
+pub struct QuotaBound {
     pub window: f64,
     pub overrun: f64,
     pub slack: f64,
 }
 
-impl Bound {
+impl QuotaBound {
     /// All that the shares of a quota may let on together in any window, beside a counter that grants `counted` of it.
     fn beside(&self, counted: f64, rate: f64, burst: f64) -> f64 {
         let whole = rate * self.window + burst;
@@ -41,40 +41,40 @@
     }
 
     /// Part of a quota that the counter grants, among so many gateways.
-    pub fn counted(&self, rate: f64, burst: f64, gateways: u32) -> f64 {
+    pub fn counted_fraction(&self, rate: f64, burst: f64, gateways: u32) -> f64 {
         let mine = self.beside(COUNTED, rate, burst) / f64::from(gateways.next_multiple_of(FEW));
         if gateways > FEW && mine < LEAST_SHARE { COUNTED_ALONE } else { COUNTED }
     }
 
     /// All that the shares of a quota may let on together in any window.
-    pub fn shares(&self, rate: f64, burst: f64, gateways: u32) -> f64 {
-        self.beside(self.counted(rate, burst, gateways), rate, burst)
+    pub fn total_shares(&self, rate: f64, burst: f64, gateways: u32) -> f64 {
+        self.beside(self.counted_fraction(rate, burst, gateways), rate, burst)
     }
 }
 
 /// One tenant's share at this gateway: when requests were let on, within the last window.
 #[derive(Clone, Debug)]
-pub struct Share {
+pub struct LocalShare {
     since: f64,
     let_on: VecDeque<f64>,
 }
 
-impl Share {
+impl LocalShare {
     /// `since` is when this gateway started.
-    pub fn new(since: f64) -> Share {
-        Share { since, let_on: VecDeque::new() }
+    pub fn new(since: f64) -> LocalShare {
+        LocalShare { since, let_on: VecDeque::new() }
     }
 
     /// Lets one request on, if there is room.
-    pub fn take(&mut self, now: f64, bound: &Bound, rate: f64, burst: f64, lot: Lot) -> bool {
-        if lot.gateways == 0 || now < self.since + bound.window {
+    pub fn try_admit(&mut self, now: f64, bound: &QuotaBound, rate: f64, burst: f64, lot: NodeRank) -> bool {
+        if lot.nodes == 0 || now < self.since + bound.window {
             return false;
         }
         while self.let_on.front().is_some_and(|at| *at + bound.window <= now) {
             self.let_on.pop_front();
         }
-        let all = bound.shares(rate, burst, lot.gateways as u32).max(0.0) as usize;
-        let room = self.let_on.len() < lot.part(all);
+        let all = bound.total_shares(rate, burst, lot.nodes as u32).max(0.0) as usize;
+        let room = self.let_on.len() < lot.portion(all);
         if room {
             self.let_on.push_back(now);
         }
--- a/crates/quota/tests/quota.rs
+++ b/crates/quota/tests/quota.rs
@@ -1,21 +1,21 @@
 //! Several askers on one book, in made-up time: the rule's bound over all of them, with the counter at hand, silent, moved,
 //! and for a gateway that is cut off. Guards against shares granted twice and against refusals inside a quota.
 
-use archlink_messages::{Add, Lot};
-use archlink_quota::asker::{Asker, Quota, Verdict};
-use archlink_quota::book::Book;
-use archlink_quota::frames::Settled;
-use archlink_quota::share::{Bound, Share};
+use archlink_messages::{CounterAdd, NodeRank};
+use archlink_quota::counter::Counter;
+use archlink_quota::counter_client::{Asker, Quota, Verdict};
+use archlink_quota::local_share::{LocalShare, QuotaBound};
+use archlink_quota::pending_calls::CallResult;
 use std::collections::VecDeque;
 
-const BOUND: Bound = Bound { window: 5.0, overrun: 0.1, slack: 20.0 };
+const BOUND: QuotaBound = QuotaBound { window: 5.0, overrun: 0.1, slack: 20.0 };
 
 struct Gateway {
     asker: Asker,
-    share: Share,
+    share: LocalShare,
     /// Adds on their way, and when they arrive.
-    way: VecDeque<(f64, Vec<Add>)>,
-    back: VecDeque<(f64, Settled)>,
+    way: VecDeque<(f64, Vec<CounterAdd>)>,
+    back: VecDeque<(f64, CallResult)>,
 }
 
 /// Plays `gateways` for `length` seconds with `pressed` requests a second in all; `reach(gateway, now)` is the counter's
@@ -30,15 +30,15 @@
     const STEP: f64 = 0.002;
     const WAY: f64 = 0.02;
     let start = 1000.0;
-    let mut book = Book::default();
+    let mut book = Counter::default();
     let mut all: Vec<Gateway> = (0..gateways)
         .map(|n| {
             let mut asker = Asker::new(start, n as u64);
-            let counted = BOUND.counted(quota.rate, quota.burst, gateways as u32);
+            let counted = BOUND.counted_fraction(quota.rate, quota.burst, gateways as u32);
             asker.quotas(&[Quota { counted, ..quota.clone() }]);
             Gateway {
                 asker,
-                share: Share::new(start - BOUND.window),
+                share: LocalShare::new(start - BOUND.window),
                 way: VecDeque::new(),
                 back: VecDeque::new(),
             }
@@ -51,34 +51,34 @@
         while due >= 1.0 {
             due -= 1.0;
             next = (next + 1) % gateways;
-            all[next].asker.ask(now, &quota.tenant, 1.0);
+            all[next].asker.request(now, &quota.tenant, 1.0);
         }
         for (n, gateway) in all.iter_mut().enumerate() {
             while gateway.way.front().is_some_and(|w| w.0 <= now) {
                 let (_, adds) = gateway.way.pop_front().unwrap();
                 match reach(n, now) {
-                    0 => gateway.asker.settled(now, Settled::NotAdded(adds)),
+                    0 => gateway.asker.call_finished(now, CallResult::NotAdded(adds)),
                     term => {
                         let totals = book.add(now, term, &adds).unwrap();
-                        gateway.back.push_back((now + WAY, Settled::Totals(adds, totals)));
+                        gateway.back.push_back((now + WAY, CallResult::Totals(adds, totals)));
                     }
                 }
             }
             while gateway.back.front().is_some_and(|w| w.0 <= now) {
                 let (_, settled) = gateway.back.pop_front().unwrap();
-                gateway.asker.settled(now, settled);
+                gateway.asker.call_finished(now, settled);
             }
             if gateway.asker.wake_at().is_some_and(|at| at <= now) {
-                gateway.asker.woken(now);
+                gateway.asker.timer_fired(now);
             }
-            for (_, verdict) in gateway.asker.verdicts() {
-                let lot = Lot { place: n, gateways };
-                let mut share = || gateway.share.take(now, &BOUND, quota.rate, quota.burst, lot);
+            for (_, verdict) in gateway.asker.take_verdicts() {
+                let lot = NodeRank { rank: n, nodes: gateways };
+                let mut share = || gateway.share.try_admit(now, &BOUND, quota.rate, quota.burst, lot);
                 if verdict == Verdict::Granted || share() {
                     let_on.push(now - start);
                 }
             }
-            let adds = gateway.asker.adds();
+            let adds = gateway.asker.take_adds();
             if !adds.is_empty() {
                 gateway.way.push_back((now + WAY, adds));
             }
@@ -125,7 +125,7 @@
     for quota in [quota(120.0, 120.0), quota(8.0, 8.0)] {
         let reach = |n: usize, now: f64| match now - 1000.0 {
             t if n < 4 && (3.0..9.0).contains(&t) => 0,
-            t if (7.0..7.1 + archlink_quota::book::SILENCE).contains(&t) => 0,
+            t if (7.0..7.1 + archlink_quota::counter::NEW_HOLDER_SILENCE).contains(&t) => 0,
             t if t < 7.0 => 1,
             _ => 2,
         };
@@ -154,15 +154,15 @@
     let quota = quota(120.0, 120.0);
     let let_on = play(9, &quota, 600.0, 15.0, |_, _| 0);
     let most = most_in_a_window(&let_on) as f64;
-    assert!(most <= BOUND.shares(quota.rate, quota.burst, 9), "{most}");
-    assert!(most >= BOUND.shares(quota.rate, quota.burst, 9) * 0.8, "{most}");
+    assert!(most <= BOUND.total_shares(quota.rate, quota.burst, 9), "{most}");
+    assert!(most >= BOUND.total_shares(quota.rate, quota.burst, 9) * 0.8, "{most}");
 }
 
 /// "Not added" is true of all adds of a question, and a term that is over adds nothing: the asker claims them again.
 #[test]
 fn a_book_without_room_or_of_another_term_adds_nothing() {
-    let add = |name: u64| Add { name, amount: 1.0, keep: 50.0 };
-    let mut book = Book::default();
+    let add = |name: u64| CounterAdd { key: name, amount: 1.0, lifetime: 50.0 };
+    let mut book = Counter::default();
     let mut fill = 0;
     while book.add(0.0, 2, &[add(fill)]).is_some() {
         fill += 1;
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -2,7 +2,7 @@
 //! Must never decide anything.
 #![forbid(unsafe_code)]
 
-use archlink_messages::{Wire, Word};
+use archlink_messages::{Message, MessageCodec};
 use futures_util::SinkExt;
 use std::collections::hash_map::RandomState;
 use std::hash::{BuildHasher, Hasher};
@@ -31,7 +31,7 @@
 }
 
 /// An error on one line: what each layer says, and what was noted beside it.
-pub fn told<C>(report: &error_stack::Report<C>) -> String {
+pub fn report_line<C>(report: &error_stack::Report<C>) -> String {
     let noted = report.frames().filter_map(|frame| frame.downcast_ref::<String>());
     noted.fold(format!("{report:#}"), |line, note| format!("{line}; {note}"))
 }
@@ -49,7 +49,7 @@
         self.0.elapsed().as_secs_f64()
     }
 
-    pub fn instant(&self, at: f64) -> Instant {
+    pub fn instant_at(&self, at: f64) -> Instant {
         self.0 + Duration::from_secs_f64(at.clamp(0.0, 1e6))
     }
 }
@@ -63,7 +63,7 @@
 }
 
 /// Ends with SIGTERM; SIGHUP calls `again`.
-pub fn until_told(again: impl Fn()) -> io::Result<impl Future<Output = ()>> {
+pub fn until_terminated(again: impl Fn()) -> io::Result<impl Future<Output = ()>> {
     let mut term = signal(SignalKind::terminate())?;
     let mut hangup = signal(SignalKind::hangup())?;
     Ok(async move {
@@ -77,15 +77,15 @@
 }
 
 /// A number that differs from start to start.
-pub fn chance() -> u64 {
+pub fn random_seed() -> u64 {
     RandomState::new().build_hasher().finish()
 }
 
-pub fn node_of(ip: Ipv4Addr) -> archlink_messages::Node {
+pub fn node_id(ip: Ipv4Addr) -> archlink_messages::NodeId {
     u32::from(ip)
 }
 
-pub fn address_of(node: archlink_messages::Node, port: u16) -> SocketAddr {
+pub fn node_address(node: archlink_messages::NodeId, port: u16) -> SocketAddr {
     SocketAddrV4::new(Ipv4Addr::from(node), port).into()
 }
 
@@ -97,7 +97,7 @@
 /// ends of machines that lost power would fill the places of connections one by one.
 const IDLE: Duration = Duration::from_secs(30);
 
-pub fn tune(stream: &TcpStream) {
+pub fn configure_stream(stream: &TcpStream) {
     stream.set_nodelay(true).ok();
     let socket = socket2::SockRef::from(stream);
     socket.set_tcp_user_timeout(Some(UNHEARD)).ok();
@@ -105,26 +105,26 @@
 }
 
 /// Calls another process of the system.
-pub async fn call(to: SocketAddr) -> io::Result<Framed<TcpStream, Wire>> {
+pub async fn connect(to: SocketAddr) -> io::Result<Framed<TcpStream, MessageCodec>> {
     let stream = timeout(CONNECT, TcpStream::connect(to)).await??;
-    tune(&stream);
-    Ok(Framed::new(stream, Wire::default()))
+    configure_stream(&stream);
+    Ok(Framed::new(stream, MessageCodec::default()))
 }
 
 /// Words on their way out of one connection; bounded, and full means that the peer doesn't read.
-pub type Out = mpsc::Sender<Word>;
+pub type MessageSender = mpsc::Sender<Message>;
 
 /// Gives a connection's writing to a task of its own, which gathers what is there into one write; ends with either side.
-pub fn split(
-    framed: Framed<TcpStream, Wire>,
+pub fn split_connection(
+    framed: Framed<TcpStream, MessageCodec>,
     most: usize,
-) -> (Out, impl futures_util::Stream<Item = io::Result<Word>>) {
+) -> (MessageSender, impl futures_util::Stream<Item = io::Result<Message>>) {
     let FramedParts { io, read_buf, .. } = framed.into_parts();
     let (read, write) = io.into_split();
-    let mut sink = tokio_util::codec::FramedWrite::new(write, Wire::default());
-    let mut source = tokio_util::codec::FramedRead::new(read, Wire::default());
+    let mut sink = tokio_util::codec::FramedWrite::new(write, MessageCodec::default());
+    let mut source = tokio_util::codec::FramedRead::new(read, MessageCodec::default());
     *source.read_buffer_mut() = read_buf;
-    let (out, mut words) = mpsc::channel::<Word>(most);
+    let (out, mut words) = mpsc::channel::<Message>(most);
     spawn_local(async move {
         while let Some(word) = words.recv().await {
             let mut sent = sink.feed(&word).await;
--- a/crates/simulation/src/checks.rs
+++ b/crates/simulation/src/checks.rs
@@ -2,10 +2,13 @@
 //! one content a stamp; an epoch names one set; what was acknowledged is in the line; whoever has a register confirmed holds
 //! nothing older than what anybody knew when that was asked. Must never look at what a gateway could not be seen to do.
 
-use archlink_consensus::control::Control;
-use archlink_consensus::helm::Helm;
-use archlink_consensus::{Outcome, Reseat};
-use archlink_messages::{Ballot, Held, Mark, Muster, Node, REGISTERS, Register, evacuated};
+use archlink_consensus::control::ControlNodeState;
+use archlink_consensus::proposer::Proposer;
+use archlink_consensus::{MembershipChange, Outcome};
+use archlink_messages::{
+    AcceptedValue, NodeId, ProposalNumber, REGISTERS, Register, VersionDigest, VoterSet,
+    decode_evacuated_zones,
+};
 use bytes::Bytes;
 use std::collections::BTreeMap;
 
@@ -17,15 +20,15 @@
 pub enum Order {
     Chart { version: u64, digest: [u8; 16], text: Bytes },
     Zone { zone: String, on: bool },
-    Reseat(Reseat),
+    Reseat(MembershipChange),
 }
 
 impl Order {
     fn register(&self) -> Register {
         match self {
-            Order::Chart { .. } => Register::Chart,
+            Order::Chart { .. } => Register::Configuration,
             Order::Zone { .. } => Register::Evacuations,
-            Order::Reseat(_) => Register::Muster,
+            Order::Reseat(_) => Register::VoterSet,
         }
     }
 }
@@ -33,7 +36,7 @@
 /// An order's life.
 #[derive(Clone, Debug)]
 pub struct Given {
-    pub node: Node,
+    pub node: NodeId,
     pub order: Order,
     pub at: f64,
     pub ended: Option<(f64, Outcome)>,
@@ -50,15 +53,15 @@
 /// All that was chosen of one register, as far as anybody learned it.
 #[derive(Clone, Debug, Default)]
 pub struct Line {
-    pub values: BTreeMap<Ballot, Seen>,
+    pub values: BTreeMap<ProposalNumber, Seen>,
     /// The greatest ballot that anybody knew, from when on.
-    newest: Vec<(f64, Ballot)>,
+    newest: Vec<(f64, ProposalNumber)>,
 }
 
 impl Line {
-    fn learned(&mut self, now: f64, held: &Held) -> Result<(), String> {
-        if let Some(seen) = self.values.get(&held.ballot) {
-            let same = seen.stamp == held.stamp && seen.value == held.value;
+    fn learned(&mut self, now: f64, held: &AcceptedValue) -> Result<(), String> {
+        if let Some(seen) = self.values.get(&held.proposal) {
+            let same = seen.stamp == held.revision && seen.value == held.value;
             return if same {
                 Ok(())
             } else {
@@ -68,21 +71,22 @@
         let fits = |(before, value): (u64, &Bytes), (after, then): (u64, &Bytes)| {
             before < after || (before == after && value == then)
         };
-        let mine = (held.stamp, &held.value);
-        let before = self.values.range(..held.ballot).next_back().map(|(_, seen)| (seen.stamp, &seen.value));
-        let after = self.values.range(held.ballot..).next().map(|(_, seen)| (seen.stamp, &seen.value));
+        let mine = (held.revision, &held.value);
+        let before =
+            self.values.range(..held.proposal).next_back().map(|(_, seen)| (seen.stamp, &seen.value));
+        let after = self.values.range(held.proposal..).next().map(|(_, seen)| (seen.stamp, &seen.value));
         if before.is_some_and(|before| !fits(before, mine)) || after.is_some_and(|after| !fits(mine, after)) {
             return Err(format!("no line: {held:?} between {before:?} and {after:?}"));
         }
-        self.values.insert(held.ballot, Seen { stamp: held.stamp, value: held.value.clone(), at: now });
-        if self.newest.last().is_none_or(|(_, newest)| *newest < held.ballot) {
-            self.newest.push((now, held.ballot));
+        self.values.insert(held.proposal, Seen { stamp: held.revision, value: held.value.clone(), at: now });
+        if self.newest.last().is_none_or(|(_, newest)| *newest < held.proposal) {
+            self.newest.push((now, held.proposal));
         }
         Ok(())
     }
 
     /// The greatest ballot that anybody knew before that moment.
-    fn known_before(&self, at: f64) -> Option<Ballot> {
+    fn known_before(&self, at: f64) -> Option<ProposalNumber> {
         let before = self.newest.partition_point(|(known, _)| *known < at - ROUNDING);
         before.checked_sub(1).map(|n| self.newest[n].1)
     }
@@ -98,7 +102,7 @@
 struct Last {
     life: u64,
     epoch: u64,
-    ballots: [Ballot; REGISTERS.len()],
+    ballots: [ProposalNumber; REGISTERS.len()],
     confirmed: [Option<f64>; REGISTERS.len()],
 }
 
@@ -106,11 +110,11 @@
 #[derive(Clone, Debug, Default)]
 pub struct Checks {
     pub lines: BTreeMap<Register, Line>,
-    pub musters: BTreeMap<u64, Muster>,
+    pub musters: BTreeMap<u64, VoterSet>,
     pub orders: BTreeMap<u64, Given>,
     /// Of which text each number of a configuration was taken.
     pub marks: BTreeMap<u64, [u8; 16]>,
-    last: BTreeMap<Node, Last>,
+    last: BTreeMap<NodeId, Last>,
 }
 
 impl Checks {
@@ -118,16 +122,16 @@
     pub fn looked(
         &mut self,
         now: f64,
-        node: Node,
+        node: NodeId,
         life: u64,
-        control: &Control,
+        control: &ControlNodeState,
         of_clock: impl Fn(f64) -> f64,
     ) -> Result<(), String> {
         let last = self.last.entry(node).or_default();
         if last.life != life {
             *last = Last { life, ..Last::default() };
         }
-        let muster = control.muster();
+        let muster = control.voter_set();
         if muster.epoch != last.epoch {
             if muster.epoch < last.epoch {
                 return Err(format!("{node} went back to epoch {}", muster.epoch));
@@ -139,21 +143,21 @@
             }
         }
         for (n, register) in REGISTERS.into_iter().enumerate() {
-            let chosen = control.helm.chosen(register);
-            let ballot = chosen.map_or(Ballot::default(), |held| held.ballot);
+            let chosen = control.proposer.chosen(register);
+            let ballot = chosen.map_or(ProposalNumber::default(), |held| held.proposal);
             if let Some(held) = chosen.filter(|_| ballot != last.ballots[n]) {
                 if ballot < last.ballots[n] {
                     return Err(format!("{node} went back to {held:?}"));
                 }
                 last.ballots[n] = ballot;
                 self.lines.entry(register).or_default().learned(now, held)?;
-                for mark in &held.marks {
+                for mark in &held.recent_versions {
                     if *self.marks.entry(mark.version).or_insert(mark.digest) != mark.digest {
                         return Err(format!("two texts under one number: {mark:?} in {held:?}"));
                     }
                 }
             }
-            let confirmed = control.helm.confirmed(register);
+            let confirmed = control.proposer.confirmed(register);
             if let Some(asked) = confirmed.filter(|_| confirmed != last.confirmed[n]) {
                 last.confirmed[n] = confirmed;
                 let known = self.lines.get(&register).and_then(|line| line.known_before(of_clock(asked)));
@@ -167,7 +171,7 @@
         Ok(())
     }
 
-    pub fn given(&mut self, now: f64, node: Node, token: u64, order: Order) {
+    pub fn given(&mut self, now: f64, node: NodeId, token: u64, order: Order) {
         self.orders.insert(token, Given { node, order, at: now, ended: None });
     }
 
@@ -176,7 +180,7 @@
     }
 
     /// Orders under way at a gateway.
-    pub fn open(&self, node: Node) -> Vec<u64> {
+    pub fn open(&self, node: NodeId) -> Vec<u64> {
         let open =
             |(token, given): (&u64, &Given)| (given.node == node && given.ended.is_none()).then_some(*token);
         self.orders.iter().filter_map(open).collect()
@@ -188,18 +192,20 @@
         now: f64,
         token: u64,
         outcome: Outcome,
-        helm: Option<&Helm>,
+        helm: Option<&Proposer>,
     ) -> Result<(), String> {
         // Tokens that no order has are the test's own.
         let Some(given) = self.orders.get_mut(&token) else { return Ok(()) };
         given.ended.get_or_insert((now, outcome));
-        let (Outcome::Chosen | Outcome::Stands(_), Some(helm)) = (outcome, helm) else { return Ok(()) };
+        let (Outcome::Chosen | Outcome::VersionConflict(_), Some(helm)) = (outcome, helm) else {
+            return Ok(());
+        };
         let given = given.clone();
         let line = self.lines.get(&given.order.register());
         let line: Vec<&Seen> = line.map(|line| line.values.values().collect()).unwrap_or_default();
         match &given.order {
             Order::Chart { version, digest, text } => {
-                let stamp = helm.chosen(Register::Chart).map_or(0, |held| held.stamp);
+                let stamp = helm.chosen(Register::Configuration).map_or(0, |held| held.revision);
                 let stands = line.iter().find(|seen| seen.stamp == version + 1);
                 if stamp <= *version {
                     return Err(format!("{version} is acknowledged, {stamp} is the newest stamp"));
@@ -209,9 +215,10 @@
                     return Err(format!("{text:?} is acknowledged, {stands:?} stands"));
                 }
                 // A number that was passed over before anybody took it alters nothing and is acknowledged.
-                let taken = self.marks.get(version).map(|&digest| Mark { version: *version, digest });
+                let taken =
+                    self.marks.get(version).map(|&digest| VersionDigest { version: *version, digest });
                 let told = match taken {
-                    Some(mark) if mark.digest != *digest => Outcome::Stands(mark),
+                    Some(mark) if mark.digest != *digest => Outcome::VersionConflict(mark),
                     _ => Outcome::Chosen,
                 };
                 if told != outcome {
@@ -222,7 +229,7 @@
                 // One of the values that stood while the order was under way has it.
                 let mut found = line.is_empty();
                 for seen in line.iter().rev() {
-                    found |= evacuated(&seen.value).contains(zone) == *on;
+                    found |= decode_evacuated_zones(&seen.value).contains(zone) == *on;
                     if found || seen.at < given.at {
                         break;
                     }
--- a/crates/simulation/src/disk.rs
+++ b/crates/simulation/src/disk.rs
@@ -1,9 +1,9 @@
 //! Made-up disks: what is kept, what is being written and what waits, as in the program's logbook: all that waits goes with
 //! one sync, in order, and words that stand for it are sent after that. Must never keep half of what went together.
 
-use crate::world::{Event, Fleet};
-use archlink_consensus::Record;
-use archlink_messages::{Duty, Muster, Node, Post, Register, Slot, Word};
+use crate::network::{Event, Fleet};
+use archlink_consensus::DurableRecord;
+use archlink_messages::{AcceptorState, LeaseGrant, Message, NodeId, Register, SingletonRole, VoterSet};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Writes that wait for a disk, as in the program; a further one is dropped with its words.
@@ -11,12 +11,12 @@
 /// What is safely on a disk.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Kept {
-    pub slots: BTreeMap<Register, Slot>,
-    pub posts: BTreeMap<Duty, Post>,
-    pub muster: Muster,
+    pub slots: BTreeMap<Register, AcceptorState>,
+    pub posts: BTreeMap<SingletonRole, LeaseGrant>,
+    pub muster: VoterSet,
 }
 
-pub(crate) type Write = (Record, Vec<(Node, Word)>);
+pub(crate) type Write = (DurableRecord, Vec<(NodeId, Message)>);
 
 /// One gateway's disk.
 #[derive(Clone, Debug, Default)]
@@ -34,17 +34,17 @@
 }
 
 impl Disk {
-    pub(crate) fn keep(&mut self, record: Record) {
-        if let Some(muster) = record.muster {
+    pub(crate) fn keep(&mut self, record: DurableRecord) {
+        if let Some(muster) = record.voter_set {
             self.kept.muster = muster;
         }
-        self.kept.slots.extend(record.slots);
-        self.kept.posts.extend(record.posts.into_iter().map(|post| (post.duty, post)));
+        self.kept.slots.extend(record.acceptors);
+        self.kept.posts.extend(record.grants.into_iter().map(|post| (post.role, post)));
     }
 }
 
 impl Fleet {
-    pub(crate) fn store(&mut self, node: Node, record: Record, then: Vec<(Node, Word)>) {
+    pub(crate) fn store(&mut self, node: NodeId, record: DurableRecord, then: Vec<(NodeId, Message)>) {
         let Some(disk) = self.disks.get_mut(&node) else { return };
         if disk.waiting.len() >= QUEUE {
             return;
@@ -56,12 +56,12 @@
     }
 
     /// All that waits goes to the disk together.
-    fn write(&mut self, node: Node) {
+    fn write(&mut self, node: NodeId) {
         let Some(disk) = self.disks.get_mut(&node).filter(|disk| !disk.waiting.is_empty()) else { return };
         disk.writing.extend(std::mem::take(&mut disk.waiting));
-        let empty = disk.writing.iter().all(|(record, _)| *record == Record::default());
+        let empty = disk.writing.iter().all(|(record, _)| *record == DurableRecord::default());
         disk.syncs += u64::from(!empty);
-        let slots = disk.writing.iter().flat_map(|(record, _)| &record.slots);
+        let slots = disk.writing.iter().flat_map(|(record, _)| &record.acceptors);
         disk.bytes +=
             slots.map(|slot| postcard::to_stdvec(slot).map_or(0, |bytes| bytes.len())).sum::<usize>();
         let at = if empty { self.now } else { (self.now + disk.sync).max(disk.hangs_until) };
@@ -69,7 +69,7 @@
         self.push(at, Event::Written(node, life));
     }
 
-    pub(crate) fn written(&mut self, node: Node) {
+    pub(crate) fn written(&mut self, node: NodeId) {
         let Some(disk) = self.disks.get_mut(&node) else { return };
         let mut words = Vec::new();
         for (record, then) in std::mem::take(&mut disk.writing) {
@@ -79,7 +79,7 @@
         self.write(node);
         for (to, word) in words {
             if to == node {
-                self.step(node, |control, now| control.hear(now, node, word));
+                self.step(node, |control, now| control.step(now, node, word));
             } else {
                 self.send(node, to, word);
             }
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -5,18 +5,18 @@
 
 pub mod checks;
 pub mod disk;
+pub mod network;
 mod orders;
-pub mod plan;
-pub mod play;
+pub mod runner;
+pub mod scenario;
 pub mod shrink;
-pub mod world;
 
 pub use checks::Order;
+pub use network::Fleet;
 pub use orders::digest;
-pub use plan::{Kind, Plan, Size};
-pub use play::play;
+pub use runner::play;
+pub use scenario::{Kind, Plan, Size};
 use std::fmt;
-pub use world::Fleet;
 
 /// Why nothing is played.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/network.rs
@@ -4,9 +4,9 @@
 
 use crate::checks::Checks;
 use crate::disk::{Disk, Kept};
-use archlink_consensus::control::{Control, Start};
-use archlink_consensus::{Act, Outcome};
-use archlink_messages::{Keeper, Muster, Node, Register, Word};
+use archlink_consensus::control::{ControlNodeState, InitialState};
+use archlink_consensus::{Effect, Outcome};
+use archlink_messages::{ControlNode, Message, NodeId, Register, VoterSet};
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 
@@ -46,12 +46,12 @@
 }
 
 pub(crate) enum Event {
-    Word(Node, Node, Word),
-    Tick(Node, u64),
-    Written(Node, u64),
-    Start(Node, bool),
+    Word(NodeId, NodeId, Message),
+    Tick(NodeId, u64),
+    Written(NodeId, u64),
+    Start(NodeId, bool),
     /// A link comes up, between two lives.
-    Greet(Node, Node, (u64, u64)),
+    Greet(NodeId, NodeId, (u64, u64)),
 }
 
 struct Due {
@@ -85,12 +85,12 @@
 pub struct Fleet {
     /// Made-up time; each gateway reads it through `clock`.
     pub now: f64,
-    pub live: BTreeMap<Node, Control>,
-    pub disks: BTreeMap<Node, Disk>,
+    pub live: BTreeMap<NodeId, ControlNodeState>,
+    pub disks: BTreeMap<NodeId, Disk>,
     /// The epoch that each gateway was last told to go by.
-    epochs: BTreeMap<Node, u64>,
+    epochs: BTreeMap<NodeId, u64>,
     /// Machines that never come back.
-    gone: BTreeSet<Node>,
+    gone: BTreeSet<NodeId>,
     pub net: Net,
     /// What became of orders, by token; those of a gateway that died are unclear.
     pub done: BTreeMap<u64, Outcome>,
@@ -102,26 +102,26 @@
     pub story: Option<Vec<String>>,
     /// Steps of cores so far.
     pub steps: u64,
-    size: Node,
+    size: NodeId,
     needed: usize,
     /// `CatchUp`, in seconds; far longer than any test where it is not set, so that no seat changes by itself.
     pub catch_up: f64,
-    seeds: Vec<Node>,
+    seeds: Vec<NodeId>,
     chance: oorandom::Rand64,
-    pub(crate) lives: BTreeMap<Node, u64>,
-    paces: BTreeMap<Node, Pace>,
-    frozen: BTreeMap<Node, f64>,
-    cuts: BTreeMap<(Node, Node), f64>,
-    stalls: BTreeMap<(Node, Node), (f64, usize)>,
+    pub(crate) lives: BTreeMap<NodeId, u64>,
+    paces: BTreeMap<NodeId, Pace>,
+    frozen: BTreeMap<NodeId, f64>,
+    cuts: BTreeMap<(NodeId, NodeId), f64>,
+    stalls: BTreeMap<(NodeId, NodeId), (f64, usize)>,
     /// When freezes and stalls end.
     ends: Vec<f64>,
     queue: BinaryHeap<Due>,
     serial: u64,
 }
 
-fn keeper(node: Node) -> Keeper {
+fn keeper(node: NodeId) -> ControlNode {
     let control = std::net::SocketAddrV4::new(node.into(), 80);
-    Keeper { node, zone: format!("z{node}"), region: "r".into(), control }
+    ControlNode { node, zone: format!("z{node}"), region: "r".into(), operator_address: control }
 }
 
 impl Fleet {
@@ -131,14 +131,14 @@
     }
 
     /// `size` gateways of which `needed` are to vote, at their very first start; the seeds are 1, 2 and 3.
-    pub fn of(seed: u64, needed: usize, size: Node) -> Fleet {
+    pub fn of(seed: u64, needed: usize, size: NodeId) -> Fleet {
         let mut fleet = Fleet::empty(seed, needed, size);
         (1..=size).for_each(|node| fleet.start(node, true));
         fleet
     }
 
     /// The same before anything is started.
-    pub fn empty(seed: u64, needed: usize, size: Node) -> Fleet {
+    pub fn empty(seed: u64, needed: usize, size: NodeId) -> Fleet {
         Fleet {
             now: 10.0,
             live: BTreeMap::new(),
@@ -168,21 +168,21 @@
         }
     }
 
-    pub fn nodes(&self) -> std::ops::RangeInclusive<Node> {
+    pub fn nodes(&self) -> std::ops::RangeInclusive<NodeId> {
         1..=self.size
     }
 
     /// What the clock of that gateway's machine shows.
-    pub fn clock(&self, node: Node) -> f64 {
+    pub fn clock(&self, node: NodeId) -> f64 {
         self.clock_at(node, self.now)
     }
 
-    fn clock_at(&self, node: Node, at: f64) -> f64 {
+    fn clock_at(&self, node: NodeId, at: f64) -> f64 {
         self.paces.get(&node).map_or(at, |pace| pace.ahead + pace.rate * at)
     }
 
     /// The clock of a machine that is not up goes at that rate from here on, and shows something of its own.
-    pub fn set_clock(&mut self, node: Node, rate: f64, shows: f64) {
+    pub fn set_clock(&mut self, node: NodeId, rate: f64, shows: f64) {
         self.paces.insert(node, Pace { rate, ahead: shows - rate * self.now });
     }
 
@@ -206,7 +206,7 @@
     }
 
     /// Starts a gateway on what its disk has; `first` at the very first start, when an empty disk stands for the seeds.
-    pub fn start(&mut self, node: Node, first: bool) {
+    pub fn start(&mut self, node: NodeId, first: bool) {
         let up = self.live.contains_key(&node) || self.gone.contains(&node);
         let Some(disk) = self.disks.get_mut(&node).filter(|_| !up) else { return };
         if disk.hangs_until > self.now {
@@ -214,22 +214,26 @@
             return self.push(until, Event::Start(node, first));
         }
         // The seeds are on the disk before anything else is done.
-        if first && !disk.kept.muster.known() {
-            disk.kept.muster = Muster::first(&self.seeds);
+        if first && !disk.kept.muster.is_known() {
+            disk.kept.muster = VoterSet::initial(&self.seeds);
         }
         let kept = disk.kept.clone();
-        let start = Start {
-            keeper: keeper(node),
-            needed: self.needed,
+        let start = InitialState {
+            identity: keeper(node),
+            required_voters: self.needed,
             catch_up: self.catch_up,
-            slots: kept.muster.known().then_some(kept.slots),
-            muster: kept.muster,
-            posts: kept.posts.into_values().collect(),
+            acceptors: kept.muster.is_known().then_some(kept.slots),
+            voter_set: kept.muster,
+            grants: kept.posts.into_values().collect(),
             seed: self.chance.rand_u64(),
         };
-        let control = Control::new(self.clock(node), start);
+        let control = ControlNodeState::new(self.clock(node), start);
         self.tell(|_| {
-            format!("{node} starts in epoch {}, whole {}", control.muster().epoch, control.voter.whole())
+            format!(
+                "{node} starts in epoch {}, whole {}",
+                control.voter_set().epoch,
+                control.acceptor.is_recovered()
+            )
         });
         self.live.insert(node, control);
         self.frozen.remove(&node);
@@ -249,34 +253,34 @@
     }
 
     /// A machine with an empty disk that was not there before, at an address of its own.
-    pub fn join(&mut self, node: Node) {
+    pub fn join(&mut self, node: NodeId) {
         self.size = self.size.max(node);
         self.disks.entry(node).or_default();
         self.start(node, false);
     }
 
     /// That machine is gone for good, its disk with it.
-    pub fn remove(&mut self, node: Node) {
+    pub fn remove(&mut self, node: NodeId) {
         self.kill(node, true);
         self.disks.remove(&node);
         self.gone.insert(node);
     }
 
     /// First on each link; one that is cut is tried again.
-    fn greet(&mut self, from: Node, to: Node) {
+    fn greet(&mut self, from: NodeId, to: NodeId) {
         if self.cuts.get(&(from, to)).is_some_and(|until| self.now < *until) {
             let lives = (self.lives[&from], self.lives[&to]);
             let at = self.now + GREET;
             return self.push(at, Event::Greet(from, to, lives));
         }
-        if let Some(greeting) = self.live.get(&from).map(Control::greeting) {
+        if let Some(greeting) = self.live.get(&from).map(ControlNodeState::peer_hello) {
             self.post(from, to, greeting);
         }
     }
 
     /// Ends a gateway at once. What its disk was writing is there whole or not at all; what waited is gone, and with `wipe`
     /// all is. Its open orders are unclear.
-    pub fn kill(&mut self, node: Node, wipe: bool) {
+    pub fn kill(&mut self, node: NodeId, wipe: bool) {
         let stood = self.live.remove(&node).is_some();
         let Some(disk) = self.disks.get_mut(&node) else { return };
         let writing = std::mem::take(&mut disk.writing);
@@ -289,12 +293,12 @@
         }
         self.tell(|_| format!("{node} is killed{}", if wipe { " and its disk emptied" } else { "" }));
         for token in self.checks.open(node) {
-            self.ended(node, token, Outcome::Unclear);
+            self.ended(node, token, Outcome::Unknown);
         }
     }
 
     /// The machine goes off as well: its clock begins anew.
-    pub fn power_off(&mut self, node: Node, wipe: bool) {
+    pub fn power_off(&mut self, node: NodeId, wipe: bool) {
         self.kill(node, wipe);
         let rate = self.paces.get(&node).map_or(1.0, |pace| pace.rate);
         let shows = 1.0 + self.chance.rand_float();
@@ -302,7 +306,7 @@
     }
 
     /// A gateway stands still for so long; what is sent to it waits.
-    pub fn freeze(&mut self, node: Node, seconds: f64) {
+    pub fn freeze(&mut self, node: NodeId, seconds: f64) {
         self.tell(|_| format!("{node} stands still for {seconds:.3}"));
         let until = self.now + seconds;
         self.ends.push(until);
@@ -311,18 +315,18 @@
     }
 
     /// No word goes that way until `heal`.
-    pub fn cut(&mut self, from: Node, to: Node) {
+    pub fn cut(&mut self, from: NodeId, to: NodeId) {
         self.cut_for(from, to, f64::INFINITY);
     }
 
-    pub fn cut_for(&mut self, from: Node, to: Node, seconds: f64) {
+    pub fn cut_for(&mut self, from: NodeId, to: NodeId, seconds: f64) {
         self.tell(|_| format!("cut {from} -> {to} for {seconds:.3}"));
         let until = self.now + seconds;
         self.cuts.entry((from, to)).and_modify(|cut| *cut = cut.max(until)).or_insert(until);
     }
 
     /// Words that way wait so long and then come all together, as from a connection that was held up.
-    pub fn stall(&mut self, from: Node, to: Node, seconds: f64) {
+    pub fn stall(&mut self, from: NodeId, to: NodeId, seconds: f64) {
         self.tell(|_| format!("held up {from} -> {to} for {seconds:.3}"));
         let until = self.now + seconds;
         self.ends.push(until);
@@ -351,18 +355,18 @@
     }
 
     /// A sync on that disk takes so long from here on.
-    pub fn set_sync(&mut self, node: Node, seconds: f64) {
+    pub fn set_sync(&mut self, node: NodeId, seconds: f64) {
         self.disks.entry(node).or_default().sync = seconds;
     }
 
     /// Nothing written on that disk ends within so many seconds.
-    pub fn hang(&mut self, node: Node, seconds: f64) {
+    pub fn hang(&mut self, node: NodeId, seconds: f64) {
         self.tell(|_| format!("disk of {node} hangs for {seconds:.3}"));
         let until = self.now + seconds;
         self.disks.entry(node).or_default().hangs_until = until;
     }
 
-    pub(crate) fn send(&mut self, from: Node, to: Node, word: Word) {
+    pub(crate) fn send(&mut self, from: NodeId, to: NodeId, word: Message) {
         if self.cuts.get(&(from, to)).is_some_and(|until| self.now < *until) {
             return;
         }
@@ -377,7 +381,7 @@
         self.post(from, to, word);
     }
 
-    fn post(&mut self, from: Node, to: Node, word: Word) {
+    fn post(&mut self, from: NodeId, to: NodeId, word: Message) {
         let net = self.net;
         let mut at = self.now + net.least + net.spread * self.chance.rand_float();
         if net.late > 0.0 && self.chance.rand_float() < net.late {
@@ -394,25 +398,27 @@
     }
 
     /// One step of a gateway, and all that follows from it as in the program.
-    pub fn step(&mut self, node: Node, step: impl FnOnce(&mut Control, f64) -> Vec<Act>) {
+    pub fn step(&mut self, node: NodeId, step: impl FnOnce(&mut ControlNodeState, f64) -> Vec<Effect>) {
         let now = self.clock(node);
         let Some(control) = self.live.get_mut(&node) else { return };
         self.steps += 1;
         let mut acts = VecDeque::from(step(control, now));
         while let Some(act) = acts.pop_front() {
             match act {
-                Act::Send(to, word) if to == node => {
+                Effect::Send(to, word) if to == node => {
                     acts.extend(
-                        self.live.get_mut(&node).map(|c| c.hear(now, node, word)).unwrap_or_default(),
+                        self.live.get_mut(&node).map(|c| c.step(now, node, word)).unwrap_or_default(),
                     );
                 }
-                Act::Send(to, word) => self.send(node, to, word),
-                Act::Store(record, then) => self.store(node, record, then),
-                Act::Learned(register) => {
+                Effect::Send(to, word) => self.send(node, to, word),
+                Effect::Store(record, then) => self.store(node, record, then),
+                Effect::Learned(register) => {
                     self.tell(|fleet| fleet.learned_line(node, register));
-                    acts.extend(self.live.get_mut(&node).map(|c| c.beat_all(now)).unwrap_or_default());
+                    acts.extend(
+                        self.live.get_mut(&node).map(|c| c.broadcast_heartbeat(now)).unwrap_or_default(),
+                    );
                 }
-                Act::Done(token, outcome) => {
+                Effect::ProposalResolved(token, outcome) => {
                     self.look(node);
                     self.ended(node, token, outcome);
                 }
@@ -421,38 +427,40 @@
         self.look(node);
     }
 
-    fn learned_line(&self, node: Node, register: Register) -> String {
-        let held = self.live[&node].helm.chosen(register);
+    fn learned_line(&self, node: NodeId, register: Register) -> String {
+        let held = self.live[&node].proposer.chosen(register);
         format!("{node} learns {register:?} {held:?}")
     }
 
-    pub(crate) fn ended(&mut self, node: Node, token: u64, outcome: Outcome) {
+    pub(crate) fn ended(&mut self, node: NodeId, token: u64, outcome: Outcome) {
         self.tell(|_| format!("order {token} at {node}: {outcome:?}"));
         self.done.insert(token, outcome);
-        let chosen = self.live.get(&node).map(|control| &control.helm);
+        let chosen = self.live.get(&node).map(|control| &control.proposer);
         let checked = self.checks.ended(self.now, token, outcome, chosen);
         self.hold(checked);
     }
 
     /// Tells of each set that a gateway begins to go by.
-    fn tell_epoch(&mut self, node: Node) {
-        let Some(muster) = self.live.get(&node).map(|control| control.muster().clone()) else { return };
+    fn tell_epoch(&mut self, node: NodeId) {
+        let Some(muster) = self.live.get(&node).map(|control| control.voter_set().clone()) else { return };
         if self.story.is_some() && self.epochs.insert(node, muster.epoch) != Some(muster.epoch) {
             self.tell(|_| format!("{node} goes by {muster:?}"));
         }
     }
 
     /// What must hold, after a step of that gateway.
-    fn look(&mut self, node: Node) {
+    fn look(&mut self, node: NodeId) {
         self.tell_epoch(node);
         let Some(control) = self.live.get(&node) else { return };
         let pace = self.paces.get(&node).copied().unwrap_or(Pace { rate: 1.0, ahead: 0.0 });
         let of_clock = |at: f64| (at - pace.ahead) / pace.rate;
         let mut checked = self.checks.looked(self.now, node, self.lives[&node], control, of_clock);
-        for duty in archlink_messages::DUTIES {
-            if checked.is_ok() && control.duties.holds(self.clock(node), duty).is_some() {
-                let holds = |(n, c): &(&Node, &Control)| c.duties.holds(self.clock(**n), duty).is_some();
-                let holders: Vec<Node> = self.live.iter().filter(holds).map(|(n, _)| *n).collect();
+        for duty in archlink_messages::SINGLETON_ROLES {
+            if checked.is_ok() && control.leases.held_lease(self.clock(node), duty).is_some() {
+                let holds = |(n, c): &(&NodeId, &ControlNodeState)| {
+                    c.leases.held_lease(self.clock(**n), duty).is_some()
+                };
+                let holders: Vec<NodeId> = self.live.iter().filter(holds).map(|(n, _)| *n).collect();
                 if holders.len() > 1 {
                     checked = Err(format!("{duty:?} is held by {holders:?}"));
                 }
@@ -488,7 +496,7 @@
         }
         let lives = |life: u64| self.live.contains_key(&whose) && self.lives.get(&whose) == Some(&life);
         match event {
-            Event::Word(from, to, word) => self.step(to, |control, now| control.hear(now, from, word)),
+            Event::Word(from, to, word) => self.step(to, |control, now| control.step(now, from, word)),
             Event::Tick(node, life) if lives(life) => {
                 let rate = self.paces.get(&node).map_or(1.0, |pace| pace.rate);
                 self.push(self.now + TICK / rate, event);
