--- a/crates/simulation/src/play.rs
+++ b/crates/simulation/src/runner.rs
@@ -2,11 +2,11 @@
 //! right. Owns what a fleet is asked to bear: no more disks lost at once than it is for. Must never ask for more.
 
 use crate::checks::Order;
-use crate::plan::{Loss, Plan, Size, Step};
-use crate::world::{Fleet, Net};
-use archlink_consensus::control::Control;
-use archlink_consensus::{Outcome, Reseat};
-use archlink_messages::{DUTIES, Node, Register, evacuated};
+use crate::network::{Fleet, Net};
+use crate::scenario::{Loss, Plan, Size, Step};
+use archlink_consensus::control::ControlNodeState;
+use archlink_consensus::{MembershipChange, Outcome};
+use archlink_messages::{NodeId, Register, SINGLETON_ROLES, decode_evacuated_zones};
 use std::collections::BTreeMap;
 
 /// A lost disk counts until the gateway was back, and nothing else was wrong, for so long.
@@ -29,18 +29,18 @@
 /// What is still to come of earlier steps.
 #[derive(Clone, Debug)]
 enum Later {
-    Start(Node),
-    Leave(Node, Left),
+    Start(NodeId),
+    Leave(NodeId, Left),
     /// A process that was told to leave ends once it may, and by then at the latest.
-    End(Node, Left, f64),
-    Join(Node),
-    Kill(Node, f64),
-    Cut(Node, Node, f64),
-    Sync(Node, f64),
+    End(NodeId, Left, f64),
+    Join(NodeId),
+    Kill(NodeId, f64),
+    Cut(NodeId, NodeId, f64),
+    Sync(NodeId, f64),
     Net(Net),
-    Read(Node, f64, f64),
-    Withdraw(Node, u64),
-    Race(Node, u64),
+    Read(NodeId, f64, f64),
+    Withdraw(NodeId, u64),
+    Race(NodeId, u64),
 }
 
 /// What becomes of a machine whose process has left in order.
@@ -68,14 +68,14 @@
     tokens: u64,
     version: u64,
     /// Gateways whose disk was lost, and since when nothing was wrong.
-    lost: BTreeMap<Node, f64>,
+    lost: BTreeMap<NodeId, f64>,
     trouble_until: f64,
     /// The machine at each place, and since when it has its disk.
-    places: Vec<Node>,
-    disks_since: BTreeMap<Node, f64>,
+    places: Vec<NodeId>,
+    disks_since: BTreeMap<NodeId, f64>,
     /// Until when each machine counts as lost, as the operators count.
-    counted: BTreeMap<Node, f64>,
-    machines: Node,
+    counted: BTreeMap<NodeId, f64>,
+    machines: NodeId,
     catch_up: f64,
 }
 
@@ -175,8 +175,8 @@
         }
     }
 
-    fn end(&mut self, node: Node, left: Left, until: f64) {
-        let may = |control: &Control| control.may_end(self.fleet.clock(node));
+    fn end(&mut self, node: NodeId, left: Left, until: f64) {
+        let may = |control: &ControlNodeState| control.may_shut_down(self.fleet.clock(node));
         if self.fleet.now < until && self.fleet.live.get(&node).is_some_and(|control| !may(control)) {
             return self.later(LOOK, Later::End(node, left, until));
         }
@@ -187,14 +187,14 @@
     }
 
     /// That machine counts as lost for so long, and for `CatchUp` after it.
-    fn count(&mut self, node: Node, seconds: f64) {
+    fn count(&mut self, node: NodeId, seconds: f64) {
         let until = self.fleet.now + seconds + self.catch_up;
         let counted = self.counted.entry(node).or_insert(until);
         *counted = counted.max(until);
     }
 
     /// Waits until one more machine may be lost, this one, and no longer.
-    fn wait_for_turn(&mut self, node: Node) {
+    fn wait_for_turn(&mut self, node: NodeId) {
         loop {
             let now = self.fleet.now;
             let others = self.counted.iter().filter(|(lost, until)| **lost != node && **until >= now);
@@ -211,7 +211,7 @@
     /// Waits until no machine counts as lost: a roll takes down one after the other.
     fn wait_for_all(&mut self) {
         let until = self.counted.values().copied().fold(self.fleet.now, f64::max);
-        if self.fleet.catch_up < crate::world::NEVER {
+        if self.fleet.catch_up < crate::network::NEVER {
             self.run(until - self.fleet.now);
         }
     }
@@ -229,7 +229,7 @@
     }
 
     /// A machine that was not there before takes the place of another one.
-    fn newcomer(&mut self, old: Node) -> Node {
+    fn newcomer(&mut self, old: NodeId) -> NodeId {
         self.machines += 1;
         let new = self.machines;
         self.places.iter_mut().filter(|place| **place == old).for_each(|place| *place = new);
@@ -237,7 +237,7 @@
         new
     }
 
-    fn replaced(&mut self, old: Node, gap: f64, planned: bool) {
+    fn replaced(&mut self, old: NodeId, gap: f64, planned: bool) {
         if planned {
             let new = self.newcomer(old);
             self.wait_for_turn(new);
@@ -257,7 +257,7 @@
         self.count(new, gap);
     }
 
-    fn lose(&mut self, node: Node, loss: Loss, seconds: f64) {
+    fn lose(&mut self, node: NodeId, loss: Loss, seconds: f64) {
         self.wait_for_turn(node);
         self.count(node, seconds);
         match loss {
@@ -275,10 +275,11 @@
     }
 
     /// The machine whose disk has lasted longest; of several the first voter.
-    fn oldest(&self) -> Node {
-        let votes = |node: &Node| self.fleet.live.values().any(|control| control.muster().votes(*node));
-        let since = |node: &Node| self.disks_since.get(node).copied().unwrap_or(f64::NEG_INFINITY);
-        let older = |a: &&Node, b: &&Node| since(a).total_cmp(&since(b)).then(votes(b).cmp(&votes(a)));
+    fn oldest(&self) -> NodeId {
+        let votes =
+            |node: &NodeId| self.fleet.live.values().any(|control| control.voter_set().contains(*node));
+        let since = |node: &NodeId| self.disks_since.get(node).copied().unwrap_or(f64::NEG_INFINITY);
+        let older = |a: &&NodeId, b: &&NodeId| since(a).total_cmp(&since(b)).then(votes(b).cmp(&votes(a)));
         *self.places.iter().min_by(older).expect("a place")
     }
 
@@ -295,7 +296,7 @@
         self.tokens
     }
 
-    fn chart(&mut self, node: Node, version: u64, patience: f64) -> u64 {
+    fn chart(&mut self, node: NodeId, version: u64, patience: f64) -> u64 {
         let token = self.token();
         self.fleet.replace(node, token, version);
         self.later(patience, Later::Withdraw(node, token));
@@ -303,12 +304,16 @@
     }
 
     /// Is there room for one more lost disk?
-    fn may_lose(&mut self, node: Node) -> bool {
+    fn may_lose(&mut self, node: NodeId) -> bool {
         let now = self.fleet.now;
         self.lost.retain(|_, since| now < *since + CATCH_UP);
         // Before the first change, or after one that was taken back, there are fewer seats than are needed.
-        let seats =
-            self.fleet.live.values().map(|control| control.muster().seats.len()).filter(|&seats| seats > 0);
+        let seats = self
+            .fleet
+            .live
+            .values()
+            .map(|control| control.voter_set().voters.len())
+            .filter(|&seats| seats > 0);
         let borne = (seats.min().unwrap_or(0).max(1) - 1) / 2;
         self.lost.contains_key(&node) || self.lost.len() < self.size.losses().min(borne)
     }
@@ -334,7 +339,7 @@
             }
             Step::Reseat { node, old, new } => {
                 let token = self.token();
-                self.fleet.reseat(node, token, Reseat::Replace { old, new });
+                self.fleet.reseat(node, token, MembershipChange::Replace { old, new });
             }
             Step::Reads { node, every, seconds } => {
                 let until = fleet.now + seconds;
@@ -434,7 +439,7 @@
         }
     }
 
-    fn all(&mut self, down: f64, end: impl Fn(&mut Fleet, Node, bool)) {
+    fn all(&mut self, down: f64, end: impl Fn(&mut Fleet, NodeId, bool)) {
         self.wait_for_leavers();
         for node in self.places.clone() {
             end(&mut self.fleet, node, false);
@@ -492,7 +497,7 @@
         let mut still = self.fleet.now + LAST_WORD;
         while self.fleet.fault.is_none() {
             let right = self.right();
-            let changing = |control: &Control| control.muster().changing();
+            let changing = |control: &ControlNodeState| control.voter_set().is_joint();
             let now = self.fleet.now;
             still = if self.fleet.live.values().any(changing) { now + LAST_WORD } else { still };
             match right {
@@ -507,32 +512,33 @@
     fn right(&self) -> Result<(), String> {
         let fleet = &self.fleet;
         let newest = fleet.checks.acknowledged();
-        let known = fleet.live.values().next().map(|control| control.muster().clone()).unwrap_or_default();
+        let known = fleet.live.values().next().map(|control| control.voter_set().clone()).unwrap_or_default();
         for (node, control) in &fleet.live {
-            let stamp = control.helm.chosen(Register::Chart).map_or(0, |held| held.stamp);
+            let stamp = control.proposer.chosen(Register::Configuration).map_or(0, |held| held.revision);
             if stamp < newest {
                 return Err(format!("{node} holds {stamp}, {newest} was acknowledged"));
             }
             for register in archlink_messages::REGISTERS {
-                let value = control.helm.chosen(register).map(|held| &held.value);
+                let value = control.proposer.chosen(register).map(|held| &held.value);
                 let last = fleet.checks.lines.get(&register).and_then(|line| line.last());
                 if value != last.map(|seen| &seen.value) {
                     return Err(format!("{node} has {register:?} {value:?}, {last:?} is the last"));
                 }
-                let lately = control.helm.confirmed(register).is_some_and(|at| at > fleet.clock(*node) - 1.5);
+                let lately =
+                    control.proposer.confirmed(register).is_some_and(|at| at > fleet.clock(*node) - 1.5);
                 if !lately {
                     return Err(format!("{node} has {register:?} not confirmed lately"));
                 }
             }
-            let muster = control.muster();
-            if *muster != known || muster.changing() {
+            let muster = control.voter_set();
+            if *muster != known || muster.is_joint() {
                 return Err(format!("{node} goes by {muster:?}, another by {known:?}"));
             }
-            if muster.votes(*node) && !control.voter.whole() {
+            if muster.contains(*node) && !control.acceptor.is_recovered() {
                 return Err(format!("{node} votes and is not whole"));
             }
         }
-        for duty in DUTIES {
+        for duty in SINGLETON_ROLES {
             let agreed = fleet.agreed(duty);
             if agreed.is_none() || agreed != fleet.holder(duty) {
                 return Err(format!("{duty:?} is held by {:?}, {agreed:?} is known", fleet.holder(duty)));
@@ -544,7 +550,10 @@
     /// An acknowledged order on a zone, after the end of which none was open, is what stands.
     fn zones(&self) -> Result<(), String> {
         let line = self.fleet.checks.lines.get(&Register::Evacuations);
-        let stands = line.and_then(|line| line.last()).map(|seen| evacuated(&seen.value)).unwrap_or_default();
+        let stands = line
+            .and_then(|line| line.last())
+            .map(|seen| decode_evacuated_zones(&seen.value))
+            .unwrap_or_default();
         let mut last: BTreeMap<&str, (f64, f64, bool)> = BTreeMap::new();
         for given in self.fleet.checks.orders.values() {
             let (Order::Zone { zone, on }, Some((end, outcome))) = (&given.order, given.ended) else {
--- a/crates/simulation/src/plan.rs
+++ b/crates/simulation/src/scenario.rs
@@ -2,7 +2,7 @@
 //! the steps and how they are drawn. Must never depend on anything but the seed and the size.
 
 use crate::SoundingError;
-use archlink_messages::Node;
+use archlink_messages::NodeId;
 use error_stack::{Report, ResultExt};
 use serde::{Deserialize, Serialize};
 
@@ -35,7 +35,7 @@
 }
 
 impl Size {
-    pub fn gateways(self) -> Node {
+    pub fn gateways(self) -> NodeId {
         match self {
             Size::Small => 4,
             Size::Grown => 6,
@@ -69,41 +69,41 @@
 pub enum Step {
     /// A configuration numbered so far above the highest ordered before; its caller waits that long.
     Chart {
-        node: Node,
+        node: NodeId,
         above: i8,
         patience: f64,
     },
     /// Two texts under one number through two gateways.
     Race {
-        nodes: (Node, Node),
+        nodes: (NodeId, NodeId),
         gap: f64,
     },
     Zone {
-        node: Node,
+        node: NodeId,
         zone: u8,
         on: bool,
         patience: f64,
     },
     /// The second takes the seat of the first.
     Reseat {
-        node: Node,
-        old: Node,
-        new: Node,
+        node: NodeId,
+        old: NodeId,
+        new: NodeId,
     },
     /// Reads through a gateway, so far apart.
     Reads {
-        node: Node,
+        node: NodeId,
         every: f64,
         seconds: f64,
     },
     Cut {
-        from: Node,
-        to: Node,
+        from: NodeId,
+        to: NodeId,
         seconds: f64,
     },
     /// All ways to and from one.
     Isolate {
-        node: Node,
+        node: NodeId,
         seconds: f64,
     },
     /// All ways between those with a bit and those without.
@@ -113,20 +113,20 @@
     },
     /// One way comes and goes.
     Flap {
-        from: Node,
-        to: Node,
+        from: NodeId,
+        to: NodeId,
         period: f64,
         times: u8,
     },
     /// Words wait and come all together.
     Stall {
-        from: Node,
-        to: Node,
+        from: NodeId,
+        to: NodeId,
         seconds: f64,
     },
     /// The same on all ways from one.
     Hold {
-        node: Node,
+        node: NodeId,
         seconds: f64,
     },
     Noise {
@@ -137,20 +137,20 @@
         seconds: f64,
     },
     Freeze {
-        node: Node,
+        node: NodeId,
         seconds: f64,
     },
     Kill {
-        node: Node,
+        node: NodeId,
         down: f64,
     },
     Power {
-        node: Node,
+        node: NodeId,
         down: f64,
     },
     /// Machine and disk are lost, and an empty one comes back; left out where too many are lost already.
     Wipe {
-        node: Node,
+        node: NodeId,
         down: f64,
     },
     KillAll {
@@ -164,24 +164,24 @@
         gap: f64,
     },
     Slow {
-        node: Node,
+        node: NodeId,
         sync: f64,
         seconds: f64,
     },
     Hang {
-        node: Node,
+        node: NodeId,
         seconds: f64,
     },
     /// The machine at that place is gone for good, and an empty one comes under another address, after `gap`; or first, and
     /// the old one is told to end. Waits until as many losses as are borne at once allow it, and no longer.
     Replace {
-        node: Node,
+        node: NodeId,
         gap: f64,
         planned: bool,
     },
     /// A loss of the machine at that place for so long, at the first moment at which it is allowed.
     Lose {
-        node: Node,
+        node: NodeId,
         loss: Loss,
         seconds: f64,
     },
@@ -194,7 +194,7 @@
 
 impl Step {
     /// The step with each place that it names turned into the machine that stands there.
-    pub fn at(&self, machine: impl Fn(Node) -> Node) -> Step {
+    pub fn at(&self, machine: impl Fn(NodeId) -> NodeId) -> Step {
         let mut step = self.clone();
         match &mut step {
             Step::Race { nodes: (one, other), .. } => (*one, *other) = (machine(*one), machine(*other)),
@@ -238,7 +238,7 @@
 }
 
 fn never() -> f64 {
-    crate::world::NEVER
+    crate::network::NEVER
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -278,14 +278,14 @@
         (drawn * 1e3).round() / 1e3
     }
 
-    fn node(&mut self, size: Size) -> Node {
-        self.below(u64::from(size.gateways())) as Node + 1
+    fn node(&mut self, size: Size) -> NodeId {
+        self.below(u64::from(size.gateways())) as NodeId + 1
     }
 
-    fn two(&mut self, size: Size) -> (Node, Node) {
+    fn two(&mut self, size: Size) -> (NodeId, NodeId) {
         let first = self.node(size);
         let gateways = size.gateways();
-        let on = 1 + self.below(u64::from(gateways) - 1) as Node;
+        let on = 1 + self.below(u64::from(gateways) - 1) as NodeId;
         (first, (first - 1 + on) % gateways + 1)
     }
 
--- a/crates/simulation/src/shrink.rs
+++ b/crates/simulation/src/shrink.rs
@@ -1,8 +1,8 @@
 //! Makes a plan that ends with a fault smaller: steps are left out, then lengths cut, as long as a fault remains. Must never
 //! give back a plan that ends well.
 
-use crate::plan::Plan;
-use crate::play::{Played, play};
+use crate::runner::{Played, play};
+use crate::scenario::Plan;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
 /// Plays spent on one plan; a small one costs some milliseconds.
--- a/crates/storage/src/format.rs
+++ b/crates/storage/src/format.rs
@@ -4,8 +4,8 @@
 //! okaywal's own reader is not used: it writes to what it reads, refuses a file whose tail is torn, and follows a torn length
 //! to fill gigabytes with zeros.
 
-use crate::{Entered, LogbookError, State, before};
-use archlink_messages::{Ballot, Register};
+use crate::{DurableState, StateChange, StorageError, legacy_format};
+use archlink_messages::{ProposalNumber, Register};
 use error_stack::{Report, ResultExt, bail, ensure};
 use serde::{Deserialize, Serialize};
 
@@ -22,15 +22,15 @@
 /// costs some tens of bytes, however large the value is.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Change {
-    entered: Entered,
-    promised: Vec<(Register, Ballot)>,
+    entered: StateChange,
+    promised: Vec<(Register, ProposalNumber)>,
 }
 
 impl Change {
-    pub fn of(state: &State, mut entered: Entered) -> Change {
+    pub fn of(state: &DurableState, mut entered: StateChange) -> Change {
         let mut promised = Vec::new();
-        entered.slots.retain(|(register, slot)| {
-            let stands = state.slots.get(register).is_some_and(|had| had.held == slot.held);
+        entered.acceptors.retain(|(register, slot)| {
+            let stands = state.acceptors.get(register).is_some_and(|had| had.accepted == slot.accepted);
             if stands {
                 promised.push((*register, slot.promised));
             }
@@ -39,10 +39,10 @@
         Change { entered, promised }
     }
 
-    pub fn enter_into(self, state: &mut State) {
+    pub fn enter_into(self, state: &mut DurableState) {
         state.enter(self.entered);
         for (register, ballot) in self.promised {
-            state.slots.entry(register).or_default().promised = ballot;
+            state.acceptors.entry(register).or_default().promised = ballot;
         }
     }
 }
@@ -52,21 +52,22 @@
 }
 
 /// Number and body, where the version is one that is known.
-fn open<'a>(mark: &[u8; 7], bytes: &'a [u8]) -> Result<(u64, &'a [u8]), Report<LogbookError>> {
+fn open<'a>(mark: &[u8; 7], bytes: &'a [u8]) -> Result<(u64, &'a [u8]), Report<StorageError>> {
     let Some((head, body)) = bytes.split_first_chunk::<HEAD>() else {
-        bail!(Report::new(LogbookError::Damaged).attach("shorter than its head"));
+        bail!(Report::new(StorageError::Damaged).attach("shorter than its head"));
     };
-    ensure!(head.starts_with(mark), Report::new(LogbookError::Damaged).attach("does not begin as it must"));
+    ensure!(head.starts_with(mark), Report::new(StorageError::Damaged).attach("does not begin as it must"));
     let version = head[mark.len()];
     ensure!(
         (1..=VERSION).contains(&version),
-        Report::new(LogbookError::Later).attach(format!("version {version}; known up to {VERSION}"))
+        Report::new(StorageError::UnsupportedVersion)
+            .attach(format!("version {version}; known up to {VERSION}"))
     );
     let number = head.last_chunk::<8>().map_or(0, |bytes| u64::from_le_bytes(*bytes));
     Ok((number, body))
 }
 
-pub fn snapshot(number: u64, state: &State) -> Result<Vec<u8>, postcard::Error> {
+pub fn snapshot(number: u64, state: &DurableState) -> Result<Vec<u8>, postcard::Error> {
     let mut bytes = head(SNAPSHOT, number);
     let body = postcard::to_stdvec(state)?;
     bytes.extend(crc32c::crc32c_append(crc32c::crc32c(&bytes), &body).to_le_bytes());
@@ -75,29 +76,29 @@
 }
 
 /// The state and the number of the last change in it; one of before the versions has the number 0.
-pub fn read_snapshot(bytes: &[u8]) -> Result<(u64, State), Report<LogbookError>> {
+pub fn read_snapshot(bytes: &[u8]) -> Result<(u64, DurableState), Report<StorageError>> {
     if !bytes.starts_with(SNAPSHOT) {
-        return Ok((0, before::read_snapshot(bytes)?));
+        return Ok((0, legacy_format::read_snapshot(bytes)?));
     }
     let (number, rest) = open(SNAPSHOT, bytes)?;
     let Some((sum, body)) = rest.split_first_chunk::<4>() else {
-        bail!(Report::new(LogbookError::Damaged).attach("shorter than its head"));
+        bail!(Report::new(StorageError::Damaged).attach("shorter than its head"));
     };
     ensure!(
         crc32c::crc32c_append(crc32c::crc32c(&bytes[..HEAD]), body) == u32::from_le_bytes(*sum),
-        Report::new(LogbookError::Damaged).attach("its checksum is another")
+        Report::new(StorageError::Damaged).attach("its checksum is another")
     );
-    Ok((number, postcard::from_bytes(body).change_context(LogbookError::Damaged)?))
+    Ok((number, postcard::from_bytes(body).change_context(StorageError::Damaged)?))
 }
 
 pub fn entry(number: u64, change: &Change) -> Result<Vec<u8>, postcard::Error> {
     postcard::to_extend(change, head(ENTRY, number))
 }
 
-pub fn read_entry(bytes: &[u8]) -> Result<(u64, Change), Report<LogbookError>> {
+pub fn read_entry(bytes: &[u8]) -> Result<(u64, Change), Report<StorageError>> {
     let (number, body) = open(ENTRY, bytes)?;
     let change = postcard::from_bytes(body)
-        .change_context(LogbookError::Damaged)
+        .change_context(StorageError::Damaged)
         .attach_with(|| format!("entry {number}"))?;
     Ok((number, change))
 }
--- a/crates/storage/src/before.rs
+++ b/crates/storage/src/legacy_format.rs
@@ -3,9 +3,9 @@
 //! the types of today.
 
 use crate::disk::Disk;
-use crate::keeper::{Found, list, read, segments};
-use crate::{LogbookError, format};
-use archlink_messages::{Ballot, Duty, Muster, Node, Post, Register};
+use crate::store::{Found, list, read, segments};
+use crate::{StorageError, format};
+use archlink_messages::{LeaseGrant, NodeId, ProposalNumber, Register, SingletonRole, VoterSet};
 use bytes::Bytes;
 use error_stack::{Report, ResultExt, ensure};
 use serde::{Deserialize, Serialize};
@@ -14,64 +14,76 @@
 
 #[derive(Serialize, Deserialize)]
 pub struct Held {
-    pub ballot: Ballot,
+    pub ballot: ProposalNumber,
     pub stamp: u64,
     pub value: Bytes,
 }
 
 #[derive(Serialize, Deserialize)]
 pub struct Slot {
-    pub promised: Ballot,
+    pub promised: ProposalNumber,
     pub held: Option<Held>,
 }
 
 #[derive(Default, Serialize, Deserialize)]
 pub struct State {
-    pub voters: Vec<Node>,
+    pub voters: Vec<NodeId>,
     pub slots: BTreeMap<Register, Slot>,
-    pub posts: BTreeMap<Duty, Post>,
+    pub posts: BTreeMap<SingletonRole, LeaseGrant>,
 }
 
 #[derive(Default, Serialize, Deserialize)]
 pub struct Entered {
-    pub voters: Option<Vec<Node>>,
+    pub voters: Option<Vec<NodeId>>,
     pub slots: Vec<(Register, Slot)>,
-    pub posts: Vec<Post>,
+    pub posts: Vec<LeaseGrant>,
 }
 
 /// The set was agreed on once, by the seeds, and stood for good: it is the first epoch's.
-fn muster(voters: &[Node]) -> Option<Muster> {
-    Some(Muster::first(voters)).filter(|muster| !muster.seats.is_empty())
+fn muster(voters: &[NodeId]) -> Option<VoterSet> {
+    Some(VoterSet::initial(voters)).filter(|muster| !muster.voters.is_empty())
 }
 
 /// In the place of the register of today's musters the first set was voted on, which was on no disk.
-fn slot((register, slot): (Register, Slot)) -> Option<(Register, archlink_messages::Slot)> {
-    let held =
-        |Held { ballot, stamp, value }| archlink_messages::Held { ballot, stamp, value, marks: Vec::new() };
-    let slot = archlink_messages::Slot { promised: slot.promised, held: slot.held.map(held) };
-    (register != Register::Muster).then_some((register, slot))
+fn slot((register, slot): (Register, Slot)) -> Option<(Register, archlink_messages::AcceptorState)> {
+    let held = |Held { ballot, stamp, value }| archlink_messages::AcceptedValue {
+        proposal: ballot,
+        revision: stamp,
+        value,
+        recent_versions: Vec::new(),
+    };
+    let slot = archlink_messages::AcceptorState { promised: slot.promised, accepted: slot.held.map(held) };
+    (register != Register::VoterSet).then_some((register, slot))
 }
 
-impl From<State> for crate::State {
+impl From<State> for crate::DurableState {
     fn from(State { voters, slots, posts }: State) -> Self {
         let slots = slots.into_iter().filter_map(slot).collect();
-        crate::State { muster: muster(&voters).unwrap_or_default(), slots, posts }
+        crate::DurableState {
+            voter_set: muster(&voters).unwrap_or_default(),
+            acceptors: slots,
+            grants: posts,
+        }
     }
 }
 
-impl From<Entered> for crate::Entered {
+impl From<Entered> for crate::StateChange {
     fn from(Entered { voters, slots, posts }: Entered) -> Self {
         let muster = voters.and_then(|voters| muster(&voters));
-        crate::Entered { muster, slots: slots.into_iter().filter_map(slot).collect(), posts }
+        crate::StateChange {
+            voter_set: muster,
+            acceptors: slots.into_iter().filter_map(slot).collect(),
+            grants: posts,
+        }
     }
 }
 
-pub fn read_snapshot(bytes: &[u8]) -> Result<crate::State, Report<LogbookError>> {
-    postcard::from_bytes::<State>(bytes).map(Into::into).change_context(LogbookError::Damaged)
+pub fn read_snapshot(bytes: &[u8]) -> Result<crate::DurableState, Report<StorageError>> {
+    postcard::from_bytes::<State>(bytes).map(Into::into).change_context(StorageError::Damaged)
 }
 
 /// Replays the log over the snapshot. Half an entry at the end was never said to be kept.
-pub fn replay<D: Disk>(disk: &D, log: &Path, found: &mut Found) -> Result<(), Report<LogbookError>> {
+pub fn replay<D: Disk>(disk: &D, log: &Path, found: &mut Found) -> Result<(), Report<StorageError>> {
     let mut torn = false;
     for (name, first) in segments(list(disk, log)?) {
         let path = log.join(name);
@@ -79,13 +91,13 @@
         let segment = format::segment(&bytes, first);
         ensure!(
             !torn || segment.entries.is_empty(),
-            Report::new(LogbookError::Damaged)
+            Report::new(StorageError::Damaged)
                 .attach(format!("{}: an entry before it can't be read", path.display()))
         );
         torn |= segment.torn;
         for entry in segment.entries {
             let entered: Entered = postcard::from_bytes(entry)
-                .change_context(LogbookError::Damaged)
+                .change_context(StorageError::Damaged)
                 .attach_with(|| path.display().to_string())?;
             found.state.enter(entered.into());
         }
--- a/crates/storage/src/keeper.rs
+++ b/crates/storage/src/store.rs
@@ -10,7 +10,7 @@
 
 use crate::disk::{Disk, Log};
 use crate::format::{self, Change};
-use crate::{Entered, LogbookError, State, before};
+use crate::{DurableState, StateChange, StorageError, legacy_format};
 use error_stack::{Report, ResultExt, bail, ensure};
 use std::collections::BTreeMap;
 use std::io;
@@ -33,7 +33,7 @@
 pub struct Keeper<D: Disk> {
     disk: D,
     folder: PathBuf,
-    state: State,
+    state: DurableState,
     /// Of the last change in `state`.
     number: u64,
     /// None: the next change goes into a snapshot.
@@ -50,15 +50,15 @@
 /// What a folder holds, and where it was read.
 pub struct Found {
     pub number: u64,
-    pub state: State,
+    pub state: DurableState,
     pub read: Vec<PathBuf>,
     next: u64,
 }
 
 impl<D: Disk> Keeper<D> {
     /// Reads what is there and has it outlast a loss of power from here on. Nothing is altered where that can't be read.
-    pub fn open(mut disk: D, folder: &Path, checkpoint: usize) -> Result<Keeper<D>, Report<LogbookError>> {
-        disk.hold(folder).change_context(LogbookError::Disk)?;
+    pub fn open(mut disk: D, folder: &Path, checkpoint: usize) -> Result<Keeper<D>, Report<StorageError>> {
+        disk.hold(folder).change_context(StorageError::Disk)?;
         let found = find(&disk, folder)?;
         let folder = folder.to_path_buf();
         let (number, state, next) = (found.number, found.state, found.next);
@@ -68,17 +68,17 @@
             log::warn!("disk refused: {e}; goes on from what is there");
             // A disk that is full may still sync.
             let synced = found.read.iter().try_for_each(|path| keeper.disk.sync(path));
-            synced.change_context(LogbookError::Disk)?;
+            synced.change_context(StorageError::Disk)?;
         }
         Ok(keeper)
     }
 
-    pub fn state(&self) -> &State {
+    pub fn state(&self) -> &DurableState {
         &self.state
     }
 
     /// Has something kept, however long the disk refuses; tries again after `again`.
-    pub fn keep(&mut self, entered: Entered, again: Duration) {
+    pub fn keep(&mut self, entered: StateChange, again: Duration) {
         let change = Change::of(&self.state, entered);
         let number = self.number + 1;
         let mut state = self.state.clone();
@@ -114,7 +114,7 @@
 
     /// Written aside, synced, renamed, and the folder synced: the old snapshot or the new one is there, whole. The same sync
     /// of the folder is for the name of the new log.
-    fn checkpoint(&mut self, number: u64, state: &State) -> io::Result<()> {
+    fn checkpoint(&mut self, number: u64, state: &DurableState) -> io::Result<()> {
         let bytes = format::snapshot(number, state).map_err(io::Error::other)?;
         let log = self.folder.join(format!("{LOG}{}", self.next));
         let begun = self.put_aside(&bytes).and_then(|()| {
@@ -164,16 +164,17 @@
     name.strip_prefix(LOG)?.parse().ok()
 }
 
-pub fn read<D: Disk>(disk: &D, file: &Path) -> Result<Option<Vec<u8>>, Report<LogbookError>> {
-    disk.read(file).change_context(LogbookError::Disk).attach_with(|| file.display().to_string())
+pub fn read<D: Disk>(disk: &D, file: &Path) -> Result<Option<Vec<u8>>, Report<StorageError>> {
+    disk.read(file).change_context(StorageError::Disk).attach_with(|| file.display().to_string())
 }
 
-pub fn list<D: Disk>(disk: &D, folder: &Path) -> Result<Vec<String>, Report<LogbookError>> {
-    disk.list(folder).change_context(LogbookError::Disk).attach_with(|| folder.display().to_string())
+pub fn list<D: Disk>(disk: &D, folder: &Path) -> Result<Vec<String>, Report<StorageError>> {
+    disk.list(folder).change_context(StorageError::Disk).attach_with(|| folder.display().to_string())
 }
 
-pub fn find<D: Disk>(disk: &D, folder: &Path) -> Result<Found, Report<LogbookError>> {
-    let mut found = Found { number: 0, state: State::default(), read: vec![folder.to_path_buf()], next: 1 };
+pub fn find<D: Disk>(disk: &D, folder: &Path) -> Result<Found, Report<StorageError>> {
+    let mut found =
+        Found { number: 0, state: DurableState::default(), read: vec![folder.to_path_buf()], next: 1 };
     let path = folder.join(SNAPSHOT);
     if let Some(bytes) = read(disk, &path)? {
         (found.number, found.state) =
@@ -182,7 +183,7 @@
     }
     let names = list(disk, folder)?;
     if found.number == 0 && names.iter().any(|name| name == BEFORE) {
-        before::replay(disk, &folder.join(BEFORE), &mut found)?;
+        legacy_format::replay(disk, &folder.join(BEFORE), &mut found)?;
     }
     let mut changes = BTreeMap::new();
     for log in names.iter().filter_map(|name| log_of(name)) {
@@ -197,7 +198,7 @@
     for (number, change) in changes {
         ensure!(
             number == found.number + 1,
-            Report::new(LogbookError::Damaged).attach(format!(
+            Report::new(StorageError::Damaged).attach(format!(
                 "{}: entry {number} is there, but nothing of {}",
                 folder.display(),
                 found.number + 1
@@ -220,7 +221,7 @@
 
 /// Entries above a number. An entry at the end that is not whole was never said to be kept; one with whole ones behind it
 /// was, and has been damaged since.
-fn read_log<D: Disk>(disk: &D, path: &Path, above: u64) -> Result<Vec<(u64, Change)>, Report<LogbookError>> {
+fn read_log<D: Disk>(disk: &D, path: &Path, above: u64) -> Result<Vec<(u64, Change)>, Report<StorageError>> {
     let named = || path.display().to_string();
     let bytes = read(disk, path)?.unwrap_or_default();
     let segment = format::segment(&bytes, 1);
@@ -232,7 +233,7 @@
     let used = bytes.iter().rposition(|&byte| byte != 0).map_or(0, |last| last + 1);
     let rest = &bytes[segment.end.min(used)..used];
     if let Some(later) = format::whole_entry_within(rest).find(|number| *number > last.max(above) + 1) {
-        bail!(Report::new(LogbookError::Damaged).attach(format!(
+        bail!(Report::new(StorageError::Damaged).attach(format!(
             "{}: what comes after entry {last} can't be read, but {later} is there",
             named()
         )));
--- a/crates/storage/src/tests.rs
+++ b/crates/storage/src/tests.rs
@@ -5,41 +5,48 @@
 mod fixtures;
 mod folders;
 
-use crate::{Entered, Logbook, LogbookError, State};
-use archlink_messages::{Ballot, Duty, Held, Muster, Post, Register, Slot};
+use crate::{DurableState, StateChange, Storage, StorageError};
+use archlink_messages::{
+    AcceptedValue, AcceptorState, LeaseGrant, ProposalNumber, Register, SingletonRole, VoterSet,
+};
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::channel;
 
-fn slot(round: u64, size: usize) -> Slot {
-    let ballot = Ballot { round, node: 1, nonce: 2 };
-    Slot {
+fn slot(round: u64, size: usize) -> AcceptorState {
+    let ballot = ProposalNumber { round, node: 1, nonce: 2 };
+    AcceptorState {
         promised: ballot,
-        held: Some(Held { ballot, stamp: round, value: vec![round as u8; size].into(), marks: Vec::new() }),
+        accepted: Some(AcceptedValue {
+            proposal: ballot,
+            revision: round,
+            value: vec![round as u8; size].into(),
+            recent_versions: Vec::new(),
+        }),
     }
 }
 
-fn value(round: u64, size: usize) -> Entered {
-    Entered { slots: vec![(Register::Chart, slot(round, size))], ..Entered::default() }
+fn value(round: u64, size: usize) -> StateChange {
+    StateChange { acceptors: vec![(Register::Configuration, slot(round, size))], ..StateChange::default() }
 }
 
 /// The n-th change on a state: voters, values, promises and posts in turn.
-fn change(state: &State, n: u64) -> Entered {
+fn change(state: &DurableState, n: u64) -> StateChange {
     let mut entered = value(n, 40 + n as usize % 7 * 30);
     match n % 5 {
-        0 => entered.muster = Some(Muster { epoch: n, ..Muster::first(&[n as u32, 2, 3]) }),
-        1 => entered.slots.push((Register::Evacuations, slot(n, 3))),
-        2 => entered.posts.push(Post { duty: Duty::Tally, holder: 3, term: n }),
+        0 => entered.voter_set = Some(VoterSet { epoch: n, ..VoterSet::initial(&[n as u32, 2, 3]) }),
+        1 => entered.acceptors.push((Register::Evacuations, slot(n, 3))),
+        2 => entered.grants.push(LeaseGrant { role: SingletonRole::QuotaCounter, holder: 3, term: n }),
         3 => {}
         _ => {
-            let mut promised = state.slots.get(&Register::Chart).cloned().unwrap_or_default();
+            let mut promised = state.acceptors.get(&Register::Configuration).cloned().unwrap_or_default();
             promised.promised.round = n;
-            entered.slots = vec![(Register::Chart, promised)];
+            entered.acceptors = vec![(Register::Configuration, promised)];
         }
     }
     entered
 }
 
-fn after(state: &State, entered: Entered) -> State {
+fn after(state: &DurableState, entered: StateChange) -> DurableState {
     let mut state = state.clone();
     state.enter(entered);
     state
@@ -51,17 +58,17 @@
     folder
 }
 
-fn enter(book: &Logbook, entered: Entered) {
+fn enter(book: &Storage, entered: StateChange) {
     let (sent, kept) = channel();
     assert!(book.enter(entered, move || sent.send(()).unwrap_or_default()));
     kept.recv().unwrap();
 }
 
 /// Opens once a logbook that was let go has left the folder.
-fn open(folder: &Path) -> (Logbook, State) {
+fn open(folder: &Path) -> (Storage, DurableState) {
     loop {
-        match Logbook::open(folder) {
-            Err(e) if *e.current_context() == LogbookError::Disk => std::thread::yield_now(),
+        match Storage::open(folder) {
+            Err(e) if *e.current_context() == StorageError::Disk => std::thread::yield_now(),
             opened => return opened.unwrap(),
         }
     }
--- a/crates/storage/src/tests/bounds.rs
+++ b/crates/storage/src/tests/bounds.rs
@@ -2,9 +2,9 @@
 
 use super::{folder, open, slot, value};
 use crate::disk::{Disk, Log};
-use crate::keeper::{CHECKPOINT, Keeper, find};
-use crate::made_up::{FOLDER, MadeUp, Platter};
-use crate::{Entered, Logbook, QUEUE};
+use crate::simulated_disk::{FOLDER, MadeUp, Platter};
+use crate::store::{CHECKPOINT, Keeper, find};
+use crate::{QUEUE, StateChange, Storage};
 use archlink_messages::Register;
 use std::collections::BTreeMap;
 use std::io;
@@ -129,7 +129,10 @@
             keep(value(n, size));
             let mut promised = slot(n, size);
             promised.promised.round += 1;
-            let promise = keep(Entered { slots: vec![(Register::Chart, promised)], ..Entered::default() });
+            let promise = keep(StateChange {
+                acceptors: vec![(Register::Configuration, promised)],
+                ..StateChange::default()
+            });
             assert!(promise < 100, "{promise}");
         }
         let counts = *disk.counts.lock().unwrap();
@@ -157,7 +160,7 @@
     for round in 1..9 {
         let (book, found) = open(&folder);
         assert_eq!(
-            found.slots.get(&Register::Chart),
+            found.acceptors.get(&Register::Configuration),
             (round > 1).then(|| slot(round - 1, 1_000_000)).as_ref()
         );
         (0..=round % 3).for_each(|_| super::enter(&book, value(round, 1_000_000)));
@@ -169,7 +172,7 @@
 #[test]
 fn what_waits_is_written_together_and_what_finds_no_room_is_not_written() {
     let disk = MadeUp::new(Platter::empty());
-    let (book, _) = Logbook::open_on(disk.clone(), Path::new(FOLDER), Duration::ZERO).unwrap();
+    let (book, _) = Storage::open_on(disk.clone(), Path::new(FOLDER), Duration::ZERO).unwrap();
     let before = find(&disk, Path::new(FOLDER)).unwrap().number;
     let ((hangs, hung), (go, gone)) = (channel(), channel::<()>());
     disk.watch(move |_, _| {
@@ -189,5 +192,8 @@
     drop(go);
     assert!((0..=waiting).all(|n| kept.recv().unwrap() == n));
     let found = find(&disk, Path::new(FOLDER)).unwrap();
-    assert_eq!((found.number - before, &found.state.slots[&Register::Chart]), (2, &slot(waiting, 9)));
+    assert_eq!(
+        (found.number - before, &found.state.acceptors[&Register::Configuration]),
+        (2, &slot(waiting, 9))
+    );
 }
--- a/crates/storage/src/tests/crashes.rs
+++ b/crates/storage/src/tests/crashes.rs
@@ -1,9 +1,9 @@
 //! What a crash leaves, at every point of a run.
 
 use super::{after, change};
-use crate::keeper::{Keeper, find};
-use crate::made_up::{FOLDER, MadeUp, Platter, each_loss};
-use crate::{LogbookError, State};
+use crate::simulated_disk::{FOLDER, MadeUp, Platter, each_loss};
+use crate::store::{Keeper, find};
+use crate::{DurableState, StorageError};
 use oorandom::Rand64;
 use std::path::Path;
 use std::sync::{Arc, Mutex};
@@ -17,13 +17,13 @@
 /// All states that were entered, and how many of them were said to be kept.
 #[derive(Clone, Default)]
 struct Story {
-    entered: Vec<State>,
+    entered: Vec<DurableState>,
     kept: usize,
 }
 
 impl Story {
     fn begin() -> Story {
-        Story { entered: vec![State::default()], kept: 0 }
+        Story { entered: vec![DurableState::default()], kept: 0 }
     }
 
     /// The place of what is found: one moment's state, not from before the last that was said to be kept.
@@ -41,7 +41,7 @@
 fn opened(disk: &MadeUp) -> Keeper<MadeUp> {
     loop {
         match Keeper::open(disk.clone(), Path::new(FOLDER), CHECKPOINT) {
-            Err(e) if *e.current_context() == LogbookError::Disk => {}
+            Err(e) if *e.current_context() == StorageError::Disk => {}
             keeper => return keeper.unwrap(),
         }
     }
--- a/crates/storage/src/tests/fixtures.rs
+++ b/crates/storage/src/tests/fixtures.rs
@@ -5,8 +5,11 @@
 use super::{enter, folder, open};
 use crate::disk::{Log, log_in};
 use crate::format::{self, Change};
-use crate::{Entered, Logbook, State, before};
-use archlink_messages::{Ballot, Duty, Held, Mark, Muster, Post, Register, Slot};
+use crate::{DurableState, StateChange, Storage, legacy_format};
+use archlink_messages::{
+    AcceptedValue, AcceptorState, LeaseGrant, ProposalNumber, Register, SingletonRole, VersionDigest,
+    VoterSet,
+};
 use std::collections::BTreeMap;
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -57,112 +60,123 @@
     copy
 }
 
-fn ballot(round: u64, node: u32, nonce: u32) -> Ballot {
-    Ballot { round, node, nonce }
+fn ballot(round: u64, node: u32, nonce: u32) -> ProposalNumber {
+    ProposalNumber { round, node, nonce }
 }
 
 /// The acceptor state in the snapshot of the fixture of version 1.
-fn version_1_snapshot() -> State {
-    State {
-        muster: Muster {
+fn version_1_snapshot() -> DurableState {
+    DurableState {
+        voter_set: VoterSet {
             epoch: 0x1_0002_0003,
-            seats: vec![0x0a00_0001, 0x0a00_0102, 0x0a01_0203],
-            coming: vec![0x0a00_0001, 0x0a02_0304],
+            voters: vec![0x0a00_0001, 0x0a00_0102, 0x0a01_0203],
+            incoming: vec![0x0a00_0001, 0x0a02_0304],
         },
-        slots: BTreeMap::from([
+        acceptors: BTreeMap::from([
             (
-                Register::Chart,
-                Slot {
+                Register::Configuration,
+                AcceptorState {
                     promised: ballot(0x100_0000_0009, 0x0a00_0102, 0xdead_beef),
-                    held: Some(Held {
-                        ballot: ballot(0x100_0000_0008, 0x0a00_0001, 77),
-                        stamp: 300,
+                    accepted: Some(AcceptedValue {
+                        proposal: ballot(0x100_0000_0008, 0x0a00_0001, 77),
+                        revision: 300,
                         value: "services: [one]\n".into(),
-                        marks: vec![
-                            Mark { version: 41, digest: *b"0123456789abcdef" },
-                            Mark { version: 70_000, digest: *b"fedcba9876543210" },
+                        recent_versions: vec![
+                            VersionDigest { version: 41, digest: *b"0123456789abcdef" },
+                            VersionDigest { version: 70_000, digest: *b"fedcba9876543210" },
                         ],
                     }),
                 },
             ),
             (
                 Register::Evacuations,
-                Slot {
+                AcceptorState {
                     promised: ballot(0x100_0000_0002, 0x0a01_0203, 5),
-                    held: Some(Held {
-                        ballot: ballot(0x100_0000_0001, 0x0a00_0102, 6),
-                        stamp: 2,
+                    accepted: Some(AcceptedValue {
+                        proposal: ballot(0x100_0000_0001, 0x0a00_0102, 6),
+                        revision: 2,
                         value: "zone-a\nzone-b".into(),
-                        marks: vec![],
+                        recent_versions: vec![],
                     }),
                 },
             ),
-            (Register::Muster, Slot { promised: ballot(0x100_0000_0003, 0x0a00_0001, 8), held: None }),
+            (
+                Register::VoterSet,
+                AcceptorState { promised: ballot(0x100_0000_0003, 0x0a00_0001, 8), accepted: None },
+            ),
         ]),
-        posts: BTreeMap::from([
-            (Duty::Lookout, Post { duty: Duty::Lookout, holder: 0x0a00_0001, term: 12 }),
-            (Duty::Tally, Post { duty: Duty::Tally, holder: 0x0a00_0102, term: 1300 }),
+        grants: BTreeMap::from([
+            (
+                SingletonRole::HostDiscovery,
+                LeaseGrant { role: SingletonRole::HostDiscovery, holder: 0x0a00_0001, term: 12 },
+            ),
+            (
+                SingletonRole::QuotaCounter,
+                LeaseGrant { role: SingletonRole::QuotaCounter, holder: 0x0a00_0102, term: 1300 },
+            ),
         ]),
     }
 }
 
 /// What the log of the fixture of version 1 adds: a voter set, a slot with its value, a slot of which the promise alone
 /// changed (with and without a value that stands), a post, and all of these in one entry.
-fn version_1_changes() -> [Entered; 6] {
+fn version_1_changes() -> [StateChange; 6] {
     let snapshot = version_1_snapshot();
-    let promise = |register: Register, promised: Ballot| {
-        (register, Slot { promised, held: snapshot.slots[&register].held.clone() })
+    let promise = |register: Register, promised: ProposalNumber| {
+        (register, AcceptorState { promised, accepted: snapshot.acceptors[&register].accepted.clone() })
     };
-    let chart = Held {
-        ballot: ballot(0x100_0000_000b, 0x0a01_0203, 78),
-        stamp: 301,
+    let chart = AcceptedValue {
+        proposal: ballot(0x100_0000_000b, 0x0a01_0203, 78),
+        revision: 301,
         value: "services: [one, two]\n".into(),
-        marks: vec![
-            Mark { version: 70_000, digest: *b"fedcba9876543210" },
-            Mark { version: 70_001, digest: *b"ABCDEFGHIJKLMNOP" },
+        recent_versions: vec![
+            VersionDigest { version: 70_000, digest: *b"fedcba9876543210" },
+            VersionDigest { version: 70_001, digest: *b"ABCDEFGHIJKLMNOP" },
         ],
     };
-    let chart_slot = Slot { promised: ballot(0x100_0000_000b, 0x0a01_0203, 78), held: Some(chart.clone()) };
-    let chart_promise = Slot { promised: ballot(0x100_0000_000d, 0x0a00_0102, 81), held: Some(chart) };
-    let muster_slot = Slot {
+    let chart_slot =
+        AcceptorState { promised: ballot(0x100_0000_000b, 0x0a01_0203, 78), accepted: Some(chart.clone()) };
+    let chart_promise =
+        AcceptorState { promised: ballot(0x100_0000_000d, 0x0a00_0102, 81), accepted: Some(chart) };
+    let muster_slot = AcceptorState {
         promised: ballot(0x100_0000_000c, 0x0a02_0304, 80),
-        held: Some(Held {
-            ballot: ballot(0x100_0000_000c, 0x0a02_0304, 80),
-            stamp: 4,
+        accepted: Some(AcceptedValue {
+            proposal: ballot(0x100_0000_000c, 0x0a02_0304, 80),
+            revision: 4,
             value: "voter set".into(),
-            marks: vec![],
+            recent_versions: vec![],
         }),
     };
     [
-        Entered {
-            muster: Some(Muster {
+        StateChange {
+            voter_set: Some(VoterSet {
                 epoch: 0x1_0002_0004,
-                seats: vec![0x0a00_0001, 0x0a02_0304],
-                coming: vec![],
+                voters: vec![0x0a00_0001, 0x0a02_0304],
+                incoming: vec![],
             }),
-            ..Entered::default()
+            ..StateChange::default()
         },
-        Entered { slots: vec![(Register::Chart, chart_slot)], ..Entered::default() },
-        Entered {
-            slots: vec![promise(Register::Evacuations, ballot(0x100_0000_0004, 0x0a00_0001, 79))],
-            ..Entered::default()
+        StateChange { acceptors: vec![(Register::Configuration, chart_slot)], ..StateChange::default() },
+        StateChange {
+            acceptors: vec![promise(Register::Evacuations, ballot(0x100_0000_0004, 0x0a00_0001, 79))],
+            ..StateChange::default()
         },
-        Entered {
-            slots: vec![promise(Register::Muster, ballot(0x100_0000_0005, 0x0a00_0001, 90))],
-            ..Entered::default()
+        StateChange {
+            acceptors: vec![promise(Register::VoterSet, ballot(0x100_0000_0005, 0x0a00_0001, 90))],
+            ..StateChange::default()
         },
-        Entered {
-            posts: vec![Post { duty: Duty::Lookout, holder: 0x0a02_0304, term: 13 }],
-            ..Entered::default()
+        StateChange {
+            grants: vec![LeaseGrant { role: SingletonRole::HostDiscovery, holder: 0x0a02_0304, term: 13 }],
+            ..StateChange::default()
         },
-        Entered {
-            muster: Some(Muster {
+        StateChange {
+            voter_set: Some(VoterSet {
                 epoch: 0x1_0002_0005,
-                seats: vec![0x0a00_0001, 0x0a02_0304],
-                coming: vec![0x0a00_0001, 0x0a02_0304, 0x0a03_0405],
+                voters: vec![0x0a00_0001, 0x0a02_0304],
+                incoming: vec![0x0a00_0001, 0x0a02_0304, 0x0a03_0405],
             }),
-            slots: vec![(Register::Muster, muster_slot), (Register::Chart, chart_promise)],
-            posts: vec![Post { duty: Duty::Tally, holder: 0x0a00_0001, term: 1301 }],
+            acceptors: vec![(Register::VoterSet, muster_slot), (Register::Configuration, chart_promise)],
+            grants: vec![LeaseGrant { role: SingletonRole::QuotaCounter, holder: 0x0a00_0001, term: 1301 }],
         },
     ]
 }
@@ -178,15 +192,15 @@
 }
 
 /// The acceptor state in the snapshot of the fixture of before the versions.
-fn before_versions_snapshot() -> before::State {
-    before::State {
+fn before_versions_snapshot() -> legacy_format::State {
+    legacy_format::State {
         voters: vec![0x0a00_0001, 0x0a00_0102],
         slots: BTreeMap::from([
             (
-                Register::Chart,
-                before::Slot {
+                Register::Configuration,
+                legacy_format::Slot {
                     promised: ballot(300, 0x0a00_0001, 0xdead_beef),
-                    held: Some(before::Held {
+                    held: Some(legacy_format::Held {
                         ballot: ballot(299, 0x0a00_0102, 7),
                         stamp: 150,
                         value: "services: [one]\n".into(),
@@ -195,56 +209,65 @@
             ),
             (
                 Register::Evacuations,
-                before::Slot {
+                legacy_format::Slot {
                     promised: ballot(4, 0x0a00_0102, 9),
-                    held: Some(before::Held {
+                    held: Some(legacy_format::Held {
                         ballot: ballot(3, 0x0a00_0001, 10),
                         stamp: 2,
                         value: "zone-a".into(),
                     }),
                 },
             ),
-            (Register::Muster, before::Slot { promised: ballot(1, 0x0a00_0001, 11), held: None }),
+            (Register::VoterSet, legacy_format::Slot { promised: ballot(1, 0x0a00_0001, 11), held: None }),
         ]),
         posts: BTreeMap::from([
-            (Duty::Lookout, Post { duty: Duty::Lookout, holder: 0x0a00_0001, term: 12 }),
-            (Duty::Tally, Post { duty: Duty::Tally, holder: 0x0a00_0102, term: 1300 }),
+            (
+                SingletonRole::HostDiscovery,
+                LeaseGrant { role: SingletonRole::HostDiscovery, holder: 0x0a00_0001, term: 12 },
+            ),
+            (
+                SingletonRole::QuotaCounter,
+                LeaseGrant { role: SingletonRole::QuotaCounter, holder: 0x0a00_0102, term: 1300 },
+            ),
         ]),
     }
 }
 
 /// What the log of the fixture of before the versions adds: voters, slots with and without a value, and posts.
-fn before_versions_changes() -> [before::Entered; 4] {
-    let chart = before::Slot {
+fn before_versions_changes() -> [legacy_format::Entered; 4] {
+    let chart = legacy_format::Slot {
         promised: ballot(302, 0x0a00_0102, 12),
-        held: Some(before::Held {
+        held: Some(legacy_format::Held {
             ballot: ballot(301, 0x0a01_0203, 13),
             stamp: 151,
             value: "services: [one, two]\n".into(),
         }),
     };
-    let first_voters = before::Slot {
+    let first_voters = legacy_format::Slot {
         promised: ballot(2, 0x0a00_0102, 14),
-        held: Some(before::Held {
+        held: Some(legacy_format::Held {
             ballot: ballot(2, 0x0a00_0102, 14),
             stamp: 1,
             value: "first voters".into(),
         }),
     };
-    let evacuations = before::Slot { promised: ballot(6, 0x0a01_0203, 15), held: None };
+    let evacuations = legacy_format::Slot { promised: ballot(6, 0x0a01_0203, 15), held: None };
     [
-        before::Entered {
+        legacy_format::Entered {
             voters: Some(vec![0x0a01_0203, 0x0a00_0102, 0x0a00_0001]),
-            ..before::Entered::default()
+            ..legacy_format::Entered::default()
         },
-        before::Entered {
-            slots: vec![(Register::Chart, chart), (Register::Muster, first_voters)],
-            ..before::Entered::default()
+        legacy_format::Entered {
+            slots: vec![(Register::Configuration, chart), (Register::VoterSet, first_voters)],
+            ..legacy_format::Entered::default()
         },
-        before::Entered { slots: vec![(Register::Evacuations, evacuations)], ..before::Entered::default() },
-        before::Entered {
-            posts: vec![Post { duty: Duty::Tally, holder: 0x0a01_0203, term: 1301 }],
-            ..before::Entered::default()
+        legacy_format::Entered {
+            slots: vec![(Register::Evacuations, evacuations)],
+            ..legacy_format::Entered::default()
+        },
+        legacy_format::Entered {
+            posts: vec![LeaseGrant { role: SingletonRole::QuotaCounter, holder: 0x0a01_0203, term: 1301 }],
+            ..legacy_format::Entered::default()
         },
     ]
 }
@@ -266,57 +289,63 @@
 fn data_folder_of_version_1_opens_with_every_field() {
     let folder = copy_of_fixture(VERSION_1, "fixture-version-1");
     assert_eq!(names(&folder), ["log-12/wal-1", "snapshot"]);
-    let (_book, found) = Logbook::open(&folder).unwrap();
-    let expected = State {
-        muster: Muster {
+    let (_book, found) = Storage::open(&folder).unwrap();
+    let expected = DurableState {
+        voter_set: VoterSet {
             epoch: 0x1_0002_0005,
-            seats: vec![0x0a00_0001, 0x0a02_0304],
-            coming: vec![0x0a00_0001, 0x0a02_0304, 0x0a03_0405],
+            voters: vec![0x0a00_0001, 0x0a02_0304],
+            incoming: vec![0x0a00_0001, 0x0a02_0304, 0x0a03_0405],
         },
-        slots: BTreeMap::from([
+        acceptors: BTreeMap::from([
             (
-                Register::Chart,
-                Slot {
+                Register::Configuration,
+                AcceptorState {
                     promised: ballot(0x100_0000_000d, 0x0a00_0102, 81),
-                    held: Some(Held {
-                        ballot: ballot(0x100_0000_000b, 0x0a01_0203, 78),
-                        stamp: 301,
+                    accepted: Some(AcceptedValue {
+                        proposal: ballot(0x100_0000_000b, 0x0a01_0203, 78),
+                        revision: 301,
                         value: "services: [one, two]\n".into(),
-                        marks: vec![
-                            Mark { version: 70_000, digest: *b"fedcba9876543210" },
-                            Mark { version: 70_001, digest: *b"ABCDEFGHIJKLMNOP" },
+                        recent_versions: vec![
+                            VersionDigest { version: 70_000, digest: *b"fedcba9876543210" },
+                            VersionDigest { version: 70_001, digest: *b"ABCDEFGHIJKLMNOP" },
                         ],
                     }),
                 },
             ),
             (
                 Register::Evacuations,
-                Slot {
+                AcceptorState {
                     promised: ballot(0x100_0000_0004, 0x0a00_0001, 79),
-                    held: Some(Held {
-                        ballot: ballot(0x100_0000_0001, 0x0a00_0102, 6),
-                        stamp: 2,
+                    accepted: Some(AcceptedValue {
+                        proposal: ballot(0x100_0000_0001, 0x0a00_0102, 6),
+                        revision: 2,
                         value: "zone-a\nzone-b".into(),
-                        marks: vec![],
+                        recent_versions: vec![],
                     }),
                 },
             ),
             (
-                Register::Muster,
-                Slot {
+                Register::VoterSet,
+                AcceptorState {
                     promised: ballot(0x100_0000_000c, 0x0a02_0304, 80),
-                    held: Some(Held {
-                        ballot: ballot(0x100_0000_000c, 0x0a02_0304, 80),
-                        stamp: 4,
+                    accepted: Some(AcceptedValue {
+                        proposal: ballot(0x100_0000_000c, 0x0a02_0304, 80),
+                        revision: 4,
                         value: "voter set".into(),
-                        marks: vec![],
+                        recent_versions: vec![],
                     }),
                 },
             ),
         ]),
-        posts: BTreeMap::from([
-            (Duty::Lookout, Post { duty: Duty::Lookout, holder: 0x0a02_0304, term: 13 }),
-            (Duty::Tally, Post { duty: Duty::Tally, holder: 0x0a00_0001, term: 1301 }),
+        grants: BTreeMap::from([
+            (
+                SingletonRole::HostDiscovery,
+                LeaseGrant { role: SingletonRole::HostDiscovery, holder: 0x0a02_0304, term: 13 },
+            ),
+            (
+                SingletonRole::QuotaCounter,
+                LeaseGrant { role: SingletonRole::QuotaCounter, holder: 0x0a00_0001, term: 1301 },
+            ),
         ]),
     };
     assert_eq!(found, expected);
@@ -365,27 +394,37 @@
 fn data_folder_of_before_the_versions_opens_with_every_field() {
     let folder = copy_of_fixture(BEFORE_VERSIONS, "fixture-before-versions");
     assert_eq!(names(&folder), ["log/wal-1", "snapshot"]);
-    let (_book, found) = Logbook::open(&folder).unwrap();
-    let expected = State {
-        muster: Muster { epoch: 1, seats: vec![0x0a00_0001, 0x0a00_0102, 0x0a01_0203], coming: vec![] },
-        slots: BTreeMap::from([
+    let (_book, found) = Storage::open(&folder).unwrap();
+    let expected = DurableState {
+        voter_set: VoterSet {
+            epoch: 1,
+            voters: vec![0x0a00_0001, 0x0a00_0102, 0x0a01_0203],
+            incoming: vec![],
+        },
+        acceptors: BTreeMap::from([
             (
-                Register::Chart,
-                Slot {
+                Register::Configuration,
+                AcceptorState {
                     promised: ballot(302, 0x0a00_0102, 12),
-                    held: Some(Held {
-                        ballot: ballot(301, 0x0a01_0203, 13),
-                        stamp: 151,
+                    accepted: Some(AcceptedValue {
+                        proposal: ballot(301, 0x0a01_0203, 13),
+                        revision: 151,
                         value: "services: [one, two]\n".into(),
-                        marks: vec![],
+                        recent_versions: vec![],
                     }),
                 },
             ),
-            (Register::Evacuations, Slot { promised: ballot(6, 0x0a01_0203, 15), held: None }),
+            (Register::Evacuations, AcceptorState { promised: ballot(6, 0x0a01_0203, 15), accepted: None }),
         ]),
-        posts: BTreeMap::from([
-            (Duty::Lookout, Post { duty: Duty::Lookout, holder: 0x0a00_0001, term: 12 }),
-            (Duty::Tally, Post { duty: Duty::Tally, holder: 0x0a01_0203, term: 1301 }),
+        grants: BTreeMap::from([
+            (
+                SingletonRole::HostDiscovery,
+                LeaseGrant { role: SingletonRole::HostDiscovery, holder: 0x0a00_0001, term: 12 },
+            ),
+            (
+                SingletonRole::QuotaCounter,
+                LeaseGrant { role: SingletonRole::QuotaCounter, holder: 0x0a01_0203, term: 1301 },
+            ),
         ]),
     };
     assert_eq!(found, expected);
@@ -399,37 +438,43 @@
 /// The snapshot alone, without the log behind it.
 #[test]
 fn snapshot_of_before_the_versions_is_read_with_every_field() {
-    let expected = State {
-        muster: Muster { epoch: 1, seats: vec![0x0a00_0001, 0x0a00_0102], coming: vec![] },
-        slots: BTreeMap::from([
+    let expected = DurableState {
+        voter_set: VoterSet { epoch: 1, voters: vec![0x0a00_0001, 0x0a00_0102], incoming: vec![] },
+        acceptors: BTreeMap::from([
             (
-                Register::Chart,
-                Slot {
+                Register::Configuration,
+                AcceptorState {
                     promised: ballot(300, 0x0a00_0001, 0xdead_beef),
-                    held: Some(Held {
-                        ballot: ballot(299, 0x0a00_0102, 7),
-                        stamp: 150,
+                    accepted: Some(AcceptedValue {
+                        proposal: ballot(299, 0x0a00_0102, 7),
+                        revision: 150,
                         value: "services: [one]\n".into(),
-                        marks: vec![],
+                        recent_versions: vec![],
                     }),
                 },
             ),
             (
                 Register::Evacuations,
-                Slot {
+                AcceptorState {
                     promised: ballot(4, 0x0a00_0102, 9),
-                    held: Some(Held {
-                        ballot: ballot(3, 0x0a00_0001, 10),
-                        stamp: 2,
+                    accepted: Some(AcceptedValue {
+                        proposal: ballot(3, 0x0a00_0001, 10),
+                        revision: 2,
                         value: "zone-a".into(),
-                        marks: vec![],
+                        recent_versions: vec![],
                     }),
                 },
             ),
         ]),
-        posts: BTreeMap::from([
-            (Duty::Lookout, Post { duty: Duty::Lookout, holder: 0x0a00_0001, term: 12 }),
-            (Duty::Tally, Post { duty: Duty::Tally, holder: 0x0a00_0102, term: 1300 }),
+        grants: BTreeMap::from([
+            (
+                SingletonRole::HostDiscovery,
+                LeaseGrant { role: SingletonRole::HostDiscovery, holder: 0x0a00_0001, term: 12 },
+            ),
+            (
+                SingletonRole::QuotaCounter,
+                LeaseGrant { role: SingletonRole::QuotaCounter, holder: 0x0a00_0102, term: 1300 },
+            ),
         ]),
     };
     let committed = &contents(&fixture(BEFORE_VERSIONS))["snapshot"];
--- a/crates/storage/src/tests/folders.rs
+++ b/crates/storage/src/tests/folders.rs
@@ -2,8 +2,8 @@
 
 use super::{change, enter, folder, open, slot, value};
 use crate::disk::{Log, log_in};
-use crate::{Entered, Logbook, LogbookError, State, before};
-use archlink_messages::{Muster, Register};
+use crate::{DurableState, StateChange, Storage, StorageError, legacy_format};
+use archlink_messages::{Register, VoterSet};
 use std::collections::BTreeMap;
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -36,11 +36,11 @@
 #[test]
 fn what_was_kept_is_found_again_through_many_checkpoints() {
     let folder = folder("again");
-    let mut state = State::default();
+    let mut state = DurableState::default();
     for n in 0..4 {
         let (book, found) = open(&folder);
         assert_eq!(found, state);
-        assert_eq!(*Logbook::open(&folder).err().unwrap().current_context(), LogbookError::Disk);
+        assert_eq!(*Storage::open(&folder).err().unwrap().current_context(), StorageError::Disk);
         for round in 1..150 {
             let entered =
                 if round < 20 { change(&state, n * 150 + round) } else { value(n * 150 + round, 3000) };
@@ -60,7 +60,7 @@
 fn a_log_cut_anywhere_opens_with_an_earlier_state() {
     let folder = folder("torn");
     let (book, _) = open(&folder);
-    enter(&book, Entered { muster: Some(Muster::first(&[1, 2, 3])), ..Entered::default() });
+    enter(&book, StateChange { voter_set: Some(VoterSet::initial(&[1, 2, 3])), ..StateChange::default() });
     (1..4).for_each(|round| enter(&book, value(round, 30)));
     drop(book);
     let whole = files(&folder);
@@ -72,10 +72,10 @@
         torn.get_mut(&log).unwrap()[cut..].fill(0);
         lay_out(&folder, &torn);
         let (_, found) = open(&folder);
-        let held = found.slots.get(&Register::Chart);
+        let held = found.acceptors.get(&Register::Configuration);
         let round = held.map_or(0, |held| held.promised.round);
         assert!(
-            held.is_none_or(|held| *held == slot(round, 30) && found.muster.seats == [1, 2, 3]),
+            held.is_none_or(|held| *held == slot(round, 30) && found.voter_set.voters == [1, 2, 3]),
             "cut at {cut}"
         );
         assert!(round >= last, "cut at {cut}");
@@ -121,23 +121,23 @@
         }
     };
     let (gone, cut) = (snapshot.clone(), snapshot.clone());
-    let harms: [(&str, LogbookError, Harm); 9] = [
-        ("first entry", LogbookError::Damaged, set(&log, marks[0] + 30, 255)),
-        ("second entry", LogbookError::Damaged, set(&log, marks[1] + 30, 255)),
-        ("length of the second entry", LogbookError::Damaged, set(&log, marks[1] - 2, 255)),
-        ("head of the log", LogbookError::Damaged, set(&log, 0, 255)),
-        ("a byte of the snapshot", LogbookError::Damaged, set(&snapshot, 40, 255)),
-        ("mark of the snapshot", LogbookError::Damaged, set(&snapshot, 0, 255)),
-        ("snapshot cut", LogbookError::Damaged, Box::new(move |f| f.get_mut(&cut).unwrap().truncate(30))),
-        ("snapshot gone", LogbookError::Damaged, Box::new(move |f| drop(f.remove(&gone)))),
-        ("later entry", LogbookError::Later, Box::new(later)),
+    let harms: [(&str, StorageError, Harm); 9] = [
+        ("first entry", StorageError::Damaged, set(&log, marks[0] + 30, 255)),
+        ("second entry", StorageError::Damaged, set(&log, marks[1] + 30, 255)),
+        ("length of the second entry", StorageError::Damaged, set(&log, marks[1] - 2, 255)),
+        ("head of the log", StorageError::Damaged, set(&log, 0, 255)),
+        ("a byte of the snapshot", StorageError::Damaged, set(&snapshot, 40, 255)),
+        ("mark of the snapshot", StorageError::Damaged, set(&snapshot, 0, 255)),
+        ("snapshot cut", StorageError::Damaged, Box::new(move |f| f.get_mut(&cut).unwrap().truncate(30))),
+        ("snapshot gone", StorageError::Damaged, Box::new(move |f| drop(f.remove(&gone)))),
+        ("later entry", StorageError::UnsupportedVersion, Box::new(later)),
     ];
-    let later_snapshot = ("later snapshot", LogbookError::Later, set(&snapshot, 7, 99));
+    let later_snapshot = ("later snapshot", StorageError::UnsupportedVersion, set(&snapshot, 7, 99));
     for (what, error, harm) in harms.into_iter().chain([later_snapshot]) {
         let mut harmed = whole.clone();
         harm(&mut harmed);
         lay_out(&folder, &harmed);
-        let refused = Logbook::open(&folder).err().unwrap_or_else(|| panic!("{what}: opened"));
+        let refused = Storage::open(&folder).err().unwrap_or_else(|| panic!("{what}: opened"));
         assert_eq!(*refused.current_context(), error, "{what}");
         assert!(format!("{refused:?}").contains(folder.to_str().unwrap()), "{what}: {refused:?}");
         assert!(files(&folder) == harmed, "{what}");
@@ -163,7 +163,7 @@
     mixed.insert(log_of(&older), older[&log_of(&older)].clone());
     mixed.insert(folder.join("snapshot.new"), vec![7; 99]);
     lay_out(&folder, &mixed);
-    assert_eq!(open(&folder).1.slots[&Register::Chart], slot(6, 30));
+    assert_eq!(open(&folder).1.acceptors[&Register::Configuration], slot(6, 30));
     fs::remove_dir_all(&folder).unwrap();
 }
 
@@ -172,16 +172,22 @@
 fn a_folder_from_before_the_versions_opens() {
     let folder = folder("before");
     fs::create_dir_all(&folder).unwrap();
-    let state = before::State { voters: vec![1, 2, 3], ..before::State::default() };
+    let state = legacy_format::State { voters: vec![1, 2, 3], ..legacy_format::State::default() };
     fs::write(folder.join("snapshot"), postcard::to_stdvec(&state).unwrap()).unwrap();
     let mut log = log_in(&folder.join("log"), 4096).unwrap();
     for round in 1..4 {
-        let archlink_messages::Slot { promised, held } = slot(round, 300);
-        let held =
-            held.map(|held| before::Held { ballot: held.ballot, stamp: held.stamp, value: held.value });
-        let founders = before::Slot { promised, held: None };
-        let slots = vec![(Register::Chart, before::Slot { promised, held }), (Register::Muster, founders)];
-        let entered = before::Entered { slots, ..before::Entered::default() };
+        let archlink_messages::AcceptorState { promised, accepted: held } = slot(round, 300);
+        let held = held.map(|held| legacy_format::Held {
+            ballot: held.proposal,
+            stamp: held.revision,
+            value: held.value,
+        });
+        let founders = legacy_format::Slot { promised, held: None };
+        let slots = vec![
+            (Register::Configuration, legacy_format::Slot { promised, held }),
+            (Register::VoterSet, founders),
+        ];
+        let entered = legacy_format::Entered { slots, ..legacy_format::Entered::default() };
         log.append(&postcard::to_stdvec(&entered).unwrap()).unwrap();
     }
     drop(log);
@@ -193,7 +199,7 @@
     for round in 3..6 {
         let (book, found) = open(&folder);
         assert_eq!(
-            (found.muster.seats, &found.slots[&Register::Chart]),
+            (found.voter_set.voters, &found.acceptors[&Register::Configuration]),
             (vec![1, 2, 3], &slot(round - 1, 300))
         );
         assert!(!folder.join("log").exists());
