--- a/crates/balancer/tests/crowd.rs
+++ b/crates/balancer/tests/crowd.rs
@@ -89,11 +89,11 @@
         .map(|&node| {
             let zones = HashMap::from([("z".to_string(), "r".to_string())]);
             let cold = WarmUpBound { overrun: 1.5, slack: 5.0 };
-            let mut berth = Balancer::new(node, "z".into(), "r".into(), zones, cold, u64::from(node));
-            berth.set_gateways(&nodes);
-            berth.set_services([("s".into(), ServiceLimits::default())].into());
-            berth.update_hosts(0.0, &lines);
-            berth
+            let mut balancer = Balancer::new(node, "z".into(), "r".into(), zones, cold, u64::from(node));
+            balancer.set_gateways(&nodes);
+            balancer.set_services([("s".into(), ServiceLimits::default())].into());
+            balancer.update_hosts(0.0, &lines);
+            balancer
         })
         .collect();
     let mut hosts: Vec<Host> = (0..crowd.hosts).map(|_| Host::default()).collect();
--- a/crates/consensus/src/acceptor.rs
+++ b/crates/consensus/src/acceptor.rs
@@ -64,10 +64,10 @@
     pub fn new(now: f64, me: NodeId, slots: Option<BTreeMap<Register, AcceptorState>>) -> Acceptor {
         let forgotten = RecoveryState::LostDisk(StateTransfer { since: now, ..StateTransfer::default() });
         let memory = if slots.is_some() { RecoveryState::Recovered } else { forgotten };
-        let (muster, slots) = (VoterSet::default(), slots.unwrap_or_default());
+        let (voter_set, slots) = (VoterSet::default(), slots.unwrap_or_default());
         let mut voter = Acceptor {
             id: me,
-            voter_set: muster,
+            voter_set,
             registers: slots,
             recovery: memory,
             serial: 0,
@@ -78,9 +78,9 @@
     }
 
     /// Another epoch: what was told in the one before counts for nothing, and is asked for anew at once.
-    pub fn set_voter_set(&mut self, muster: &VoterSet) {
-        self.voter_set = muster.clone();
-        let comes = muster.incoming.contains(&self.id) && !muster.voters.contains(&self.id);
+    pub fn set_voter_set(&mut self, voter_set: &VoterSet) {
+        self.voter_set = voter_set.clone();
+        let comes = voter_set.incoming.contains(&self.id) && !voter_set.voters.contains(&self.id);
         self.recovery = match &self.recovery {
             RecoveryState::LostDisk(StateTransfer { since, .. }) => {
                 RecoveryState::LostDisk(StateTransfer { since: *since, ..StateTransfer::default() })
@@ -145,16 +145,16 @@
         else {
             return Vec::new();
         };
-        let mut acts = Vec::new();
+        let mut effects = Vec::new();
         for node in tellers.all_voters() {
             let (at, wait) = recall.asked.get(&node).copied().unwrap_or((f64::NEG_INFINITY, TRANSFER_RETRY));
             if node != self.id && !recall.received.contains_key(&node) && now >= at + wait {
                 let next = if at.is_finite() { (2.0 * wait).min(TRANSFER_RETRY_MAX) } else { wait };
                 recall.asked.insert(node, (now, next));
-                acts.push(Effect::Send(node, word.clone()));
+                effects.push(Effect::Send(node, word.clone()));
             }
         }
-        acts
+        effects
     }
 
     fn persist_then_reply(&self, register: Register, to: NodeId, poll: ConsensusMessage) -> Vec<Effect> {
@@ -176,19 +176,19 @@
                 self.receive_state(from, *serial, slots)
             }
             _ if !self.may_vote() => Vec::new(),
-            ConsensusMessage::Prepare(register, ballot) => {
+            ConsensusMessage::Prepare(register, proposal) => {
                 let slot = self.registers.entry(*register).or_default();
-                if *ballot == slot.promised {
+                if *proposal == slot.promised {
                     // Asked again: what it promised stands.
-                    let promise = ConsensusMessage::Promise(*register, *ballot, slot.accepted.clone());
+                    let promise = ConsensusMessage::Promise(*register, *proposal, slot.accepted.clone());
                     return self.reply_after_disk(from, promise);
                 }
-                if *ballot < slot.promised {
-                    let refusal = ConsensusMessage::Reject(*register, *ballot, slot.promised);
+                if *proposal < slot.promised {
+                    let refusal = ConsensusMessage::Reject(*register, *proposal, slot.promised);
                     return self.reply_after_disk(from, refusal);
                 }
-                slot.promised = *ballot;
-                let promise = ConsensusMessage::Promise(*register, *ballot, slot.accepted.clone());
+                slot.promised = *proposal;
+                let promise = ConsensusMessage::Promise(*register, *proposal, slot.accepted.clone());
                 self.persist_then_reply(*register, from, promise)
             }
             ConsensusMessage::Accept(register, held) => {
@@ -207,15 +207,15 @@
                 self.persist_then_reply(*register, from, ConsensusMessage::Accepted(*register, held.proposal))
             }
             ConsensusMessage::ReadRequest(serial) => {
-                let ballot = |r: &Register| {
+                let proposal = |r: &Register| {
                     self.registers
                         .get(r)
                         .and_then(|s| s.accepted.as_ref())
                         .map_or(ProposalNumber::default(), |h| h.proposal)
                 };
                 let accepted = REGISTERS.iter().filter(|r| !self.transferred.contains(r));
-                let ballots = accepted.map(|r| (*r, ballot(r))).collect();
-                self.reply_after_disk(from, ConsensusMessage::ReadReply(*serial, ballots))
+                let proposals = accepted.map(|r| (*r, proposal(r))).collect();
+                self.reply_after_disk(from, ConsensusMessage::ReadReply(*serial, proposals))
             }
             ConsensusMessage::FetchValue(register) => {
                 match self.registers.get(register).and_then(|s| s.accepted.clone()) {
--- a/crates/consensus/src/failure_detector.rs
+++ b/crates/consensus/src/failure_detector.rs
@@ -107,12 +107,12 @@
     }
 
     /// Called now and then, with who votes and whether this gateway's voter is whole.
-    pub fn check(&mut self, now: f64, muster: &VoterSet, whole: bool) {
+    pub fn check(&mut self, now: f64, voter_set: &VoterSet, whole: bool) {
         let stood_still = now > self.checked_at + STOOD_STILL;
         self.checked_at = now;
         self.whole = whole;
         let hears = |node: NodeId| node == self.id || self.silence(now, node).is_some_and(|ago| ago < HEARD);
-        if stood_still || !muster.has_quorum(hears) {
+        if stood_still || !voter_set.has_quorum(hears) {
             self.isolated_until = now;
         }
         let answers = |node: NodeId| {
@@ -122,7 +122,7 @@
                     .get(&node)
                     .is_some_and(|heard| now < heard.answered + self.timing.silence_timeout)
         };
-        if stood_still || !muster.has_quorum(answers) {
+        if stood_still || !voter_set.has_quorum(answers) {
             self.quorum_silent_until = now;
         }
     }
@@ -170,9 +170,9 @@
     }
 
     /// Gateways without a vote that could take a seat now, those that have been there for longest first.
-    pub fn spare_nodes(&self, now: f64, muster: &VoterSet) -> Vec<NodeId> {
+    pub fn spare_nodes(&self, now: f64, voter_set: &VoterSet) -> Vec<NodeId> {
         let fits = |(node, _): &(&NodeId, &PeerState)| {
-            !muster.contains(**node) && self.is_reachable(now, **node) && !self.is_leaving(**node)
+            !voter_set.contains(**node) && self.is_reachable(now, **node) && !self.is_leaving(**node)
         };
         let mut spares: Vec<(&NodeId, &PeerState)> = self.peers.iter().filter(fits).collect();
         spares.sort_by(|a, b| a.1.since.total_cmp(&b.1.since));
@@ -186,7 +186,7 @@
 
     /// Voters that are to be replaced as far as this gateway can tell: not heard of, or not answering, for too long while a
     /// majority was; and itself, where it is told to end.
-    pub fn suspected(&self, now: f64, muster: &VoterSet) -> Vec<NodeId> {
+    pub fn suspected(&self, now: f64, voter_set: &VoterSet) -> Vec<NodeId> {
         if now > self.checked_at + STOOD_STILL {
             return Vec::new();
         }
@@ -199,7 +199,7 @@
                     || now > answered(node).max(self.quorum_silent_until) + self.timing.unresponsive_timeout
             }
         };
-        let mut missing: Vec<NodeId> = muster.all_voters().into_iter().filter(lost).collect();
+        let mut missing: Vec<NodeId> = voter_set.all_voters().into_iter().filter(lost).collect();
         // One without a seat says so as well: it is not to get one.
         if self.leaving && !missing.contains(&self.id) {
             missing.push(self.id);
@@ -214,14 +214,15 @@
     }
 
     /// Seats that enough of the others miss, or whose gateways say themselves that they end.
-    pub fn failed_voters(&self, now: f64, muster: &VoterSet) -> Vec<NodeId> {
-        let mine = self.suspected(now, muster);
+    pub fn failed_voters(&self, now: f64, voter_set: &VoterSet) -> Vec<NodeId> {
+        let mine = self.suspected(now, voter_set);
         let misses = |node: NodeId, old: NodeId| {
             if node == self.id { mine.contains(&old) } else { self.says_missing(now, node, old) }
         };
-        let lost =
-            |old: &NodeId| misses(*old, *old) || muster.has_quorum(|node| node != *old && misses(node, *old));
-        muster.voters.iter().copied().filter(lost).collect()
+        let lost = |old: &NodeId| {
+            misses(*old, *old) || voter_set.has_quorum(|node| node != *old && misses(node, *old))
+        };
+        voter_set.voters.iter().copied().filter(lost).collect()
     }
 
     /// A majority that is confirmed lately, and in this epoch, which began then.
--- a/crates/consensus/src/leases.rs
+++ b/crates/consensus/src/leases.rs
@@ -73,10 +73,10 @@
 
 impl Leases {
     /// `posts`: what this gateway granted last in its life before, from its disk.
-    pub fn new(now: f64, me: NodeId, seed: u64, posts: &[LeaseGrant]) -> Leases {
+    pub fn new(now: f64, me: NodeId, seed: u64, grants: &[LeaseGrant]) -> Leases {
         // By chance, so that no grant to an earlier life's bid is taken for one to this life's.
         let serial = oorandom::Rand64::new(u128::from(seed.rotate_left(1))).rand_u64();
-        let mut duties = Leases {
+        let mut roles = Leases {
             id: me,
             voter_set: VoterSet::default(),
             rng: oorandom::Rand64::new(u128::from(seed)),
@@ -90,50 +90,46 @@
             serial,
             leaving: false,
         };
-        posts.iter().for_each(|&post| duties.restore_grant(now, post));
-        duties
+        grants.iter().for_each(|&post| roles.restore_grant(now, post));
+        roles
     }
 
     /// A grant from before this life, or one that others tell of: it may still last its whole span.
     pub fn restore_grant(&mut self, now: f64, post: LeaseGrant) {
-        let LeaseGrant { role: duty, holder, term } = post;
-        if self.granted.get(&duty).is_none_or(|given| given.term < term) {
+        let LeaseGrant { role, holder, term } = post;
+        if self.granted.get(&role).is_none_or(|given| given.term < term) {
             self.granted
-                .insert(duty, GrantedLease { holder, term, until: now + LEASE_DURATION, persisted: true });
+                .insert(role, GrantedLease { holder, term, until: now + LEASE_DURATION, persisted: true });
             // What it held itself is over with the life before: nobody else may have it sooner.
             if holder == self.id {
-                self.retry_at.insert(duty, now);
+                self.retry_at.insert(role, now);
             }
         }
     }
 
     /// The last grant of each duty.
     pub fn grants(&self) -> Vec<LeaseGrant> {
-        self.granted
-            .iter()
-            .map(|(&duty, g)| LeaseGrant { role: duty, holder: g.holder, term: g.term })
-            .collect()
+        self.granted.iter().map(|(&role, g)| LeaseGrant { role, holder: g.holder, term: g.term }).collect()
     }
 
     /// Another epoch: bids of the one before count for nothing. What is held stands until its grants end.
-    pub fn set_voter_set(&mut self, muster: &VoterSet) {
-        self.voter_set = muster.clone();
+    pub fn set_voter_set(&mut self, voter_set: &VoterSet) {
+        self.voter_set = voter_set.clone();
         self.requests.clear();
     }
 
     /// The term in which this gateway holds a duty now.
-    pub fn held_lease(&self, now: f64, duty: SingletonRole) -> Option<Lease> {
-        self.held.get(&duty).copied().filter(|term| now < term.valid_until)
+    pub fn held_lease(&self, now: f64, role: SingletonRole) -> Option<Lease> {
+        self.held.get(&role).copied().filter(|term| now < term.valid_until)
     }
 
     /// Holders as far as known, the own terms first.
     pub fn holders(&self, now: f64) -> Vec<LeaseGrant> {
-        let own = |duty| {
-            self.held_lease(now, duty).map(|t| LeaseGrant { role: duty, holder: self.id, term: t.term })
-        };
+        let own =
+            |role| self.held_lease(now, role).map(|t| LeaseGrant { role, holder: self.id, term: t.term });
         SINGLETON_ROLES
             .into_iter()
-            .filter_map(|duty| own(duty).or(self.known_holders.get(&duty).map(|k| k.0)))
+            .filter_map(|role| own(role).or(self.known_holders.get(&role).map(|k| k.0)))
             .collect()
     }
 
@@ -158,22 +154,22 @@
         ENDS + place.map_or(rest.len(), |place| (place + rest.len() - first) % rest.len()) as f64
     }
 
-    fn next_term(&self, duty: SingletonRole) -> u64 {
-        let given = self.granted.get(&duty).map_or(0, |g| g.term);
+    fn next_term(&self, role: SingletonRole) -> u64 {
+        let given = self.granted.get(&role).map_or(0, |g| g.term);
         given
-            .max(self.highest_terms.get(&duty).copied().unwrap_or(0))
-            .max(self.known_holders.get(&duty).map_or(0, |(k, _)| k.term))
+            .max(self.highest_terms.get(&role).copied().unwrap_or(0))
+            .max(self.known_holders.get(&role).map_or(0, |(k, _)| k.term))
             + 1
     }
 
     /// `again`: for a term that this gateway holds, or has just bid for; another life's bid is never taken for such a one.
-    fn request_lease(&mut self, now: f64, duty: SingletonRole, term: u64, again: bool) -> Vec<Effect> {
+    fn request_lease(&mut self, now: f64, role: SingletonRole, term: u64, again: bool) -> Vec<Effect> {
         self.serial = self.serial.wrapping_add(1);
         let serial = self.serial;
         let yes = BTreeSet::new();
         self.requests
-            .insert(duty, LeaseRequest { term, serial, at: now, granted_by: yes, named_successor: false });
-        let post = LeaseGrant { role: duty, holder: self.id, term };
+            .insert(role, LeaseRequest { term, serial, at: now, granted_by: yes, named_successor: false });
+        let post = LeaseGrant { role, holder: self.id, term };
         let word = self.voter_set.message(if again {
             ConsensusMessage::LeaseRenewal(post, serial)
         } else {
@@ -182,48 +178,48 @@
         self.voter_set.all_voters().into_iter().map(|node| Effect::Send(node, word.clone())).collect()
     }
 
-    fn release_grants(&mut self, duty: SingletonRole) -> Vec<Effect> {
-        let Some(LeaseRequest { term, granted_by: yes, .. }) = self.requests.remove(&duty) else {
+    fn release_grants(&mut self, role: SingletonRole) -> Vec<Effect> {
+        let Some(LeaseRequest { term, granted_by: yes, .. }) = self.requests.remove(&role) else {
             return Vec::new();
         };
-        let post = LeaseGrant { role: duty, holder: self.id, term };
+        let post = LeaseGrant { role, holder: self.id, term };
         // Never bid for again: this word, should it come late, must not free a grant that was won.
-        let seen = self.highest_terms.entry(duty).or_default();
+        let seen = self.highest_terms.entry(role).or_default();
         *seen = term.max(*seen);
         let word = self.voter_set.message(ConsensusMessage::LeaseReleased(post, NO_SUCCESSOR));
         yes.into_iter().map(|node| Effect::Send(node, word.clone())).collect()
     }
 
     pub fn tick(&mut self, now: f64) -> Vec<Effect> {
-        let mut acts = Vec::new();
+        let mut effects = Vec::new();
         if self.leaving || !self.voter_set.is_known() {
-            return acts;
+            return effects;
         }
-        for duty in SINGLETON_ROLES {
-            if let Some(term) = self.held_lease(now, duty) {
-                if self.requests.get(&duty).is_none_or(|b| now >= b.at + RENEWAL_INTERVAL) {
-                    acts.extend(self.request_lease(now, duty, term.term, true));
+        for role in SINGLETON_ROLES {
+            if let Some(term) = self.held_lease(now, role) {
+                if self.requests.get(&role).is_none_or(|b| now >= b.at + RENEWAL_INTERVAL) {
+                    effects.extend(self.request_lease(now, role, term.term, true));
                 }
                 continue;
             }
             // Who has not won gives back what was granted: each voter granting itself again and again, none would win.
-            if self.requests.get(&duty).is_some_and(|b| now >= b.at + REQUEST_TIMEOUT) {
-                acts.extend(self.release_grants(duty));
-                self.retry_at.insert(duty, now + REQUEST_JITTER * self.rng.rand_float());
+            if self.requests.get(&role).is_some_and(|b| now >= b.at + REQUEST_TIMEOUT) {
+                effects.extend(self.release_grants(role));
+                self.retry_at.insert(role, now + REQUEST_JITTER * self.rng.rand_float());
             }
             // A holder that was heard of lately is left alone; after that the voters bid in turn.
-            let granted = self.granted.get(&duty).map_or(f64::NEG_INFINITY, |g| g.until - LEASE_DURATION);
-            let alive = self.known_holders.get(&duty).is_some_and(|(k, at)| {
+            let granted = self.granted.get(&role).map_or(f64::NEG_INFINITY, |g| g.until - LEASE_DURATION);
+            let alive = self.known_holders.get(&role).is_some_and(|(k, at)| {
                 k.holder != self.id && now < at.max(granted) + LEASE_DURATION + TURN_INTERVAL * self.turn(k)
             });
-            let try_at = *self.retry_at.entry(duty).or_insert(now + REQUEST_JITTER * self.rng.rand_float());
-            if alive || now < try_at || self.requests.contains_key(&duty) {
+            let try_at = *self.retry_at.entry(role).or_insert(now + REQUEST_JITTER * self.rng.rand_float());
+            if alive || now < try_at || self.requests.contains_key(&role) {
                 continue;
             }
-            let term = self.next_term(duty);
-            acts.extend(self.request_lease(now, duty, term, false));
+            let term = self.next_term(role);
+            effects.extend(self.request_lease(now, role, term, false));
         }
-        acts
+        effects
     }
 
     pub fn step(&mut self, now: f64, from: NodeId, poll: &ConsensusMessage) -> Vec<Effect> {
@@ -269,11 +265,11 @@
         serial: u64,
         again: bool,
     ) -> Vec<Effect> {
-        let LeaseGrant { role: duty, holder, term } = post;
+        let LeaseGrant { role, holder, term } = post;
         if holder != from {
             return Vec::new();
         }
-        let before = self.granted.get(&duty).copied();
+        let before = self.granted.get(&role).copied();
         // Another's grant is waited out; a new term is above all terms before it. Who bids for a new term of its own has
         // given up the one before, or has lost it with its life.
         let renewed = again && before.is_some_and(|g| g.holder == from && g.term == term);
@@ -281,7 +277,7 @@
         if renewed || free {
             let kept = renewed && before.is_some_and(|g| g.persisted);
             self.granted
-                .insert(duty, GrantedLease { holder, term, until: now + LEASE_DURATION, persisted: kept });
+                .insert(role, GrantedLease { holder, term, until: now + LEASE_DURATION, persisted: kept });
             let grant = self.voter_set.message(ConsensusMessage::LeaseGranted(post, serial));
             // A renewal that counts before the term is on the disk would be forgotten with it, and another would be granted.
             return match renewed {
@@ -302,7 +298,7 @@
         let Some(GrantedLease { holder, term, .. }) = before else { return Vec::new() };
         vec![Effect::Send(
             from,
-            self.voter_set.message(ConsensusMessage::LeaseDenied(LeaseGrant { role: duty, holder, term })),
+            self.voter_set.message(ConsensusMessage::LeaseDenied(LeaseGrant { role, holder, term })),
         )]
     }
 
@@ -328,20 +324,19 @@
     pub fn leave(&mut self, now: f64, successor: Option<NodeId>) -> Vec<Effect> {
         self.leaving = true;
         let held: Vec<SingletonRole> =
-            SINGLETON_ROLES.into_iter().filter(|&duty| self.held_lease(now, duty).is_some()).collect();
-        let mut acts = Vec::new();
-        for duty in held {
-            let Some(term) = self.held.remove(&duty) else { continue };
-            let (Some(successor), post) =
-                (successor, LeaseGrant { role: duty, holder: self.id, term: term.term })
+            SINGLETON_ROLES.into_iter().filter(|&role| self.held_lease(now, role).is_some()).collect();
+        let mut effects = Vec::new();
+        for role in held {
+            let Some(term) = self.held.remove(&role) else { continue };
+            let (Some(successor), post) = (successor, LeaseGrant { role, holder: self.id, term: term.term })
             else {
                 continue;
             };
             let word = self.voter_set.message(ConsensusMessage::LeaseReleased(post, successor));
             let voters = self.voter_set.all_voters().into_iter().filter(|&node| node != successor);
-            acts.extend(voters.chain([successor]).map(|node| Effect::Send(node, word.clone())));
+            effects.extend(voters.chain([successor]).map(|node| Effect::Send(node, word.clone())));
         }
-        acts
+        effects
     }
 
     fn receive_release(
@@ -376,8 +371,8 @@
             self.retry_at.insert(post.role, now + REQUEST_TIMEOUT + REQUEST_JITTER * self.rng.rand_float());
             return Vec::new();
         }
-        let acts = self.request_lease(now, post.role, post.term + 1, false);
+        let effects = self.request_lease(now, post.role, post.term + 1, false);
         self.requests.entry(post.role).and_modify(|bidding| bidding.named_successor = true);
-        acts
+        effects
     }
 }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -4,16 +4,11 @@
 #![forbid(unsafe_code)]
 
 pub mod acceptor;
-pub mod control;
-pub mod event_log;
 pub mod failure_detector;
 pub mod leases;
 pub mod membership;
-mod patch_cache;
 pub mod proposer;
-pub mod registry;
 pub mod repair_timing;
-pub mod update_delivery;
 
 use archlink_messages::{AcceptorState, LeaseGrant, Message, NodeId, Register, VersionDigest, VoterSet};
 
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -137,8 +137,8 @@
     }
 
     /// Another epoch begins here: what was seen in the one before counts for nothing.
-    pub fn epoch_adopted(&mut self, now: f64, muster: &VoterSet) -> Vec<Effect> {
-        let before = std::mem::replace(&mut self.voter_set, muster.clone());
+    pub fn epoch_adopted(&mut self, now: f64, voter_set: &VoterSet) -> Vec<Effect> {
+        let before = std::mem::replace(&mut self.voter_set, voter_set.clone());
         self.epoch_started = now;
         self.attempts.clear();
         self.committed.clear();
@@ -146,8 +146,8 @@
         self.again_at = now;
         self.holds.clear();
         self.due = None;
-        if before.is_joint() && !muster.is_joint() {
-            let ended = if before.incoming == muster.voters {
+        if before.is_joint() && !voter_set.is_joint() {
+            let ended = if before.incoming == voter_set.voters {
                 ChangeResult::Committed
             } else {
                 ChangeResult::RolledBack
@@ -158,23 +158,23 @@
             }
             self.last = Some((now, ended));
         }
-        self.named.retain(|node| !muster.contains(*node));
+        self.named.retain(|node| !voter_set.contains(*node));
         let Some(order) = &self.order else { return Vec::new() };
-        let outcome = match order.seats == muster.voters {
-            true if !muster.is_joint() => Outcome::Chosen,
-            _ if order.seats == muster.incoming => return Vec::new(),
+        let outcome = match order.seats == voter_set.voters {
+            true if !voter_set.is_joint() => Outcome::Chosen,
+            _ if order.seats == voter_set.incoming => return Vec::new(),
             // Another change came first, or this one was taken back.
-            _ if muster.is_joint() => Outcome::Rejected(MembershipError::ChangeInProgress),
+            _ if voter_set.is_joint() => Outcome::Rejected(MembershipError::ChangeInProgress),
             _ => Outcome::Unknown,
         };
         self.order.take().map(|order| Effect::ProposalResolved(order.token, outcome)).into_iter().collect()
     }
 
     /// A voter said in this epoch that its disk holds a register under that ballot.
-    pub fn record_accepted(&mut self, from: NodeId, register: Register, ballot: ProposalNumber) {
+    pub fn record_accepted(&mut self, from: NodeId, register: Register, proposal: ProposalNumber) {
         if self.voter_set.incoming.contains(&from) {
             let held = self.holds.entry((from, register)).or_default();
-            *held = ballot.max(*held);
+            *held = proposal.max(*held);
         }
     }
 
@@ -276,8 +276,8 @@
         self.propose(Attempt::Commit(register), Change::Commit(register))
     }
 
-    fn next(&mut self, muster: VoterSet) -> Vec<(u64, Change)> {
-        self.propose(Attempt::NextVoterSet, Change::VoterSet(muster)).into_iter().collect()
+    fn next(&mut self, voter_set: VoterSet) -> Vec<(u64, Change)> {
+        self.propose(Attempt::NextVoterSet, Change::VoterSet(voter_set)).into_iter().collect()
     }
 
     /// What is to be proposed now; called now and then. What comes of it is told to `done` and `stand`.
@@ -285,7 +285,7 @@
         self.failure_detector.check(now, &self.voter_set, view.recovered);
         self.forget_failures(now);
         let late = self.order.take_if(|order| now > order.until);
-        let mut acts: Vec<Effect> =
+        let mut effects: Vec<Effect> =
             late.map(|order| Effect::ProposalResolved(order.token, Outcome::Unknown)).into_iter().collect();
         if let Some((token, until)) = self.founding {
             let stands =
@@ -293,7 +293,7 @@
             if stands || now > until {
                 self.founding = None;
                 let outcome = if stands { Outcome::Chosen } else { Outcome::Unknown };
-                acts.push(Effect::ProposalResolved(token, outcome));
+                effects.push(Effect::ProposalResolved(token, outcome));
             }
         }
         let changes = if !self.voter_set.is_known() {
@@ -305,7 +305,7 @@
         } else {
             self.look_after(now, view)
         };
-        (acts, changes)
+        (effects, changes)
     }
 
     fn newcomers(&self) -> impl Iterator<Item = NodeId> {
@@ -315,7 +315,7 @@
     /// Has that newcomer said that its disk holds all that was settled?
     fn taken_in(&self, node: NodeId) -> bool {
         let held = |register| self.holds.get(&(node, register)).copied().unwrap_or_default();
-        self.committed.iter().all(|(register, ballot)| held(*register) >= *ballot)
+        self.committed.iter().all(|(register, proposal)| held(*register) >= *proposal)
     }
 
     /// Is a newcomer that has not taken all registers waited for no longer?
--- a/crates/consensus/src/proposer.rs
+++ b/crates/consensus/src/proposer.rs
@@ -84,9 +84,9 @@
     }
 
     /// Another epoch: what was answered in the one before counts for nothing, and is asked for anew.
-    pub fn set_voter_set(&mut self, now: f64, muster: &VoterSet) -> Vec<Effect> {
-        self.voter_set = muster.clone();
-        self.round = self.round.max(muster.first_round());
+    pub fn set_voter_set(&mut self, now: f64, voter_set: &VoterSet) -> Vec<Effect> {
+        self.voter_set = voter_set.clone();
+        self.round = self.round.max(voter_set.first_round());
         self.quorum_read.reset_epoch();
         let busy: Vec<Register> = self.active.keys().copied().collect();
         busy.into_iter().flat_map(|register| self.prepare(now, register)).collect()
@@ -166,10 +166,10 @@
         if self.active.contains_key(&register) || !self.voter_set.is_known() {
             return Vec::new();
         }
-        let mut acts = Vec::new();
+        let mut effects = Vec::new();
         while let Some(wish) = self.waiting.get_mut(&register).and_then(VecDeque::pop_front) {
             if now > wish.deadline {
-                acts.extend(wish.token.map(|token| Effect::ProposalResolved(token, Outcome::Unknown)));
+                effects.extend(wish.token.map(|token| Effect::ProposalResolved(token, Outcome::Unknown)));
                 continue;
             }
             let phase = ProposalPhase::BackingOff { from: now };
@@ -184,10 +184,10 @@
                     withdrawn: false,
                 },
             );
-            acts.extend(self.prepare(now, register));
+            effects.extend(self.prepare(now, register));
             break;
         }
-        acts
+        effects
     }
 
     fn prepare(&mut self, now: f64, register: Register) -> Vec<Effect> {
@@ -227,10 +227,10 @@
 
     fn resolve(&mut self, now: f64, register: Register, outcome: Outcome) -> Vec<Effect> {
         let Some(work) = self.active.remove(&register) else { return Vec::new() };
-        let mut acts: Vec<Effect> =
+        let mut effects: Vec<Effect> =
             work.pending.token.map(|token| Effect::ProposalResolved(token, outcome)).into_iter().collect();
-        acts.extend(self.start_next(now, register));
-        acts
+        effects.extend(self.start_next(now, register));
+        effects
     }
 
     /// What is known to be chosen, from another gateway or from here.
@@ -257,15 +257,15 @@
         }
         self.quorum_read.expire_replies(now);
         match poll {
-            ConsensusMessage::Promise(register, ballot, held) => {
-                self.receive_promise(now, from, *register, *ballot, held)
+            ConsensusMessage::Promise(register, proposal, held) => {
+                self.receive_promise(now, from, *register, *proposal, held)
             }
-            ConsensusMessage::Accepted(register, ballot) => {
-                self.receive_accepted(now, from, *register, *ballot)
+            ConsensusMessage::Accepted(register, proposal) => {
+                self.receive_accepted(now, from, *register, *proposal)
             }
-            ConsensusMessage::Reject(register, ballot, promised) => {
+            ConsensusMessage::Reject(register, proposal, promised) => {
                 self.round = self.round.max(promised.round);
-                if let Some(work) = self.active.get_mut(register).filter(|work| work.number == *ballot) {
+                if let Some(work) = self.active.get_mut(register).filter(|work| work.number == *proposal) {
                     // Somebody else is at it: a wait by chance lets one of the two come through. Orders wait longer each time, for
                     // slow disks, and own changes hardly: else orders without a pause would hold up a change of the voters.
                     const LEAST: f64 = 0.01;
@@ -281,8 +281,8 @@
                 }
                 Vec::new()
             }
-            ConsensusMessage::ReadReply(serial, ballots) => {
-                self.receive_read_reply(now, from, *serial, ballots)
+            ConsensusMessage::ReadReply(serial, proposals) => {
+                self.receive_read_reply(now, from, *serial, proposals)
             }
             // From one voter alone it is no proof: it counts once a majority names its ballot.
             ConsensusMessage::FetchedValue(register, held)
@@ -299,21 +299,21 @@
         now: f64,
         from: NodeId,
         register: Register,
-        ballot: ProposalNumber,
+        proposal: ProposalNumber,
         held: &Option<AcceptedValue>,
     ) -> Vec<Effect> {
-        let muster = &self.voter_set;
-        let Some(work) = self.active.get_mut(&register).filter(|work| work.number == ballot) else {
+        let voter_set = &self.voter_set;
+        let Some(work) = self.active.get_mut(&register).filter(|work| work.number == proposal) else {
             return Vec::new();
         };
         let ProposalPhase::Preparing(promises) = &mut work.phase else { return Vec::new() };
         promises.insert(from, held.clone());
         // A machine that stood still may be here long after its time: what it was promised may be forgotten by now.
-        if !muster.has_quorum(|node| promises.contains_key(&node)) || now > work.pending.deadline {
+        if !voter_set.has_quorum(|node| promises.contains_key(&node)) || now > work.pending.deadline {
             return Vec::new();
         }
         let newest = promises.values().flatten().max_by_key(|held| held.proposal);
-        let Some((held, outcome)) = work.pending.change.apply(newest, ballot) else {
+        let Some((held, outcome)) = work.pending.change.apply(newest, proposal) else {
             return self.resolve(now, register, Outcome::Chosen);
         };
         work.phase = ProposalPhase::Accepting(held.clone(), outcome, BTreeSet::new());
@@ -326,22 +326,22 @@
         now: f64,
         from: NodeId,
         register: Register,
-        ballot: ProposalNumber,
+        proposal: ProposalNumber,
     ) -> Vec<Effect> {
-        let muster = &self.voter_set;
-        let Some(work) = self.active.get_mut(&register).filter(|work| work.number == ballot) else {
+        let voter_set = &self.voter_set;
+        let Some(work) = self.active.get_mut(&register).filter(|work| work.number == proposal) else {
             return Vec::new();
         };
         let ProposalPhase::Accepting(held, outcome, yes) = &mut work.phase else { return Vec::new() };
         yes.insert(from);
         // After its time one that had accepted may have forgotten it, as above.
-        if !muster.has_quorum(|node| yes.contains(&node)) || now > work.pending.deadline {
+        if !voter_set.has_quorum(|node| yes.contains(&node)) || now > work.pending.deadline {
             return Vec::new();
         }
         let (held, outcome) = (held.clone(), *outcome);
-        let mut acts = self.learn(register, &held);
-        acts.extend(self.resolve(now, register, outcome));
-        acts
+        let mut effects = self.learn(register, &held);
+        effects.extend(self.resolve(now, register, outcome));
+        effects
     }
 
     fn receive_read_reply(
@@ -349,48 +349,51 @@
         now: f64,
         from: NodeId,
         serial: u64,
-        ballots: &[(Register, ProposalNumber)],
+        proposals: &[(Register, ProposalNumber)],
     ) -> Vec<Effect> {
-        if !self.quorum_read.receive_reply(from, serial, ballots) {
+        if !self.quorum_read.receive_reply(from, serial, proposals) {
             return Vec::new();
         }
-        let mut acts = Vec::new();
-        for &(register, theirs) in ballots {
+        let mut effects = Vec::new();
+        for &(register, theirs) in proposals {
             let mine = self.chosen.get(&register).map_or(ProposalNumber::default(), |held| held.proposal);
             if theirs <= mine {
                 self.quorum_read.confirm(&self.voter_set, register, mine);
             } else if self.quorum_read.quorum_holds(now, &self.voter_set, register, theirs)
                 && self.quorum_read.may_fetch(now, register, theirs)
             {
-                acts.push(Effect::Send(from, self.voter_set.message(ConsensusMessage::FetchValue(register))));
+                effects
+                    .push(Effect::Send(from, self.voter_set.message(ConsensusMessage::FetchValue(register))));
             }
         }
         // A reader that came meanwhile may be waiting for the next question.
-        acts.extend(self.send_read_request(now));
-        acts
+        effects.extend(self.send_read_request(now));
+        effects
     }
 
     /// Attempts that hang are asked for again, changes whose time is up end, and the question is asked again.
     pub fn tick(&mut self, now: f64) -> Vec<Effect> {
-        let mut acts = Vec::new();
+        let mut effects = Vec::new();
         let busy: Vec<Register> = self.active.keys().chain(self.waiting.keys()).copied().collect();
         for register in busy {
             let Some(work) = self.active.get(&register) else {
-                acts.extend(self.start_next(now, register));
+                effects.extend(self.start_next(now, register));
                 continue;
             };
             match work.phase {
                 _ if now > work.pending.deadline => {
-                    acts.extend(self.resolve(now, register, Outcome::Unknown))
+                    effects.extend(self.resolve(now, register, Outcome::Unknown))
+                }
+                ProposalPhase::BackingOff { from } if now >= from => {
+                    effects.extend(self.prepare(now, register))
                 }
-                ProposalPhase::BackingOff { from } if now >= from => acts.extend(self.prepare(now, register)),
                 ProposalPhase::BackingOff { .. } => {}
-                _ if now > work.phase_started + RESEND_INTERVAL => acts.extend(self.resend(now, register)),
+                _ if now > work.phase_started + RESEND_INTERVAL => effects.extend(self.resend(now, register)),
                 _ => {}
             }
         }
-        acts.extend(self.send_read_request(now));
-        acts
+        effects.extend(self.send_read_request(now));
+        effects
     }
 
     /// Asks the voters which ballots they hold, where it is time.
@@ -398,7 +401,7 @@
         if !self.voter_set.is_known() || !self.quorum_read.due(now, &self.voter_set) {
             return Vec::new();
         }
-        let mut acts = Vec::new();
+        let mut effects = Vec::new();
         for register in self.quorum_read.diverged_registers(now, &self.voter_set) {
             if !self.active.contains_key(&register) {
                 let wish = PendingProposal {
@@ -407,11 +410,11 @@
                     deadline: now + PROPOSAL_TIMEOUT,
                     internal: false,
                 };
-                acts.extend(self.enqueue(now, wish));
+                effects.extend(self.enqueue(now, wish));
             }
         }
         let serial = self.quorum_read.next_request(now);
-        acts.extend(self.to_all(ConsensusMessage::ReadRequest(serial)));
-        acts
+        effects.extend(self.to_all(ConsensusMessage::ReadRequest(serial)));
+        effects
     }
 }
--- a/crates/consensus/src/proposer/change.rs
+++ b/crates/consensus/src/proposer/change.rs
@@ -47,9 +47,9 @@
     pub(super) fn apply(
         &self,
         newest: Option<&AcceptedValue>,
-        ballot: ProposalNumber,
+        proposal: ProposalNumber,
     ) -> Option<(AcceptedValue, Outcome)> {
-        let as_before = || newest.map(|held| AcceptedValue { proposal: ballot, ..held.clone() });
+        let as_before = || newest.map(|held| AcceptedValue { proposal, ..held.clone() });
         let chosen = |held: Option<AcceptedValue>| Some((held?, Outcome::Chosen));
         match self {
             Change::Configuration { version, digest, text } => {
@@ -66,7 +66,7 @@
                 let last = &marks[marks.len().saturating_sub(MAX_RECENT_VERSIONS - 1)..];
                 let marks = last.iter().copied().chain([mark]).collect();
                 chosen(Some(AcceptedValue {
-                    proposal: ballot,
+                    proposal,
                     revision: version + 1,
                     value: text.clone(),
                     recent_versions: marks,
@@ -84,7 +84,7 @@
                 };
                 let stamp = newest.map_or(0, |held| held.revision) + 1;
                 chosen(Some(AcceptedValue {
-                    proposal: ballot,
+                    proposal,
                     revision: stamp,
                     value: encode_evacuated_zones(zones),
                     recent_versions: Vec::new(),
@@ -93,12 +93,7 @@
             // The first set is on no register: it stands until another is chosen.
             Change::VoterSet(next) if newest.map_or(1, |held| held.revision) + 1 == next.epoch => {
                 let (stamp, value) = (next.epoch, next.to_bytes());
-                chosen(Some(AcceptedValue {
-                    proposal: ballot,
-                    revision: stamp,
-                    value,
-                    recent_versions: Vec::new(),
-                }))
+                chosen(Some(AcceptedValue { proposal, revision: stamp, value, recent_versions: Vec::new() }))
             }
             Change::Commit(_) | Change::VoterSet(_) => chosen(as_before()),
         }
--- a/crates/consensus/src/proposer/quorum_read.rs
+++ b/crates/consensus/src/proposer/quorum_read.rs
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug)]
 struct ReadReply {
     at: f64,
-    ballots: BTreeMap<Register, ProposalNumber>,
+    proposals: BTreeMap<Register, ProposalNumber>,
 }
 
 #[derive(Clone, Debug)]
@@ -87,8 +87,8 @@
         self.outstanding.back().map_or(f64::NEG_INFINITY, |(_, at)| *at)
     }
 
-    fn quorum_replied_since(&self, muster: &VoterSet, at: f64) -> bool {
-        muster.has_quorum(|node| self.replies.get(&node).is_some_and(|answer| answer.at >= at))
+    fn quorum_replied_since(&self, voter_set: &VoterSet, at: f64) -> bool {
+        voter_set.has_quorum(|node| self.replies.get(&node).is_some_and(|answer| answer.at >= at))
     }
 
     /// Somebody wants to know what holds from now on. All that come while a question is out share the next one.
@@ -99,12 +99,12 @@
     }
 
     /// Is it time for a question?
-    pub fn due(&mut self, now: f64, muster: &VoterSet) -> bool {
+    pub fn due(&mut self, now: f64, voter_set: &VoterSet) -> bool {
         let confirmed = |at| REGISTERS.iter().all(|r| self.confirmed(*r).is_some_and(|c| c >= at));
         self.reader_since = self.reader_since.filter(|&at| now <= at + READER_TIMEOUT && !confirmed(at));
         let asked = self.last_request_at();
         let every = match self.reader_since {
-            Some(at) if asked < at && self.quorum_replied_since(muster, asked) => return true,
+            Some(at) if asked < at && self.quorum_replied_since(voter_set, asked) => return true,
             Some(_) => READ_RETRY,
             None => self.interval(),
         };
@@ -126,15 +126,15 @@
     }
 
     /// Registers on which the voters stay apart; looked at before each question.
-    pub fn diverged_registers(&mut self, now: f64, muster: &VoterSet) -> Vec<Register> {
-        if now < self.checked_at + self.interval() || !self.quorum_replied_since(muster, self.checked_at) {
+    pub fn diverged_registers(&mut self, now: f64, voter_set: &VoterSet) -> Vec<Register> {
+        if now < self.checked_at + self.interval() || !self.quorum_replied_since(voter_set, self.checked_at) {
             return Vec::new();
         }
         self.checked_at = now;
         let mut apart = Vec::new();
         for register in REGISTERS {
-            let mut named = self.replies.values().filter_map(|a| a.ballots.get(&register));
-            if named.any(|ballot| self.quorum_holds(now, muster, register, *ballot)) {
+            let mut named = self.replies.values().filter_map(|a| a.proposals.get(&register));
+            if named.any(|proposal| self.quorum_holds(now, voter_set, register, *proposal)) {
                 self.disagreements.remove(&register);
                 continue;
             }
@@ -158,7 +158,7 @@
         &mut self,
         from: NodeId,
         serial: u64,
-        ballots: &[(Register, ProposalNumber)],
+        proposals: &[(Register, ProposalNumber)],
     ) -> bool {
         let Some(&(_, at)) = self.outstanding.iter().find(|(number, _)| *number == serial) else {
             return false;
@@ -166,7 +166,7 @@
         if self.replies.get(&from).is_some_and(|known| known.at >= at) {
             return false;
         }
-        self.replies.insert(from, ReadReply { at, ballots: ballots.iter().copied().collect() });
+        self.replies.insert(from, ReadReply { at, proposals: proposals.iter().copied().collect() });
         true
     }
 
@@ -174,37 +174,37 @@
     pub fn quorum_holds(
         &self,
         now: f64,
-        muster: &VoterSet,
+        voter_set: &VoterSet,
         register: Register,
-        ballot: ProposalNumber,
+        proposal: ProposalNumber,
     ) -> bool {
-        let named = |answer: &ReadReply| answer.ballots.get(&register) == Some(&ballot);
+        let named = |answer: &ReadReply| answer.proposals.get(&register) == Some(&proposal);
         let fresh = |answer: &ReadReply| now < answer.at + AGREEMENT_WINDOW && named(answer);
-        muster.has_quorum(|node| self.replies.get(&node).is_some_and(fresh))
+        voter_set.has_quorum(|node| self.replies.get(&node).is_some_and(fresh))
     }
 
     /// `mine` is held here, and chosen. It is confirmed from the time on since which a majority was asked and named nothing
     /// greater, each voter to whichever question: had a newer one been chosen before that, one of them would have.
-    pub fn confirm(&mut self, muster: &VoterSet, register: Register, mine: ProposalNumber) {
+    pub fn confirm(&mut self, voter_set: &VoterSet, register: Register, mine: ProposalNumber) {
         let since = |answer: &ReadReply| {
-            let theirs = answer.ballots.get(&register)?;
+            let theirs = answer.proposals.get(&register)?;
             (*theirs <= mine).then_some(answer.at)
         };
         let mut times: Vec<f64> = self.replies.values().filter_map(since).collect();
         times.sort_by(|a, b| b.total_cmp(a));
         let known = |node, at| self.replies.get(&node).and_then(since).is_some_and(|since| since >= at);
-        if let Some(at) = times.into_iter().find(|at| muster.has_quorum(|node| known(node, *at))) {
+        if let Some(at) = times.into_iter().find(|at| voter_set.has_quorum(|node| known(node, *at))) {
             let confirmed = self.confirmed.entry(register).or_insert(at);
             *confirmed = confirmed.max(at);
         }
     }
 
     /// May this ballot's value be fetched now? Not over and over: it may be long on its way.
-    pub fn may_fetch(&mut self, now: f64, register: Register, ballot: ProposalNumber) -> bool {
-        let again = |(b, at): &(ProposalNumber, f64)| *b != ballot || now >= at + FETCH_RETRY;
+    pub fn may_fetch(&mut self, now: f64, register: Register, proposal: ProposalNumber) -> bool {
+        let again = |(b, at): &(ProposalNumber, f64)| *b != proposal || now >= at + FETCH_RETRY;
         let may = self.fetched.get(&register).is_none_or(again);
         if may {
-            self.fetched.insert(register, (ballot, now));
+            self.fetched.insert(register, (proposal, now));
         }
         may
     }
--- a/crates/consensus/tests/late.rs
+++ b/crates/consensus/tests/late_messages.rs
@@ -12,32 +12,32 @@
 
 const R: Register = Register::Configuration;
 
-fn muster() -> VoterSet {
+fn voter_set() -> VoterSet {
     VoterSet::initial(&[1, 2, 3])
 }
 
-fn polls(acts: &[Effect]) -> Vec<ConsensusMessage> {
+fn polls(effects: &[Effect]) -> Vec<ConsensusMessage> {
     let word =
         |word: &Message| if let Message::Consensus(_, poll) = word { vec![poll.clone()] } else { Vec::new() };
-    let of = |act: &Effect| match act {
+    let of = |effect: &Effect| match effect {
         Effect::Send(_, sent) => word(sent),
         Effect::Store(_, then) => then.iter().flat_map(|(_, sent)| word(sent)).collect(),
         _ => Vec::new(),
     };
-    acts.iter().flat_map(of).collect()
+    effects.iter().flat_map(of).collect()
 }
 
-fn ballot(round: u64, node: NodeId) -> ProposalNumber {
+fn proposal(round: u64, node: NodeId) -> ProposalNumber {
     ProposalNumber { round, node, nonce: 7 }
 }
 
-fn held(ballot: ProposalNumber, text: &'static str) -> AcceptedValue {
-    AcceptedValue { proposal: ballot, revision: 8, value: Bytes::from(text), recent_versions: Vec::new() }
+fn held(proposal: ProposalNumber, text: &'static str) -> AcceptedValue {
+    AcceptedValue { proposal, revision: 8, value: Bytes::from(text), recent_versions: Vec::new() }
 }
 
 fn voter(node: NodeId, slots: Option<BTreeMap<Register, AcceptorState>>) -> Acceptor {
     let mut voter = Acceptor::new(0.0, node, slots);
-    voter.set_voter_set(&muster());
+    voter.set_voter_set(&voter_set());
     voter
 }
 
@@ -45,22 +45,23 @@
 /// others, and only then the second took it; a writer that stood still meanwhile counted both.
 #[test]
 fn what_was_accepted_counts_only_while_its_attempt_lives() {
-    let mut helm = Proposer::new(4, 1);
-    helm.set_voter_set(0.0, &muster());
+    let mut proposer = Proposer::new(4, 1);
+    proposer.set_voter_set(0.0, &voter_set());
     let change = Change::Configuration { version: 7, digest: [1; 16], text: Bytes::from("text") };
-    let Some(ConsensusMessage::Prepare(_, ballot)) = polls(&helm.propose(0.0, change, 1)).first().cloned()
+    let Some(ConsensusMessage::Prepare(_, proposal)) =
+        polls(&proposer.propose(0.0, change, 1)).first().cloned()
     else {
         panic!("an attempt begins with a question")
     };
     for node in [1, 2] {
-        helm.step(0.05, node, &ConsensusMessage::Promise(R, ballot, None));
+        proposer.step(0.05, node, &ConsensusMessage::Promise(R, proposal, None));
     }
-    helm.step(0.1, 1, &ConsensusMessage::Accepted(R, ballot));
+    proposer.step(0.1, 1, &ConsensusMessage::Accepted(R, proposal));
     // No tick: the process stood still, and the words that came are heard first.
-    let acts = helm.step(5.0, 2, &ConsensusMessage::Accepted(R, ballot));
+    let effects = proposer.step(5.0, 2, &ConsensusMessage::Accepted(R, proposal));
     let chosen =
-        |act: &Effect| matches!(act, Effect::Learned(_) | Effect::ProposalResolved(_, Outcome::Chosen));
-    assert!(!acts.iter().any(chosen), "{acts:?}");
+        |effect: &Effect| matches!(effect, Effect::Learned(_) | Effect::ProposalResolved(_, Outcome::Chosen));
+    assert!(!effects.iter().any(chosen), "{effects:?}");
 }
 
 /// Guards against two chosen values: voter 1 promised a later attempt, forgot that with its disk, took over an earlier value
@@ -68,7 +69,7 @@
 /// accepted by a majority all the same.
 #[test]
 fn what_an_emptied_voter_read_is_not_counted_against_what_it_had_promised() {
-    let (early, late) = (ballot(1, 4), ballot(2, 3));
+    let (early, late) = (proposal(1, 4), proposal(2, 3));
     let (mut two, mut three) = (voter(2, Some(BTreeMap::new())), voter(3, Some(BTreeMap::new())));
     // The early attempt is accepted by voter 2 alone, and given up. The late one has promises of voter 1, whose disk is lost
     // right after, and of voter 3: nobody holds anything, so it is free to choose, and its words are on their way.
@@ -86,11 +87,11 @@
     for (node, teller) in [(2, &two), (3, &three)] {
         one.step(node, &ConsensusMessage::StateTransferReply(serial, teller.registers(), Vec::new()));
     }
-    let names = |voter: &mut Acceptor, ballot| {
+    let names = |voter: &mut Acceptor, proposal| {
         let answers = polls(&voter.step(4, &ConsensusMessage::ReadRequest(1)));
         answers
             .iter()
-            .any(|p| matches!(p, ConsensusMessage::ReadReply(_, held) if held.contains(&(R, ballot))))
+            .any(|p| matches!(p, ConsensusMessage::ReadReply(_, held) if held.contains(&(R, proposal))))
     };
     let early_chosen = names(&mut one, early) && names(&mut two, early);
     one.step(3, &ConsensusMessage::Accept(R, held(late, "late")));
--- a/crates/consensus/tests/duties.rs
+++ b/crates/consensus/tests/leases.rs
@@ -4,12 +4,12 @@
 use archlink_consensus::leases::Leases;
 use archlink_messages::{ConsensusMessage, LeaseGrant, Message, SingletonRole, VoterSet};
 
-fn bid(acts: &[Effect]) -> Option<(LeaseGrant, u64)> {
-    acts.iter().find_map(|act| match act {
-        Effect::Send(_, Message::Consensus(_, ConsensusMessage::LeaseRequest(post, serial)))
-            if post.role == SingletonRole::QuotaCounter =>
+fn bid(effects: &[Effect]) -> Option<(LeaseGrant, u64)> {
+    effects.iter().find_map(|effect| match effect {
+        Effect::Send(_, Message::Consensus(_, ConsensusMessage::LeaseRequest(grant, serial)))
+            if grant.role == SingletonRole::QuotaCounter =>
         {
-            Some((*post, *serial))
+            Some((*grant, *serial))
         }
         _ => None,
     })
@@ -19,15 +19,15 @@
 /// word that gave it back came late, or twice, and freed a voter that the holder counted on.
 #[test]
 fn a_term_that_was_given_back_is_not_bid_for_again() {
-    let mut duties = Leases::new(0.0, 4, 1, &[]);
-    duties.set_voter_set(&VoterSet::initial(&[1, 2, 3]));
+    let mut roles = Leases::new(0.0, 4, 1, &[]);
+    roles.set_voter_set(&VoterSet::initial(&[1, 2, 3]));
     let mut terms = Vec::new();
     for n in 0..100 {
         let now = f64::from(n) * 0.05;
-        if let Some((post, serial)) = bid(&duties.tick(now)) {
-            terms.push(post.term);
+        if let Some((grant, serial)) = bid(&roles.tick(now)) {
+            terms.push(grant.term);
             // One voter of three grants: not enough.
-            duties.step(now, 1, &ConsensusMessage::LeaseGranted(post, serial));
+            roles.step(now, 1, &ConsensusMessage::LeaseGranted(grant, serial));
         }
     }
     assert!(terms.len() > 3 && terms.windows(2).all(|two| two[0] < two[1]), "{terms:?}");
@@ -37,28 +37,28 @@
 /// power, and granted another the next term while the holder counted on the renewal.
 #[test]
 fn a_renewal_waits_for_the_disk_until_the_term_is_on_it() {
-    let mut duties = Leases::new(0.0, 1, 1, &[]);
-    duties.set_voter_set(&VoterSet::initial(&[1, 2, 3]));
-    let post = LeaseGrant { role: SingletonRole::QuotaCounter, holder: 2, term: 1 };
-    let said_at_once = |acts: &[Effect]| {
-        acts.iter().any(|act| {
-            matches!(act, Effect::Send(_, Message::Consensus(_, ConsensusMessage::LeaseGranted(..))))
+    let mut roles = Leases::new(0.0, 1, 1, &[]);
+    roles.set_voter_set(&VoterSet::initial(&[1, 2, 3]));
+    let grant = LeaseGrant { role: SingletonRole::QuotaCounter, holder: 2, term: 1 };
+    let said_at_once = |effects: &[Effect]| {
+        effects.iter().any(|effect| {
+            matches!(effect, Effect::Send(_, Message::Consensus(_, ConsensusMessage::LeaseGranted(..))))
         })
     };
-    let bid = duties.step(0.0, 2, &ConsensusMessage::LeaseRequest(post, 7));
+    let bid = roles.step(0.0, 2, &ConsensusMessage::LeaseRequest(grant, 7));
     let Some(Effect::Store(record, then)) = bid.first() else { panic!("{bid:?}") };
-    assert_eq!(record.grants, [post]);
-    assert!(!said_at_once(&duties.step(0.2, 2, &ConsensusMessage::LeaseRenewal(post, 8))));
+    assert_eq!(record.grants, [grant]);
+    assert!(!said_at_once(&roles.step(0.2, 2, &ConsensusMessage::LeaseRenewal(grant, 8))));
     // Nobody else's word stands for the disk.
-    duties.step(0.2, 2, &ConsensusMessage::GrantPersisted(post));
-    assert!(!said_at_once(&duties.step(0.3, 2, &ConsensusMessage::LeaseRenewal(post, 9))));
+    roles.step(0.2, 2, &ConsensusMessage::GrantPersisted(grant));
+    assert!(!said_at_once(&roles.step(0.3, 2, &ConsensusMessage::LeaseRenewal(grant, 9))));
     for (to, word) in then {
         if let (1, Message::Consensus(_, poll)) = (*to, word) {
-            duties.step(0.4, 1, poll);
+            roles.step(0.4, 1, poll);
         }
     }
     assert!(
-        said_at_once(&duties.step(0.5, 2, &ConsensusMessage::LeaseRenewal(post, 10))),
+        said_at_once(&roles.step(0.5, 2, &ConsensusMessage::LeaseRenewal(grant, 10))),
         "renewals cost no disk after that"
     );
 }
@@ -369,7 +369,7 @@
 }
 
 #[test]
-#[ignore = "a minute: cargo test --release -p harbour --test duties -- --ignored --nocapture"]
+#[ignore = "a minute: cargo test --release -p archlink-consensus --test duties -- --ignored --nocapture"]
 fn no_change_of_the_set_makes_two_holders() {
     use grants::{Fault, Grants, gone_through};
     for (changes, terms) in [(true, 2), (false, 3)] {
--- a/crates/consensus/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -69,9 +69,9 @@
 }
 
 impl State {
-    fn act(&mut self, node: NodeId, acts: Vec<Effect>) {
-        for act in acts {
-            match act {
+    fn effect(&mut self, node: NodeId, effects: Vec<Effect>) {
+        for effect in effects {
+            match effect {
                 Effect::Send(to, word) => self.way.push((node, to, word)),
                 Effect::Store(DurableRecord { acceptors: slots, .. }, then) => {
                     for (register, slot) in slots {
@@ -88,14 +88,14 @@
         }
         // Which of two is on its way first makes no difference here, and what was said to nobody who acts on it is gone.
         let helms = &self.helms;
-        let acts = |poll: &ConsensusMessage| {
+        let effects = |poll: &ConsensusMessage| {
             matches!(
                 poll,
                 ConsensusMessage::Promise(..) | ConsensusMessage::Accepted(..) | ConsensusMessage::Reject(..)
             )
         };
         self.way.retain(
-            |(_, to, word)| !matches!(word, Message::Consensus(_, poll) if acts(poll) && !helms.contains_key(to)),
+            |(_, to, word)| !matches!(word, Message::Consensus(_, poll) if effects(poll) && !helms.contains_key(to)),
         );
         self.way.sort_by_cached_key(|word| format!("{word:?}"));
     }
@@ -104,10 +104,10 @@
         let (from, to, word) = self.way.remove(n);
         let now = self.now;
         let Message::Consensus(_, poll) = &word else { return };
-        let acts = match poll {
+        let effects = match poll {
             ConsensusMessage::Promise(..) | ConsensusMessage::Accepted(..) | ConsensusMessage::Reject(..) => {
                 match self.helms.get_mut(&to) {
-                    Some(helm) => helm.step(now, from, poll),
+                    Some(proposer) => proposer.step(now, from, poll),
                     None => Vec::new(),
                 }
             }
@@ -119,12 +119,12 @@
             }
             _ => self.voters.get_mut(&to).map_or(Vec::new(), |voter| voter.step(from, poll)),
         };
-        self.act(to, acts);
+        self.effect(to, effects);
     }
 
     fn chosen(&self) -> Vec<(&ProposalNumber, u64, &[u8])> {
         let all = self.accepted.iter().filter(|(_, (_, _, who))| who.len() > VOTERS.len() / 2);
-        all.map(|(ballot, (stamp, value, _))| (ballot, *stamp, value.as_slice())).collect()
+        all.map(|(proposal, (stamp, value, _))| (proposal, *stamp, value.as_slice())).collect()
     }
 
     fn one_line(&self) -> bool {
@@ -144,15 +144,15 @@
             voter.set_voter_set(&VoterSet::initial(&VOTERS));
             (*node, voter)
         };
-        let helm = |node: &NodeId| {
-            let mut helm = Proposer::new(*node, u64::from(*node));
-            helm.set_voter_set(0.0, &VoterSet::initial(&VOTERS));
-            (*node, helm)
+        let proposer = |node: &NodeId| {
+            let mut proposer = Proposer::new(*node, u64::from(*node));
+            proposer.set_voter_set(0.0, &VoterSet::initial(&VOTERS));
+            (*node, proposer)
         };
         vec![State {
             now: 0.0,
             voters: VOTERS.iter().map(voter).collect(),
-            helms: VOTERS[..2].iter().map(helm).collect(),
+            helms: VOTERS[..2].iter().map(proposer).collect(),
             disks: BTreeMap::new(),
             way: Vec::new(),
             wiped: false,
@@ -186,8 +186,8 @@
                 let text = format!("by {node}").into();
                 let change = Change::Configuration { version: 7, digest: [node as u8; 16], text };
                 let now = state.now;
-                let acts = state.helms.get_mut(&node)?.propose(now, change, u64::from(node));
-                state.act(node, acts);
+                let effects = state.helms.get_mut(&node)?.propose(now, change, u64::from(node));
+                state.effect(node, effects);
             }
             Action::Wipe => {
                 state.wiped = true;
@@ -200,8 +200,8 @@
                 state.later = true;
                 state.now += LATER;
                 let now = state.now;
-                let acts = state.voters.get_mut(&1)?.tick(now);
-                state.act(1, acts);
+                let effects = state.voters.get_mut(&1)?.tick(now);
+                state.effect(1, effects);
             }
         }
         Some(state)
@@ -244,7 +244,7 @@
 }
 
 #[test]
-#[ignore = "minutes: cargo test --release -p harbour --test model -- --ignored --nocapture"]
+#[ignore = "minutes: cargo test --release -p archlink-consensus --test model -- --ignored --nocapture"]
 fn no_interleaving_of_many_more_does() {
     looked_at(100 * MOST_STATES);
 }
--- a/crates/consensus/tests/registers.rs
+++ b/crates/consensus/tests/registers.rs
@@ -161,7 +161,7 @@
 }
 
 impl State {
-    fn muster(&self, epoch: u8) -> Option<Muster> {
+    fn voter_set(&self, epoch: u8) -> Option<Muster> {
         self.line.get(usize::from(epoch).checked_sub(1)?).copied()
     }
 
@@ -180,8 +180,8 @@
 
     /// May a writer of that epoch ask for that?
     fn may(&self, change: &Change, register: usize, wish: Wish, epoch: u8) -> bool {
-        let Some(muster) = self.muster(epoch) else { return false };
-        let joint = muster.coming != 0;
+        let Some(voter_set) = self.voter_set(epoch) else { return false };
+        let joint = voter_set.coming != 0;
         let early = change.fault == Fault::EarlyEnd;
         let settled = |register| self.settled(register, epoch);
         let looked = || [VALUE, MUSTER].into_iter().filter(|&r| change.tries[r] > 0);
@@ -197,7 +197,9 @@
             (MUSTER, Wish::Come) => {
                 joint
                     && ready()
-                    && (early || bits(muster.newcomers()).all(taken) || change.fault == Fault::NewcomerCounts)
+                    && (early
+                        || bits(voter_set.newcomers()).all(taken)
+                        || change.fault == Fault::NewcomerCounts)
             }
             (MUSTER, Wish::Back) => change.back && joint && ready(),
             _ => false,
@@ -207,14 +209,14 @@
     /// The value of an attempt on top of what a majority held.
     fn made(&self, register: usize, attempt: u8, wish: Wish, epoch: u8, newest: u8) -> u16 {
         let before = self.value(register, newest);
-        let Some(muster) = self.muster(epoch) else { return before };
+        let Some(voter_set) = self.voter_set(epoch) else { return before };
         match wish {
             Wish::Write => before * 8 + u16::from(attempt),
             Wish::Settle => before,
             // The set is a line as well: begun, and then come or taken back.
             Wish::Begin if before == 0 => 1,
-            Wish::Come if before == 1 && muster.coming != 0 => 8 + 2,
-            Wish::Back if before == 1 && muster.coming != 0 => 8 + 3,
+            Wish::Come if before == 1 && voter_set.coming != 0 => 8 + 2,
+            Wish::Back if before == 1 && voter_set.coming != 0 => 8 + 3,
             _ => before,
         }
     }
@@ -224,9 +226,9 @@
         let Attempt::Issued { epoch, value, accepts, chosen: false } = self.attempts[register][n] else {
             return;
         };
-        let Some(muster) = self.muster(epoch) else { return };
-        let counted = if change.fault == Fault::NewcomerCounts { muster.newcomers() } else { 0 };
-        if value != 0 && !muster.enough(accepts | counted) {
+        let Some(voter_set) = self.voter_set(epoch) else { return };
+        let counted = if change.fault == Fault::NewcomerCounts { voter_set.newcomers() } else { 0 };
+        if value != 0 && !voter_set.enough(accepts | counted) {
             return;
         }
         if let Attempt::Issued { chosen, .. } = &mut self.attempts[register][n] {
@@ -255,7 +257,7 @@
     fn answers(&self, change: &Change, node: usize, epoch: u8) -> bool {
         let voter = &self.voters[node];
         let there = voter.epoch == epoch || (change.fault == Fault::NoEpochs && voter.epoch != 0);
-        there && voter.memory == Memory::Whole && self.muster(epoch).is_some_and(|m| m.votes(node))
+        there && voter.memory == Memory::Whole && self.voter_set(epoch).is_some_and(|m| m.votes(node))
     }
 
     /// The first two voters are alike: one order of them stands for both.
@@ -281,7 +283,7 @@
         self
     }
 
-    fn act(&mut self, change: &Change, action: Action) {
+    fn effect(&mut self, change: &Change, action: Action) {
         match action {
             Action::Promise(node, register, n, wish) => {
                 let slot = &mut self.voters[node].slots[register];
@@ -294,7 +296,7 @@
                     _ => (epoch, 1 << node, before),
                 };
                 self.attempts[register][n] = Attempt::Preparing { epoch, promises, newest };
-                if self.muster(epoch).is_some_and(|muster| muster.enough(promises)) {
+                if self.voter_set(epoch).is_some_and(|voter_set| voter_set.enough(promises)) {
                     let value = self.made(register, n as u8 + 1, wish, epoch, newest);
                     self.attempts[register][n] = Attempt::Issued { epoch, value, accepts: 0, chosen: false };
                     self.count(change, register, n);
@@ -305,14 +307,14 @@
                 self.holds(change, node, register, n as u8 + 1);
             }
             Action::Learn(node, epoch) => {
-                let Some(muster) = self.muster(epoch) else { return };
+                let Some(voter_set) = self.voter_set(epoch) else { return };
                 let voter = &mut self.voters[node];
                 voter.epoch = epoch;
                 voter.told = 0;
                 voter.read = Default::default();
                 voter.memory = match voter.memory {
                     Memory::Forgotten => Memory::Forgotten,
-                    _ if muster.newcomers() >> node & 1 == 1 => Memory::Joining,
+                    _ if voter_set.newcomers() >> node & 1 == 1 => Memory::Joining,
                     _ => Memory::Whole,
                 };
             }
@@ -325,7 +327,7 @@
                     Voter { epoch, memory, slots: Default::default(), told: 0, read: Default::default() };
             }
             Action::Tell(node, teller) => self.tell(change, node, teller),
-            Action::Next(muster) => self.line.push(muster),
+            Action::Next(voter_set) => self.line.push(voter_set),
         }
     }
 
@@ -338,7 +340,7 @@
     }
 
     fn tell(&mut self, change: &Change, node: usize, teller: usize) {
-        let Some(muster) = self.muster(self.voters[node].epoch) else { return };
+        let Some(voter_set) = self.voter_set(self.voters[node].epoch) else { return };
         let slots = self.voters[teller].slots;
         let forgotten = self.voters[node].memory == Memory::Forgotten;
         if forgotten && self.voters[node].told == 0 {
@@ -359,8 +361,9 @@
             *read = read.merge(slot);
         }
         // Whoever promised with it was a majority of both sets: a majority of either beside it meets that.
-        let seats = Muster { coming: 0, ..muster }.enough(voter.told);
-        let coming = muster.coming != 0 && Muster { seats: muster.coming, coming: 0 }.enough(voter.told);
+        let seats = Muster { coming: 0, ..voter_set }.enough(voter.told);
+        let coming =
+            voter_set.coming != 0 && Muster { seats: voter_set.coming, coming: 0 }.enough(voter.told);
         if !(seats || (forgotten && coming)) {
             return;
         }
@@ -419,8 +422,8 @@
                             if !free || !state.answers(self, node, epoch) {
                                 continue;
                             }
-                            let muster = state.muster(epoch);
-                            if muster.is_some_and(|muster| muster.enough(promises | 1 << node)) {
+                            let voter_set = state.voter_set(epoch);
+                            if voter_set.is_some_and(|voter_set| voter_set.enough(promises | 1 << node)) {
                                 let may = |wish: &&Wish| state.may(self, register, **wish, epoch);
                                 let may = WISHES.iter().filter(may);
                                 actions.extend(may.map(|&wish| Action::Promise(node, register, n, wish)));
@@ -463,10 +466,10 @@
             if self.wipes && state.wiped.is_none() {
                 actions.push(Action::Wipe(node));
             }
-            let votes = |n: usize| state.muster(voter.epoch).is_some_and(|m| m.votes(n));
+            let votes = |n: usize| state.voter_set(voter.epoch).is_some_and(|m| m.votes(n));
             if voter.memory != Memory::Whole && votes(node) {
                 let seats_only = voter.memory == Memory::Joining;
-                let seats = state.muster(voter.epoch).map_or(0, |m| m.seats);
+                let seats = state.voter_set(voter.epoch).map_or(0, |m| m.seats);
                 let tells = |teller: &usize| {
                     *teller != node
                         && voter.told >> teller & 1 == 0
@@ -482,7 +485,7 @@
 
     fn next_state(&self, last: &State, action: Action) -> Option<State> {
         let mut state = last.clone();
-        state.act(self, action);
+        state.effect(self, action);
         Some(state.canonical())
     }
 
@@ -521,7 +524,7 @@
 
 /// The same, larger: some minutes, and some GB of memory.
 #[test]
-#[ignore = "minutes: cargo test --release -p harbour --test registers -- --ignored --nocapture"]
+#[ignore = "minutes: cargo test --release -p archlink-consensus --test registers -- --ignored --nocapture"]
 fn the_same_with_more_attempts_and_both_at_once() {
     for instance in [
         ([2, 0], 2, false),
--- a/crates/control-client/src/fleet_view.rs
+++ b/crates/control-client/src/fleet_view.rs
@@ -47,7 +47,9 @@
     /// One line for people.
     pub fn describe(&self) -> String {
         match self {
-            ViewChange::Configuration(chart) => format!("configuration {:08x} is in force", chart.version),
+            ViewChange::Configuration(configuration) => {
+                format!("configuration {:08x} is in force", configuration.version)
+            }
             ViewChange::EvacuatedZones(zones) => format!("evacuated zones: {zones:?}"),
             ViewChange::HostList(hosts) => {
                 format!("list {}.{}: {} hosts", hosts.term, hosts.version, hosts.instances.len())
@@ -65,7 +67,7 @@
 pub struct FleetView {
     lease: f64,
     events: VecDeque<(f64, String)>,
-    chart: Option<Rc<Configuration>>,
+    configuration: Option<Rc<Configuration>>,
     /// Has a majority vouched, within the lease, for a configuration that was held here? Before that none is in force: it
     /// may have been replaced long ago, and the evacuated zones may be others.
     begun: bool,
@@ -74,11 +76,11 @@
     list: Vec<u8>,
     vouched: f64,
     vector: VersionVector,
-    posts: Vec<LeaseGrant>,
-    keepers: Vec<ControlNode>,
+    leases: Vec<LeaseGrant>,
+    control_nodes: Vec<ControlNode>,
     /// All control gateways that were ever named here, the last ones last.
     named: Vec<NodeId>,
-    pilots: Vec<NodeId>,
+    data_nodes: Vec<NodeId>,
     /// The fleet's clock is the own steady one and this.
     ahead: f64,
 }
@@ -88,16 +90,16 @@
         FleetView {
             lease,
             events: VecDeque::new(),
-            chart: None,
+            configuration: None,
             begun: false,
             text: Vec::new(),
             list: Vec::new(),
             vouched: f64::NEG_INFINITY,
             vector: VersionVector::default(),
-            posts: Vec::new(),
-            keepers: Vec::new(),
+            leases: Vec::new(),
+            control_nodes: Vec::new(),
             named: Vec::new(),
-            pilots: Vec::new(),
+            data_nodes: Vec::new(),
             ahead: 0.0,
         }
     }
@@ -124,7 +126,7 @@
 
     /// The configuration in force.
     pub fn configuration(&self) -> Option<Rc<Configuration>> {
-        self.chart.clone().filter(|_| self.begun)
+        self.configuration.clone().filter(|_| self.begun)
     }
 
     /// For how long a majority's word holds.
@@ -142,11 +144,11 @@
     }
 
     pub fn leases(&self) -> &[LeaseGrant] {
-        &self.posts
+        &self.leases
     }
 
     pub fn control_nodes(&self) -> &[ControlNode] {
-        &self.keepers
+        &self.control_nodes
     }
 
     /// Control gateways that were named once and may be there still: the list of one that only started, or is cut off,
@@ -157,12 +159,12 @@
 
     /// All data gateways that may be at work, this one among them, in the order of their numbers; empty is not known yet.
     pub fn data_nodes(&self) -> &[NodeId] {
-        &self.pilots
+        &self.data_nodes
     }
 
     /// Who holds the counts, and in which term.
     pub fn counter_holder(&self) -> Option<(NodeId, u64)> {
-        self.posts
+        self.leases
             .iter()
             .find(|post| post.role == SingletonRole::QuotaCounter)
             .map(|post| (post.holder, post.term))
@@ -198,10 +200,10 @@
         self.observe_clock(now, beat.cluster_clock);
         let mut turns = Vec::new();
         for post in &beat.leases {
-            match self.posts.iter_mut().find(|known| known.role == post.role) {
+            match self.leases.iter_mut().find(|known| known.role == post.role) {
                 Some(known) if known.term >= post.term => continue,
                 Some(known) => *known = *post,
-                None => self.posts.push(*post),
+                None => self.leases.push(*post),
             }
             turns.push(ViewChange::Leases);
         }
@@ -222,9 +224,9 @@
 
     /// The configuration that is held, if it is in force, or comes to be by what was vouched for.
     fn chart_turn(&mut self, now: f64) -> Option<ViewChange> {
-        let chart = self.chart.clone()?;
+        let configuration = self.configuration.clone()?;
         self.begun |= self.is_confirmed(now);
-        self.begun.then_some(ViewChange::Configuration(chart))
+        self.begun.then_some(ViewChange::Configuration(configuration))
     }
 
     fn told(&mut self, now: f64, piece: StateUpdate) -> Option<ViewChange> {
@@ -248,17 +250,17 @@
             {
                 self.patch_hosts(stamp, &packed)
             }
-            StateUpdate::ControlNodes(keepers) => {
-                self.vector.control_nodes = node_set_fingerprint(keepers.iter().map(|k| k.node));
-                self.named.retain(|node| keepers.iter().all(|k| k.node != *node));
-                self.named.extend(keepers.iter().map(|k| k.node));
+            StateUpdate::ControlNodes(control_nodes) => {
+                self.vector.control_nodes = node_set_fingerprint(control_nodes.iter().map(|k| k.node));
+                self.named.retain(|node| control_nodes.iter().all(|k| k.node != *node));
+                self.named.extend(control_nodes.iter().map(|k| k.node));
                 self.named.drain(..self.named.len().saturating_sub(MOST_NAMED));
-                self.keepers = keepers;
+                self.control_nodes = control_nodes;
                 Some(ViewChange::ControlNodes)
             }
-            StateUpdate::DataNodes(pilots) => {
-                self.vector.data_nodes = node_set_fingerprint(pilots.iter().copied());
-                self.pilots = pilots;
+            StateUpdate::DataNodes(data_nodes) => {
+                self.vector.data_nodes = node_set_fingerprint(data_nodes.iter().copied());
+                self.data_nodes = data_nodes;
                 Some(ViewChange::DataNodes)
             }
             _ => None,
@@ -295,8 +297,9 @@
             }
         };
         match Configuration::read(&text) {
-            Ok(chart) => {
-                (self.text, self.vector.configuration, self.chart) = (text, stamp, Some(Rc::new(chart)));
+            Ok(configuration) => {
+                (self.text, self.vector.configuration, self.configuration) =
+                    (text, stamp, Some(Rc::new(configuration)));
                 self.chart_turn(now)
             }
             Err(e) => {
--- a/crates/control-client/src/session.rs
+++ b/crates/control-client/src/session.rs
@@ -211,7 +211,7 @@
         &mut self,
         now: f64,
         views: &FleetView,
-        pilot: impl FnOnce() -> DataNode,
+        data_node: impl FnOnce() -> DataNode,
     ) -> Vec<SessionAction> {
         if now < self.wake_at() {
             return Vec::new();
@@ -244,7 +244,7 @@
         let (serial, clock, terms) = (self.serial, views.cluster_clock(now), views.leases().to_vec());
         vec![SessionAction::Send(Message::SessionHeartbeat {
             serial,
-            data_node: pilot(),
+            data_node: data_node(),
             clock,
             leases: terms,
         })]
--- a/crates/control-client/tests/contact.rs
+++ b/crates/control-client/tests/contact.rs
@@ -104,15 +104,15 @@
     let mut views = FleetView::new(LEASE);
     let hear = |views: &mut FleetView, now: f64, chart, evacuations| {
         let vector = VersionVector { configuration: chart, evacuations, ..VersionVector::default() };
-        let (serial, clock, posts, muster) = (1, 0.0, Vec::new(), VoterSet::default());
+        let (serial, clock, leases, voter_set) = (1, 0.0, Vec::new(), VoterSet::default());
         let (whole, missing) = (true, Vec::new());
         let beat = Heartbeat {
             serial,
             cluster_clock: clock,
             confirmed_age: Some(0.1),
             versions: vector,
-            leases: posts,
-            voter_set: muster,
+            leases,
+            voter_set,
             recovered: whole,
             suspected: missing,
         };
@@ -197,7 +197,7 @@
 /// vouched for.
 #[test]
 fn words_in_any_order_take_nothing_back() {
-    let charts: Vec<bytes::Bytes> = (1..9)
+    let configurations: Vec<bytes::Bytes> = (1..9)
         .map(|version| patch::compress(configuration(version, 1).as_bytes(), b"").unwrap().into())
         .collect();
     bolero::check!().with_iterations(300).with_shrink_time(SHRINK).with_type::<Vec<(u8, u8)>>().for_each(
@@ -212,7 +212,7 @@
                     0 => Event::Update(StateUpdate::ConfigurationPatch {
                         stamp: n,
                         base: 0,
-                        packed: charts[n as usize - 1].clone(),
+                        packed: configurations[n as usize - 1].clone(),
                     }),
                     1 => Event::Update(StateUpdate::Chosen(
                         Register::Evacuations,
@@ -226,12 +226,12 @@
                     _ => {
                         let vector =
                             VersionVector { configuration: n, evacuations: n, ..VersionVector::default() };
-                        let posts = vec![LeaseGrant {
+                        let leases = vec![LeaseGrant {
                             role: SingletonRole::QuotaCounter,
                             holder: n as NodeId,
                             term: n,
                         }];
-                        let (serial, clock, muster, whole, missing) =
+                        let (serial, clock, voter_set, whole, missing) =
                             (n, 0.0, VoterSet::default(), true, Vec::new());
                         let confirmed = Some(0.0);
                         let beat = Heartbeat {
@@ -239,8 +239,8 @@
                             cluster_clock: clock,
                             confirmed_age: confirmed,
                             versions: vector,
-                            leases: posts,
-                            voter_set: muster,
+                            leases,
+                            voter_set,
                             recovered: whole,
                             suspected: missing,
                         };
@@ -287,14 +287,15 @@
 fn where_all_failed_lately_each_is_called_in_its_turn() {
     let mut views = FleetView::new(4.0);
     let control = std::net::SocketAddrV4::new(2.into(), 80);
-    let keeper = ControlNode { node: 2, zone: "z".into(), region: "r".into(), operator_address: control };
-    views.append(0.0, Event::Update(StateUpdate::ControlNodes(vec![keeper])));
+    let control_node =
+        ControlNode { node: 2, zone: "z".into(), region: "r".into(), operator_address: control };
+    views.append(0.0, Event::Update(StateUpdate::ControlNodes(vec![control_node])));
     let place = LocalNode { node: 9, zone: "z".into(), region: "r".into(), seeds: vec![1, 2, 3, 4] };
     let (mut session, mut called) = (Session::new(place), Vec::new());
     for n in 0..60 {
         let now = f64::from(n) * 0.05;
-        let pilot = || unreachable!("nobody answers");
-        if let Some(SessionAction::Connect(node)) = session.tick(now, &views, pilot).pop() {
+        let data_node = || unreachable!("nobody answers");
+        if let Some(SessionAction::Connect(node)) = session.tick(now, &views, data_node).pop() {
             called.push(node);
             session.connected(now, Err("refused".into()));
         }
@@ -318,8 +319,8 @@
             assert_eq!(called, [1].into());
             session.set_seeds(vec![2, 3]);
         }
-        for act in session.tick(now, &views, || unreachable!("no session")) {
-            if let SessionAction::Connect(node) = act {
+        for action in session.tick(now, &views, || unreachable!("no session")) {
+            if let SessionAction::Connect(node) = action {
                 called.insert(node);
                 session.connected(now, Err("nobody there".into()));
             }
--- a/crates/control-client/tests/hundred.rs
+++ b/crates/control-client/tests/hundred.rs
@@ -47,7 +47,7 @@
     assert!(ship < whole + 3000, "{ship} bytes, {whole} packed");
     // One route more costs what it changes, a storm of them what they change together.
     sea.bytes.clear();
-    let before = sea.ships[&100].charts;
+    let before = sea.ships[&100].configurations;
     for version in 3..11 {
         sea.replace(1 + version as NodeId % 6, version, 340 + version as usize);
         sea.run(0.1);
@@ -56,7 +56,7 @@
     assert_eq!((sea.with_version(10), sea.vouched()), (100, 100));
     let ship = most(&sea, 100).unwrap();
     assert!(ship < 8 * 300 + 2 * 1200, "{ship} bytes for eight changes");
-    let read = sea.ships[&100].charts - before;
+    let read = sea.ships[&100].configurations - before;
     assert!(read <= 4, "{read} of eight configurations in quick succession were read");
 }
 
--- a/crates/control-client/tests/sea/mod.rs
+++ b/crates/control-client/tests/sea/mod.rs
@@ -2,13 +2,13 @@
 //! counted as they would be framed.
 #![allow(dead_code)]
 
-use archlink_consensus::control::{ControlNodeState, InitialState};
-use archlink_consensus::event_log::Event;
 use archlink_consensus::proposer::Change;
-use archlink_consensus::update_delivery::UpdateDelivery;
 use archlink_consensus::{DurableRecord, Effect, Outcome};
 use archlink_control_client::fleet_view::{FleetView, ViewChange};
 use archlink_control_client::session::{LocalNode, Session, SessionAction as SessionAct};
+use archlink_control_node::event_log::Event;
+use archlink_control_node::node::{ControlNodeState, InitialState};
+use archlink_control_node::update_delivery::UpdateDelivery;
 use archlink_messages::{
     AcceptorState, ControlNode, DataNode, HostInstance, HostList, Message, NodeId, Register, VoterSet, patch,
 };
@@ -36,7 +36,7 @@
     /// The control gateway that its connection leads to.
     pub line: Option<NodeId>,
     /// Configurations that it read.
-    pub charts: usize,
+    pub configurations: usize,
     pub hosts: HostList,
 }
 
@@ -86,14 +86,14 @@
 
     pub fn start_core(&mut self, node: NodeId) {
         let (zone, region) = zone(node as usize - 1);
-        let keeper = ControlNode {
+        let control_node = ControlNode {
             node,
             zone,
             region,
             operator_address: std::net::SocketAddrV4::new(node.into(), 80),
         };
         let start = InitialState {
-            identity: keeper,
+            identity: control_node,
             voter_set: VoterSet::initial(&[1, 2, 3]),
             required_voters: 5,
             catch_up: 1000.0,
@@ -124,7 +124,7 @@
                 views: FleetView::new(LEASE),
                 zone: at,
                 line: None,
-                charts: 0,
+                configurations: 0,
                 hosts: HostList::default(),
             },
         );
@@ -150,8 +150,8 @@
     pub fn core(&mut self, node: NodeId, step: impl FnOnce(&mut ControlNodeState, f64) -> Vec<Effect>) {
         let now = self.now;
         let Some(core) = self.cores.get_mut(&node) else { return };
-        for act in step(&mut core.control, now) {
-            match act {
+        for action in step(&mut core.control, now) {
+            match action {
                 Effect::Send(to, word) => self.send(node, to, word),
                 Effect::Store(DurableRecord { acceptors: slots, .. }, then) => {
                     self.disks.entry(node).or_default().extend(slots);
@@ -187,12 +187,12 @@
 
     fn at_core(&mut self, node: NodeId, from: NodeId, word: Message) {
         match word {
-            Message::SessionHeartbeat { serial, data_node: pilot, clock, .. } => {
+            Message::SessionHeartbeat { serial, data_node, clock, .. } => {
                 let now = self.now;
                 let Some(core) = self.cores.get_mut(&node) else { return };
                 core.sessions.insert(from, now);
                 core.control.observe_clock(now, clock);
-                self.core(node, |control, now| control.record_event(now, Event::SessionRenewed(pilot)));
+                self.core(node, |control, now| control.record_event(now, Event::SessionRenewed(data_node)));
                 let beat = self.cores[&node].control.heartbeat(now, serial);
                 self.send(node, from, beat);
             }
@@ -206,9 +206,9 @@
         }
     }
 
-    fn perform(&mut self, node: NodeId, acts: Vec<SessionAct>) {
-        for act in acts {
-            match act {
+    fn perform(&mut self, node: NodeId, actions: Vec<SessionAct>) {
+        for action in actions {
+            match action {
                 SessionAct::Connect(to) => {
                     let cut = self.cut.contains(&(node, to)) || self.cut.contains(&(to, node));
                     let there = self.cores.contains_key(&to) && !cut;
@@ -240,9 +240,10 @@
     fn at_ship(&mut self, node: NodeId, from: NodeId, word: Message) {
         let now = self.now;
         let Some(ship) = self.ships.get_mut(&node).filter(|ship| ship.line == Some(from)) else { return };
-        let (acts, turns) = ship.session.step(now, word, &mut ship.views);
+        let (actions, turns) = ship.session.step(now, word, &mut ship.views);
         assert!(!turns.iter().any(|turn| matches!(turn, ViewChange::InvalidUpdate(_))), "{turns:?}");
-        ship.charts += turns.iter().filter(|turn| matches!(turn, ViewChange::Configuration(_))).count();
+        ship.configurations +=
+            turns.iter().filter(|turn| matches!(turn, ViewChange::Configuration(_))).count();
         let list = turns
             .iter()
             .rev()
@@ -253,7 +254,7 @@
         if !turns.is_empty() {
             ship.session.heartbeat_soon(now);
         }
-        self.perform(node, acts);
+        self.perform(node, actions);
     }
 
     pub fn run(&mut self, seconds: f64) {
@@ -275,14 +276,14 @@
                 let (zone, region) = zone(ship.zone);
                 let front = std::net::SocketAddrV4::new(node.into(), 80);
                 let ready = ship.views.is_confirmed(now);
-                let acts = ship.session.tick(now, &ship.views, || DataNode {
+                let actions = ship.session.tick(now, &ship.views, || DataNode {
                     node,
                     zone,
                     region,
                     client_address: front,
                     ready,
                 });
-                self.perform(node, acts);
+                self.perform(node, actions);
             }
         }
     }
@@ -317,7 +318,9 @@
     }
 
     pub fn with_version(&self, version: u64) -> usize {
-        let holds = |ship: &&Ship| ship.views.configuration().is_some_and(|chart| chart.version == version);
+        let holds = |ship: &&Ship| {
+            ship.views.configuration().is_some_and(|configuration| configuration.version == version)
+        };
         self.ships.values().filter(holds).count()
     }
 
--- a/crates/consensus/src/event_log.rs
+++ b/crates/control-node/src/event_log.rs
@@ -32,11 +32,14 @@
     pub fn describe(&self) -> String {
         let address = |node: &NodeId| std::net::Ipv4Addr::from(*node);
         match self {
-            Event::ControlNodeDiscovered(keeper) => {
-                format!("control gateway {} in {}", keeper.operator_address, keeper.zone)
+            Event::ControlNodeDiscovered(control_node) => {
+                format!("control gateway {} in {}", control_node.operator_address, control_node.zone)
             }
-            Event::SessionRenewed(pilot) => {
-                format!("data gateway {} in {}, ready {}", pilot.client_address, pilot.zone, pilot.ready)
+            Event::SessionRenewed(data_node) => {
+                format!(
+                    "data gateway {} in {}, ready {}",
+                    data_node.client_address, data_node.zone, data_node.ready
+                )
             }
             Event::SessionClosed(node) => format!("session of {} ended", address(node)),
             Event::PeerSessions(s) => format!("{} has {} sessions", address(&s.source), s.data_nodes.len()),
--- a/crates/consensus/src/control.rs
+++ b/crates/control-node/src/node.rs
@@ -8,14 +8,14 @@
 
 pub use status::{MemberStatus, VoterSetStatus};
 
-use crate::acceptor::Acceptor;
 use crate::event_log::{Event, EventLog};
-use crate::leases::{Lease, Leases};
-use crate::membership::{FIRST_INTERNAL_TOKEN, Membership, MembershipContext};
-use crate::proposer::{Change, Proposer};
 use crate::registry::Registry;
-use crate::repair_timing::{HEARTBEAT, RepairTiming};
-use crate::{DurableRecord, Effect, MembershipChange, MembershipError, Outcome};
+use archlink_consensus::acceptor::Acceptor;
+use archlink_consensus::leases::{Lease, Leases};
+use archlink_consensus::membership::{FIRST_INTERNAL_TOKEN, Membership, MembershipContext};
+use archlink_consensus::proposer::{Change, Proposer};
+use archlink_consensus::repair_timing::{HEARTBEAT, RepairTiming};
+use archlink_consensus::{DurableRecord, Effect, MembershipChange, MembershipError, Outcome};
 use archlink_messages::{
     AcceptedValue, AcceptorState, ConsensusMessage, ControlNode, HostList, LeaseGrant, Message, NodeId,
     ProposalNumber, REGISTERS, Register, SingletonRole, VoterSet,
@@ -46,7 +46,7 @@
 
 pub struct ControlNodeState {
     id: NodeId,
-    muster: VoterSet,
+    voter_set: VoterSet,
     membership: Membership,
     pub acceptor: Acceptor,
     pub proposer: Proposer,
@@ -65,24 +65,24 @@
 impl ControlNodeState {
     pub fn new(now: f64, start: InitialState) -> ControlNodeState {
         let InitialState {
-            identity: keeper,
-            voter_set: muster,
+            identity: control_node,
+            voter_set,
             required_voters: needed,
             catch_up,
             acceptors: slots,
-            grants: posts,
+            grants,
             seed,
         } = start;
-        let me = keeper.node;
+        let me = control_node.node;
         let mut chance = oorandom::Rand64::new(u128::from(seed.rotate_left(7)));
         let mut control = ControlNodeState {
             id: me,
-            muster: VoterSet::default(),
+            voter_set: VoterSet::default(),
             membership: Membership::new(now, me, needed, RepairTiming::within(catch_up)),
             acceptor: Acceptor::new(now, me, slots),
             proposer: Proposer::new(me, seed),
-            leases: Leases::new(now, me, !seed, &posts),
-            event_log: EventLog::new(Registry::new(keeper, seed)),
+            leases: Leases::new(now, me, !seed, &grants),
+            event_log: EventLog::new(Registry::new(control_node, seed)),
             clock_offset: 0.0,
             last_heartbeat_at: f64::NEG_INFINITY,
             reported_repair_state: (false, Vec::new()),
@@ -90,29 +90,29 @@
             rng: oorandom::Rand64::new(u128::from(chance.rand_u64())),
         };
         control.acceptor.set_request_serial(chance.rand_u64());
-        control.adopt_voter_set(now, &muster);
+        control.adopt_voter_set(now, &voter_set);
         control
     }
 
     /// Another epoch begins here, unless this one or a later one has. It is on the disk before any word of it.
-    fn adopt_voter_set(&mut self, now: f64, muster: &VoterSet) -> Vec<Effect> {
-        if muster.epoch <= self.muster.epoch || muster.voters.is_empty() {
+    fn adopt_voter_set(&mut self, now: f64, voter_set: &VoterSet) -> Vec<Effect> {
+        if voter_set.epoch <= self.voter_set.epoch || voter_set.voters.is_empty() {
             return Vec::new();
         }
-        self.muster = muster.clone();
-        self.acceptor.set_voter_set(muster);
-        self.leases.set_voter_set(muster);
-        let mut acts = self.persist_voter_set();
-        acts.extend(self.proposer.set_voter_set(now, muster));
-        acts.extend(self.membership.epoch_adopted(now, muster));
-        acts
+        self.voter_set = voter_set.clone();
+        self.acceptor.set_voter_set(voter_set);
+        self.leases.set_voter_set(voter_set);
+        let mut effects = self.persist_voter_set();
+        effects.extend(self.proposer.set_voter_set(now, voter_set));
+        effects.extend(self.membership.epoch_adopted(now, voter_set));
+        effects
     }
 
     /// What follows from the acts of a part: the membership's own orders end with it, and a set that was chosen stands.
-    fn apply_effects(&mut self, now: f64, acts: Vec<Effect>) -> Vec<Effect> {
+    fn apply_effects(&mut self, now: f64, effects: Vec<Effect>) -> Vec<Effect> {
         let mut rest = Vec::new();
-        for act in acts {
-            match act {
+        for effect in effects {
+            match effect {
                 Effect::ProposalResolved(token, outcome) if token >= FIRST_INTERNAL_TOKEN => {
                     // Its order is about one register; the greatest ballot of all would do as well.
                     self.membership.proposal_resolved(now, token, outcome, |r| {
@@ -123,9 +123,9 @@
             }
         }
         let chosen =
-            self.proposer.chosen(Register::VoterSet).filter(|held| held.revision > self.muster.epoch);
-        if let Some(muster) = chosen.and_then(|held| VoterSet::from_bytes(&held.value)) {
-            rest.extend(self.adopt_voter_set(now, &muster));
+            self.proposer.chosen(Register::VoterSet).filter(|held| held.revision > self.voter_set.epoch);
+        if let Some(voter_set) = chosen.and_then(|held| VoterSet::from_bytes(&held.value)) {
+            rest.extend(self.adopt_voter_set(now, &voter_set));
             rest.extend(self.broadcast_heartbeat(now));
         }
         rest
@@ -133,11 +133,11 @@
 
     /// Steers the change of voters.
     fn tick_membership(&mut self, now: f64) -> Vec<Effect> {
-        let keepers = self.event_log.registry.control_nodes();
+        let control_nodes = self.event_log.registry.control_nodes();
         let old =
             |r: &Register| self.proposer.chosen(*r).is_some_and(|held| !self.is_current_generation(held));
         let view = MembershipContext {
-            control_nodes: &keepers,
+            control_nodes: &control_nodes,
             confirmed: self.proposer.confirmed(Register::VoterSet),
             all_confirmed: REGISTERS
                 .iter()
@@ -146,17 +146,17 @@
             recovered: self.acceptor.is_recovered(),
             leases_known: !self.leases.holders(now).is_empty() || !self.leases.grants().is_empty(),
         };
-        let (mut acts, changes) = self.membership.tick(now, &view);
+        let (mut effects, changes) = self.membership.tick(now, &view);
         for (token, change) in changes {
             let proposed = self.proposer.propose_internal(now, change, token);
-            acts.extend(self.apply_effects(now, proposed));
+            effects.extend(self.apply_effects(now, proposed));
         }
-        acts
+        effects
     }
 
     /// Was it chosen under this founding? What was before it is not given out: it may be newer than what stands.
     fn is_current_generation(&self, held: &AcceptedValue) -> bool {
-        held.proposal.round > self.muster.first_round()
+        held.proposal.round > self.voter_set.first_round()
     }
 
     fn current_value(&self, register: Register) -> Option<&AcceptedValue> {
@@ -165,16 +165,19 @@
 
     /// A disk that names who votes vouches for its slots: one that has forgotten them must not.
     fn persist_voter_set(&self) -> Vec<Effect> {
-        let muster =
-            Some(self.muster.clone()).filter(|muster| muster.is_known() && self.acceptor.is_recovered());
-        let keep = |muster| {
-            Effect::Store(DurableRecord { voter_set: Some(muster), ..DurableRecord::default() }, Vec::new())
+        let voter_set = Some(self.voter_set.clone())
+            .filter(|voter_set| voter_set.is_known() && self.acceptor.is_recovered());
+        let keep = |voter_set| {
+            Effect::Store(
+                DurableRecord { voter_set: Some(voter_set), ..DurableRecord::default() },
+                Vec::new(),
+            )
         };
-        muster.map(keep).into_iter().collect()
+        voter_set.map(keep).into_iter().collect()
     }
 
     pub fn voter_set(&self) -> &VoterSet {
-        &self.muster
+        &self.voter_set
     }
 
     /// An order about who votes; ends as `Act::Done` under `token`, which is below `membership::OWN_TOKENS`. A replacement that ends
@@ -183,16 +186,16 @@
         match order {
             MembershipChange::Replace { old, new } => {
                 let ended = self.membership.replace(now, token, old, new);
-                let mut acts: Vec<Effect> =
+                let mut effects: Vec<Effect> =
                     ended.into_iter().map(|outcome| Effect::ProposalResolved(token, outcome)).collect();
-                acts.extend(self.tick_membership(now));
-                acts
+                effects.extend(self.tick_membership(now));
+                effects
             }
             MembershipChange::ForceNewGeneration { epoch, voters: seats } => {
                 match self.force_new_generation(now, epoch, &seats) {
-                    Ok(acts) => {
+                    Ok(effects) => {
                         self.membership.generation_forced(now, token, seats);
-                        acts
+                        effects
                     }
                     Err(refusal) => vec![Effect::ProposalResolved(token, Outcome::Rejected(refusal))],
                 }
@@ -209,31 +212,31 @@
         seats: &[NodeId],
     ) -> Result<Vec<Effect>, MembershipError> {
         match () {
-            () if !self.muster.is_known() => return Err(MembershipError::Unknown),
+            () if !self.voter_set.is_known() => return Err(MembershipError::Unknown),
             () if !self.acceptor.is_recovered() => return Err(MembershipError::NotRecovered),
             () if !seats.contains(&self.id) => return Err(MembershipError::NotAVoter),
-            () if epoch != self.muster.epoch => return Err(MembershipError::WrongEpoch),
+            () if epoch != self.voter_set.epoch => return Err(MembershipError::WrongEpoch),
             () => {}
         }
-        let muster = self.muster.next_generation(vec![self.id], self.rng.rand_u64() as u16);
+        let voter_set = self.voter_set.next_generation(vec![self.id], self.rng.rand_u64() as u16);
         let nonce = self.rng.rand_u64() as u32;
-        let ballot = ProposalNumber { round: muster.first_round() + 1, node: self.id, nonce };
+        let proposal = ProposalNumber { round: voter_set.first_round() + 1, node: self.id, nonce };
         let held = AcceptedValue {
-            proposal: ballot,
-            revision: muster.epoch,
-            value: muster.to_bytes(),
+            proposal,
+            revision: voter_set.epoch,
+            value: voter_set.to_bytes(),
             recent_versions: Vec::new(),
         };
         self.acceptor.force_new_generation(held.clone());
         let record = DurableRecord {
             acceptors: self.acceptor.registers(),
-            voter_set: Some(muster.clone()),
+            voter_set: Some(voter_set.clone()),
             ..DurableRecord::default()
         };
-        let mut acts = vec![Effect::Store(record, Vec::new())];
-        acts.extend(self.proposer.learn(Register::VoterSet, &held));
-        acts.extend(self.adopt_voter_set(now, &muster));
-        Ok(acts)
+        let mut effects = vec![Effect::Store(record, Vec::new())];
+        effects.extend(self.proposer.learn(Register::VoterSet, &held));
+        effects.extend(self.adopt_voter_set(now, &voter_set));
+        Ok(effects)
     }
 
     pub fn cluster_clock(&self, now: f64) -> f64 {
@@ -285,24 +288,24 @@
         if !self.membership.is_established() {
             return vec![Effect::ProposalResolved(token, Outcome::Unknown)];
         }
-        let acts = self.proposer.propose(now, change, token);
-        self.apply_effects(now, acts)
+        let effects = self.proposer.propose(now, change, token);
+        self.apply_effects(now, effects)
     }
 
     pub fn tick(&mut self, now: f64) -> Vec<Effect> {
-        let mut acts = self.acceptor.tick(now);
-        let helm = self.proposer.tick(now);
-        acts.extend(self.apply_effects(now, helm));
-        acts.extend(self.tick_membership(now));
+        let mut effects = self.acceptor.tick(now);
+        let proposer = self.proposer.tick(now);
+        effects.extend(self.apply_effects(now, proposer));
+        effects.extend(self.tick_membership(now));
         if self.membership.is_established() {
-            acts.extend(self.leases.tick(now));
+            effects.extend(self.leases.tick(now));
         }
-        let contact = self.muster.has_quorum(|node| self.event_log.registry.is_alive(now, node));
+        let contact = self.voter_set.has_quorum(|node| self.event_log.registry.is_alive(now, node));
         let ended = self.event_log.append(now, Event::TimePassed { contact });
         if ended || self.repair_state_changed(now) || now >= self.last_heartbeat_at + HEARTBEAT {
-            acts.extend(self.broadcast_heartbeat(now));
+            effects.extend(self.broadcast_heartbeat(now));
         }
-        acts
+        effects
     }
 
     /// Is there news on which a change of the voters waits: who is missed, and whether this voter is whole?
@@ -315,8 +318,8 @@
     /// What is said to voters and by them. An old epoch's word is answered by who votes now; a later epoch's sender is told of
     /// this one, and answers so in turn.
     fn step_consensus(&mut self, now: f64, from: NodeId, epoch: u64, poll: ConsensusMessage) -> Vec<Effect> {
-        if epoch != self.muster.epoch {
-            return vec![Effect::Send(from, Message::VoterSet(self.muster.clone()))];
+        if epoch != self.voter_set.epoch {
+            return vec![Effect::Send(from, Message::VoterSet(self.voter_set.clone()))];
         }
         match poll {
             // Who has forgotten its grants grants nothing.
@@ -332,27 +335,27 @@
             | ConsensusMessage::LeaseDenied(_)
             | ConsensusMessage::LeaseReleased(..) => self.leases.step(now, from, &poll),
             ConsensusMessage::StateTransferRequest(serial)
-                if self.acceptor.is_recovered() && self.muster.contains(self.id) =>
+                if self.acceptor.is_recovered() && self.voter_set.contains(self.id) =>
             {
                 let told = ConsensusMessage::StateTransferReply(
                     serial,
                     self.acceptor.registers(),
                     self.leases.grants(),
                 );
-                vec![Effect::Store(DurableRecord::default(), vec![(from, self.muster.message(told))])]
+                vec![Effect::Store(DurableRecord::default(), vec![(from, self.voter_set.message(told))])]
             }
             ConsensusMessage::StateTransferRequest(_) => Vec::new(),
             // To one that votes it comes late: it must not take the place of what was granted since.
             ConsensusMessage::StateTransferReply(..) if self.acceptor.is_recovered() => Vec::new(),
-            ConsensusMessage::StateTransferReply(_, _, ref posts) => {
-                posts.iter().for_each(|&post| self.leases.restore_grant(now, post));
-                let mut acts = self.acceptor.step(from, &poll);
+            ConsensusMessage::StateTransferReply(_, _, ref grants) => {
+                grants.iter().for_each(|&grant| self.leases.restore_grant(now, grant));
+                let mut effects = self.acceptor.step(from, &poll);
                 // What was told and who votes go to the disk together: the one vouches for the other.
-                if let Some(Effect::Store(record, _)) = acts.first_mut() {
+                if let Some(Effect::Store(record, _)) = effects.first_mut() {
                     record.grants = self.leases.grants();
-                    record.voter_set = Some(self.muster.clone());
+                    record.voter_set = Some(self.voter_set.clone());
                     // While the set changes all registers are settled anyway.
-                    let settles = self.muster.contains(self.id) && !self.muster.is_joint();
+                    let settles = self.voter_set.contains(self.id) && !self.voter_set.is_joint();
                     let read = if settles { self.acceptor.transferred() } else { Vec::new() };
                     for register in read {
                         let settled = self.proposer.propose_internal(
@@ -360,10 +363,10 @@
                             Change::Commit(register),
                             FIRST_INTERNAL_TOKEN,
                         );
-                        acts.extend(self.apply_effects(now, settled));
+                        effects.extend(self.apply_effects(now, settled));
                     }
                 }
-                acts
+                effects
             }
             ConsensusMessage::Promise(..)
             | ConsensusMessage::Accepted(..)
@@ -372,16 +375,16 @@
             | ConsensusMessage::FetchedValue(..) => {
                 self.membership.failure_detector.acceptor_replied(now, from);
                 match &poll {
-                    ConsensusMessage::Accepted(register, ballot) => {
-                        self.membership.record_accepted(from, *register, *ballot)
+                    ConsensusMessage::Accepted(register, proposal) => {
+                        self.membership.record_accepted(from, *register, *proposal)
                     }
                     ConsensusMessage::ReadReply(_, held) => {
                         held.iter().for_each(|(r, b)| self.membership.record_accepted(from, *r, *b))
                     }
                     _ => {}
                 }
-                let acts = self.proposer.step(now, from, &poll);
-                self.apply_effects(now, acts)
+                let effects = self.proposer.step(now, from, &poll);
+                self.apply_effects(now, effects)
             }
             ConsensusMessage::Prepare(..)
             | ConsensusMessage::Accept(..)
@@ -394,11 +397,11 @@
     pub fn step(&mut self, now: f64, from: NodeId, word: Message) -> Vec<Effect> {
         self.membership.failure_detector.message_received(now, from);
         match word {
-            Message::PeerHello { control_node: keeper, voter_set: muster } => {
+            Message::PeerHello { control_node, voter_set } => {
                 self.acceptor.link_reset(from);
-                let mut acts = self.adopt_voter_set(now, &muster);
-                acts.extend(self.record_event(now, Event::ControlNodeDiscovered(keeper)));
-                acts
+                let mut effects = self.adopt_voter_set(now, &voter_set);
+                effects.extend(self.record_event(now, Event::ControlNodeDiscovered(control_node)));
+                effects
             }
             Message::Heartbeat(beat) => {
                 self.observe_clock(now, beat.cluster_clock);
@@ -408,19 +411,19 @@
                     beat.voter_set.epoch,
                     &beat.suspected,
                 );
-                let mut acts = self.adopt_voter_set(now, &beat.voter_set);
+                let mut effects = self.adopt_voter_set(now, &beat.voter_set);
                 let hears = beat.versions.sessions.iter().map(|(source, _, _)| *source).collect();
                 self.event_log.append(now, Event::PeerHeartbeat(from, hears));
-                beat.leases.iter().for_each(|&post| self.leases.learn_holder(now, from, post));
+                beat.leases.iter().for_each(|&grant| self.leases.learn_holder(now, from, grant));
                 if self.is_behind(now, from, &beat.versions) {
-                    acts.push(Effect::Send(from, Message::UpdateRequest(self.versions(now))));
+                    effects.push(Effect::Send(from, Message::UpdateRequest(self.versions(now))));
                 }
-                acts
+                effects
             }
-            Message::VoterSet(muster) if muster.epoch < self.muster.epoch => {
-                vec![Effect::Send(from, Message::VoterSet(self.muster.clone()))]
+            Message::VoterSet(voter_set) if voter_set.epoch < self.voter_set.epoch => {
+                vec![Effect::Send(from, Message::VoterSet(self.voter_set.clone()))]
             }
-            Message::VoterSet(muster) => self.adopt_voter_set(now, &muster),
+            Message::VoterSet(voter_set) => self.adopt_voter_set(now, &voter_set),
             Message::Consensus(epoch, poll) => self.step_consensus(now, from, epoch, poll),
             Message::UpdateRequest(theirs) => match self.updates_for(now, &theirs, true) {
                 pieces if pieces.is_empty() => Vec::new(),
@@ -439,14 +442,16 @@
         self.membership.leave();
         let presence = &self.membership.failure_detector;
         let stays = |node: NodeId| {
-            self.muster.contains(node) && presence.is_reachable(now, node) && !presence.is_leaving(node)
+            self.voter_set.contains(node) && presence.is_reachable(now, node) && !presence.is_leaving(node)
         };
         let mut others = self.event_log.registry.control_nodes();
-        others.retain(|keeper| keeper.node != self.id && stays(keeper.node));
-        others.sort_by_key(|keeper| (keeper.region != self.event_log.registry.own.region, keeper.node));
-        let mut acts = self.leases.leave(now, others.first().map(|keeper| keeper.node));
-        acts.extend(self.broadcast_heartbeat(now));
-        acts
+        others.retain(|control_node| control_node.node != self.id && stays(control_node.node));
+        others.sort_by_key(|control_node| {
+            (control_node.region != self.event_log.registry.own.region, control_node.node)
+        });
+        let mut effects = self.leases.leave(now, others.first().map(|control_node| control_node.node));
+        effects.extend(self.broadcast_heartbeat(now));
+        effects
     }
 
     /// May a gateway that was told to end do so, as far as its seat goes?
--- a/crates/consensus/src/control/gossip.rs
+++ b/crates/control-node/src/node/gossip.rs
@@ -2,15 +2,15 @@
 //! vector of versions. Must never give out as standing what was chosen under an earlier founding.
 
 use super::ControlNodeState;
-use crate::Effect;
 use crate::event_log::Event;
+use archlink_consensus::Effect;
 use archlink_messages::{Heartbeat, Message, NodeId, Register, StateUpdate, VersionVector};
 
 impl ControlNodeState {
     pub fn peer_hello(&self) -> Message {
         Message::PeerHello {
             control_node: self.event_log.registry.own.clone(),
-            voter_set: self.muster.clone(),
+            voter_set: self.voter_set.clone(),
         }
     }
 
@@ -38,7 +38,7 @@
             confirmed_age: self.confirmed().map(|at| now - at),
             versions: self.versions(now),
             leases: self.leases.holders(now),
-            voter_set: self.muster.clone(),
+            voter_set: self.voter_set.clone(),
             recovered: self.acceptor.is_recovered(),
             suspected: self.membership.suspected(now),
         })
@@ -92,16 +92,16 @@
     }
 
     pub fn apply_updates(&mut self, now: f64, pieces: Vec<StateUpdate>) -> Vec<Effect> {
-        let mut acts = Vec::new();
+        let mut effects = Vec::new();
         for piece in pieces {
             match piece {
-                StateUpdate::Chosen(register, held) => acts.extend(self.proposer.learn(register, &held)),
+                StateUpdate::Chosen(register, held) => effects.extend(self.proposer.learn(register, &held)),
                 StateUpdate::HostList(hosts) => {
                     self.event_log.append(now, Event::HostListChanged(hosts));
                 }
-                StateUpdate::ControlNodes(keepers) => {
-                    for keeper in keepers {
-                        self.event_log.append(now, Event::ControlNodeDiscovered(keeper));
+                StateUpdate::ControlNodes(control_nodes) => {
+                    for control_node in control_nodes {
+                        self.event_log.append(now, Event::ControlNodeDiscovered(control_node));
                     }
                 }
                 StateUpdate::Sessions(sessions) => {
@@ -113,7 +113,7 @@
                 | StateUpdate::DataNodes(_) => {}
             }
         }
-        acts
+        effects
     }
 
     pub(super) fn peers(&self) -> impl Iterator<Item = NodeId> {
--- a/crates/consensus/src/control/status.rs
+++ b/crates/control-node/src/node/status.rs
@@ -1,7 +1,7 @@
 //! Who votes, as one control gateway sees it, for people to look at. Must never decide anything.
 
 use super::ControlNodeState;
-use crate::membership::ChangeResult;
+use archlink_consensus::membership::ChangeResult;
 use archlink_messages::{NodeId, ProposalNumber, Register, VoterSet};
 
 /// One control gateway as another one sees it.
@@ -37,21 +37,22 @@
 impl ControlNodeState {
     /// Who votes, for people to look at.
     pub fn voter_set_status(&self, now: f64) -> VoterSetStatus {
-        let keepers = self.event_log.registry.control_nodes();
-        let mut nodes: Vec<NodeId> = keepers.iter().map(|k| k.node).chain(self.muster.all_voters()).collect();
+        let control_nodes = self.event_log.registry.control_nodes();
+        let mut nodes: Vec<NodeId> =
+            control_nodes.iter().map(|k| k.node).chain(self.voter_set.all_voters()).collect();
         nodes.sort_unstable();
         nodes.dedup();
         let member = |node: NodeId| MemberStatus {
             node,
-            zone: keepers.iter().find(|k| k.node == node).map(|k| k.zone.clone()),
-            voter: self.muster.voters.contains(&node),
-            incoming: self.muster.incoming.contains(&node),
+            zone: control_nodes.iter().find(|k| k.node == node).map(|k| k.zone.clone()),
+            voter: self.voter_set.voters.contains(&node),
+            incoming: self.voter_set.incoming.contains(&node),
             last_heard_age: self.membership.failure_detector.silence(now, node),
             recovered: self.membership.failure_detector.is_recovered(node),
         };
         let slots = self.acceptor.registers().into_iter();
         VoterSetStatus {
-            voter_set: self.muster.clone(),
+            voter_set: self.voter_set.clone(),
             established: self.membership.is_established(),
             members: nodes.into_iter().map(member).collect(),
             accepted: slots
--- a/crates/consensus/src/registry.rs
+++ b/crates/control-node/src/registry.rs
@@ -66,8 +66,8 @@
     /// What follows from an event; true where it brought something new.
     pub(crate) fn fold(&mut self, now: f64, event: &Event) -> bool {
         match event {
-            Event::ControlNodeDiscovered(keeper) => self.meet(now, keeper),
-            Event::SessionRenewed(pilot) => self.hail(now, pilot),
+            Event::ControlNodeDiscovered(control_node) => self.meet(now, control_node),
+            Event::SessionRenewed(data_node) => self.hail(now, data_node),
             Event::SessionClosed(node) => self.lost(*node),
             Event::PeerSessions(sessions) => self.told(now, sessions),
             Event::PeerHeartbeat(node, hears) => {
@@ -81,13 +81,13 @@
     }
 
     /// A sign of life of a data gateway; true where something is new about it.
-    fn hail(&mut self, now: f64, pilot: &DataNode) -> bool {
-        if self.own_sessions.len() >= MAX_DATA_NODES && !self.own_sessions.contains_key(&pilot.node) {
+    fn hail(&mut self, now: f64, data_node: &DataNode) -> bool {
+        if self.own_sessions.len() >= MAX_DATA_NODES && !self.own_sessions.contains_key(&data_node.node) {
             return false;
         }
-        self.possibly_active.insert(pilot.node, now);
-        let before = self.own_sessions.insert(pilot.node, (pilot.clone(), now));
-        let news = before.is_none_or(|(known, _)| known != *pilot);
+        self.possibly_active.insert(data_node.node, now);
+        let before = self.own_sessions.insert(data_node.node, (data_node.clone(), now));
+        let news = before.is_none_or(|(known, _)| known != *data_node);
         self.version += u64::from(news);
         news
     }
@@ -109,8 +109,8 @@
             self.possibly_active.values_mut().for_each(|at| *at = now);
         }
         let silent = self.peer_sessions.values().filter(|(_, at)| now >= at + SOURCE && now < at + CUT);
-        for pilot in silent.flat_map(|(sessions, _)| &sessions.data_nodes) {
-            self.possibly_active.insert(pilot.node, now);
+        for data_node in silent.flat_map(|(sessions, _)| &sessions.data_nodes) {
+            self.possibly_active.insert(data_node.node, now);
         }
         self.possibly_active.retain(|_, at| now < *at + COUNTED);
         self.forget(now);
@@ -120,19 +120,14 @@
     }
 
     pub fn sessions(&self) -> SessionTable {
-        let pilots = self.own_sessions.values().map(|(pilot, _)| pilot.clone()).collect();
-        SessionTable {
-            source: self.own.node,
-            incarnation: self.boot,
-            version: self.version,
-            data_nodes: pilots,
-        }
+        let data_nodes = self.own_sessions.values().map(|(data_node, _)| data_node.clone()).collect();
+        SessionTable { source: self.own.node, incarnation: self.boot, version: self.version, data_nodes }
     }
 
     /// What another control gateway tells of its sessions, itself or through one that hears it.
     fn told(&mut self, now: f64, sessions: &SessionTable) -> bool {
-        for pilot in &sessions.data_nodes {
-            self.possibly_active.insert(pilot.node, now);
+        for data_node in &sessions.data_nodes {
+            self.possibly_active.insert(data_node.node, now);
         }
         if self.control_nodes.contains_key(&sessions.source) && sessions.source != self.own.node {
             let at = self.heard.get(&sessions.source).copied().unwrap_or(f64::NEG_INFINITY);
@@ -155,8 +150,9 @@
 
     /// Another control gateway lives, as it or one that hears it says: so may the data gateways that it told of.
     fn still_there(&mut self, now: f64, source: NodeId) {
-        for pilot in self.peer_sessions.get(&source).iter().flat_map(|(sessions, _)| &sessions.data_nodes) {
-            self.possibly_active.insert(pilot.node, now);
+        for data_node in self.peer_sessions.get(&source).iter().flat_map(|(sessions, _)| &sessions.data_nodes)
+        {
+            self.possibly_active.insert(data_node.node, now);
         }
     }
 
@@ -207,7 +203,7 @@
         let live = self.peer_sessions.values().filter(|(_, at)| now < at + SOURCE);
         let mut all: BTreeMap<NodeId, &DataNode> =
             live.flat_map(|(s, _)| &s.data_nodes).map(|p| (p.node, p)).collect();
-        all.extend(self.own_sessions.values().map(|(pilot, _)| (pilot.node, pilot)));
+        all.extend(self.own_sessions.values().map(|(data_node, _)| (data_node.node, data_node)));
         all.into_values().cloned().collect()
     }
 
@@ -232,16 +228,16 @@
         }
     }
 
-    fn meet(&mut self, now: f64, keeper: &ControlNode) -> bool {
-        let known = self.control_nodes.get(&keeper.node) == Some(keeper);
+    fn meet(&mut self, now: f64, control_node: &ControlNode) -> bool {
+        let known = self.control_nodes.get(&control_node.node) == Some(control_node);
         if known
             || (self.control_nodes.len() >= MAX_CONTROL_NODES
-                && !self.control_nodes.contains_key(&keeper.node))
+                && !self.control_nodes.contains_key(&control_node.node))
         {
             return false;
         }
-        self.control_nodes.insert(keeper.node, keeper.clone());
-        self.first_seen.entry(keeper.node).or_insert(now);
+        self.control_nodes.insert(control_node.node, control_node.clone());
+        self.first_seen.entry(control_node.node).or_insert(now);
         true
     }
 
@@ -252,14 +248,14 @@
 
     /// Those that others are told of: heard of lately.
     pub fn advertised_control_nodes(&self, now: f64) -> Vec<ControlNode> {
-        let lately = |keeper: &&ControlNode| self.silent(now, keeper.node) < NAMED;
+        let lately = |control_node: &&ControlNode| self.silent(now, control_node.node) < NAMED;
         self.control_nodes.values().filter(lately).cloned().collect()
     }
 
     /// Changes with the set of control gateways that others are told of.
     pub fn control_node_fingerprint(&self, now: f64) -> u64 {
         let named: Vec<NodeId> =
-            self.advertised_control_nodes(now).into_iter().map(|keeper| keeper.node).collect();
+            self.advertised_control_nodes(now).into_iter().map(|control_node| control_node.node).collect();
         archlink_messages::node_set_fingerprint(named.into_iter())
     }
 
--- a/crates/consensus/src/update_delivery.rs
+++ b/crates/control-node/src/update_delivery.rs
@@ -1,20 +1,20 @@
 //! What a data gateway is told of what it lacks, in as few bytes as can be: the configuration and the list of hosts as
 //! patches on those that it holds. Owns the texts that patches are made on. Must never leave out what was lacking.
 
-use crate::control::ControlNodeState;
+use crate::node::ControlNodeState;
 use crate::patch_cache::PatchCache;
 use archlink_messages::{Register, StateUpdate, VersionVector};
 
 #[derive(Default)]
 pub struct UpdateDelivery {
-    charts: PatchCache<u64>,
+    configurations: PatchCache<u64>,
     lists: PatchCache<(u64, u64)>,
 }
 
 impl UpdateDelivery {
     /// A configuration came into force; the order of its value (`Held::order`) and its text, unpacked.
     pub fn configuration_learned(&mut self, stamp: u64, text: Vec<u8>) {
-        self.charts.insert(stamp, text);
+        self.configurations.insert(stamp, text);
     }
 
     /// What a data gateway with that vector lacks of what is held here.
@@ -32,8 +32,8 @@
         match piece {
             StateUpdate::Chosen(Register::Configuration, held) => {
                 let (stamp, base) = (held.ordering_key(), theirs.configuration);
-                let newest = self.charts.newest() == Some(stamp);
-                match self.charts.patch(base).filter(|_| newest) {
+                let newest = self.configurations.newest() == Some(stamp);
+                match self.configurations.patch(base).filter(|_| newest) {
                     Some(packed) => StateUpdate::ConfigurationPatch { stamp, base, packed },
                     None => StateUpdate::ConfigurationPatch { stamp, base: 0, packed: held.value },
                 }
--- a/crates/consensus/tests/fleet.rs
+++ b/crates/control-node/tests/cluster.rs
@@ -106,8 +106,8 @@
     let mut fleet = Fleet::new(3);
     fleet.run(2.0);
     let terms = |fleet: &Fleet| {
-        let posts = fleet.live.values().flat_map(|c| c.leases.holders(fleet.now));
-        posts.map(|post| (post.role, post.term)).collect::<BTreeMap<_, _>>()
+        let grants = fleet.live.values().flat_map(|c| c.leases.holders(fleet.now));
+        grants.map(|grant| (grant.role, grant.term)).collect::<BTreeMap<_, _>>()
     };
     let before = terms(&fleet);
     (1..=4).for_each(|node| fleet.kill(node, false));
@@ -115,8 +115,8 @@
     // A holder without a vote has nothing on disk that names it: its grants are waited out.
     fleet.run(1.3);
     let after = terms(&fleet);
-    for duty in SINGLETON_ROLES {
-        assert!(after.get(&duty) > before.get(&duty), "{before:?} {after:?}");
+    for role in SINGLETON_ROLES {
+        assert!(after.get(&role) > before.get(&role), "{before:?} {after:?}");
     }
 }
 
@@ -179,10 +179,10 @@
             assert!(held >= newest, "{held} is held, {newest} was acknowledged");
         }
         // Guards against voters that grant themselves again and again, so that none ever wins.
-        for duty in SINGLETON_ROLES {
+        for role in SINGLETON_ROLES {
             let holder =
-                fleet.agreed(duty).and_then(|node| fleet.live[&node].leases.held_lease(fleet.now, duty));
-            assert!(holder.is_some(), "nobody holds {duty:?}");
+                fleet.agreed(role).and_then(|node| fleet.live[&node].leases.held_lease(fleet.now, role));
+            assert!(holder.is_some(), "nobody holds {role:?}");
         }
     });
 }
--- a/crates/consensus/tests/numbers.rs
+++ b/crates/control-node/tests/configuration_versions.rs
@@ -1,14 +1,14 @@
 //! One number, one text, ever; and an order's order: races of many operators at many gateways, with words lost, late and
 //! twice, cuts, frozen and killed gateways, callers that move on and send again.
 
-mod roads;
+mod simulated_network;
 
 use archlink_consensus::proposer::{Change, MAX_RECENT_VERSIONS, PROPOSAL_TIMEOUT, Proposer};
 use archlink_consensus::{Effect, Outcome};
 use archlink_messages::{
     ConsensusMessage, Message, NodeId, Register, VersionDigest, VoterSet, decode_evacuated_zones,
 };
-use roads::Roads;
+use simulated_network::Roads;
 use std::collections::BTreeMap;
 
 /// Longest search for a smaller case of a failure.
@@ -330,24 +330,26 @@
 #[test]
 fn what_is_accepted_after_its_time_is_not_acknowledged() {
     for (woke, acknowledged) in [(0.5, true), (3.0, false)] {
-        let mut helm = Proposer::new(9, 1);
-        helm.set_voter_set(0.0, &VoterSet::initial(&[1, 2, 3]));
+        let mut proposer = Proposer::new(9, 1);
+        proposer.set_voter_set(0.0, &VoterSet::initial(&[1, 2, 3]));
         let (version, digest, text) = (NUMBER, [1; 16], "text".into());
-        helm.propose(1.0, Change::Configuration { version, digest, text }, 1);
-        let sent = |acts: Vec<Effect>| {
-            let poll =
-                |act| if let Effect::Send(_, Message::Consensus(_, poll)) = act { Some(poll) } else { None };
-            acts.into_iter().find_map(poll)
+        proposer.propose(1.0, Change::Configuration { version, digest, text }, 1);
+        let sent = |effects: Vec<Effect>| {
+            let poll = |effect| {
+                if let Effect::Send(_, Message::Consensus(_, poll)) = effect { Some(poll) } else { None }
+            };
+            effects.into_iter().find_map(poll)
         };
-        let Some(ConsensusMessage::Prepare(register, ballot)) = sent(helm.tick(1.36)) else {
+        let Some(ConsensusMessage::Prepare(register, proposal)) = sent(proposer.tick(1.36)) else {
             panic!("no second attempt")
         };
-        helm.step(1.4, 1, &ConsensusMessage::Promise(register, ballot, None));
-        let asked = sent(helm.step(1.4, 2, &ConsensusMessage::Promise(register, ballot, None)));
+        proposer.step(1.4, 1, &ConsensusMessage::Promise(register, proposal, None));
+        let asked = sent(proposer.step(1.4, 2, &ConsensusMessage::Promise(register, proposal, None)));
         assert!(matches!(asked, Some(ConsensusMessage::Accept(..))));
-        helm.step(1.4, 1, &ConsensusMessage::Accepted(register, ballot));
-        let acts = helm.step(1.0 + woke, 2, &ConsensusMessage::Accepted(register, ballot));
-        let done = acts.iter().any(|act| matches!(act, Effect::ProposalResolved(1, Outcome::Chosen)));
-        assert_eq!((done, helm.chosen(register).is_some()), (acknowledged, acknowledged));
+        proposer.step(1.4, 1, &ConsensusMessage::Accepted(register, proposal));
+        let effects = proposer.step(1.0 + woke, 2, &ConsensusMessage::Accepted(register, proposal));
+        let done =
+            effects.iter().any(|effect| matches!(effect, Effect::ProposalResolved(1, Outcome::Chosen)));
+        assert_eq!((done, proposer.chosen(register).is_some()), (acknowledged, acknowledged));
     }
 }
--- a/crates/consensus/tests/replaced.rs
+++ b/crates/control-node/tests/machine_replacement.rs
@@ -3,7 +3,7 @@
 //! as if a silent seat were given away after 300 s: the planted fault, which is found.
 
 use archlink_consensus::Outcome;
-use archlink_consensus::control::ControlNodeState;
+use archlink_control_node::node::ControlNodeState;
 use archlink_messages::{NodeId, Register, SingletonRole, VoterSet};
 use archlink_simulation::Fleet;
 use std::collections::BTreeSet;
@@ -35,7 +35,13 @@
 
 /// The set that the newest epoch names, as far as anybody who is there knows.
 fn newest(fleet: &Fleet) -> VoterSet {
-    fleet.live.values().map(ControlNodeState::voter_set).max_by_key(|muster| muster.epoch).unwrap().clone()
+    fleet
+        .live
+        .values()
+        .map(ControlNodeState::voter_set)
+        .max_by_key(|voter_set| voter_set.epoch)
+        .unwrap()
+        .clone()
 }
 
 /// Does an order come through at every gateway that is there, with all that was acknowledged before?
@@ -321,14 +327,18 @@
     let mut fleet = fleet(1, (3, 4), CATCH_UP);
     Replaced { old: 1, new: 5, gap: 0.5, planned: false }.play(&mut fleet);
     let named = |fleet: &Fleet, node: NodeId| -> Vec<NodeId> {
-        let roster = &fleet.live[&node].event_log.registry;
-        roster.advertised_control_nodes(fleet.clock(node)).iter().map(|keeper| keeper.node).collect()
+        let registry = &fleet.live[&node].event_log.registry;
+        registry
+            .advertised_control_nodes(fleet.clock(node))
+            .iter()
+            .map(|control_node| control_node.node)
+            .collect()
     };
     assert!(named(&fleet, 2).contains(&1), "it may only be away for a moment");
     fleet.run(30.0);
     (2..=5).for_each(|node| assert_eq!(named(&fleet, node), [2, 3, 4, 5], "told by {node}"));
     let known = |fleet: &Fleet| {
-        fleet.live[&3].event_log.registry.control_nodes().iter().any(|keeper| keeper.node == 1)
+        fleet.live[&3].event_log.registry.control_nodes().iter().any(|control_node| control_node.node == 1)
     };
     assert!(known(&fleet), "it is called for longer");
     fleet.run(600.0);
--- a/crates/consensus/tests/seats.rs
+++ b/crates/control-node/tests/membership.rs
@@ -2,11 +2,11 @@
 //! hold here too: one set an epoch, one line of chosen values, one holder a duty). Where a property rests on a condition, the
 //! world plants the fault that the condition keeps out, and the test sees it found.
 
-use archlink_consensus::control::ControlNodeState;
 use archlink_consensus::leases::Leases;
 use archlink_consensus::membership::ChangeResult;
 use archlink_consensus::proposer::{Change, Proposer};
 use archlink_consensus::{Effect, MembershipChange, MembershipError, Outcome};
+use archlink_control_node::node::ControlNodeState;
 use archlink_messages::{
     AcceptedValue, ConsensusMessage, LeaseGrant, Message, NodeId, ProposalNumber, REGISTERS, Register,
     SingletonRole, VoterSet,
@@ -27,7 +27,7 @@
     fleet
 }
 
-fn muster(fleet: &Fleet, node: NodeId) -> &VoterSet {
+fn voter_set(fleet: &Fleet, node: NodeId) -> &VoterSet {
     fleet.live[&node].voter_set()
 }
 
@@ -214,7 +214,7 @@
     fleet.run(0.7);
     assert_eq!(fleet.done.get(&2), Some(&Outcome::Chosen), "seed {seed}");
     if early {
-        let end = muster(&fleet, 1).enter_joint(vec![1, 2, 4]).leave_joint(&[1, 2, 4]);
+        let end = voter_set(&fleet, 1).enter_joint(vec![1, 2, 4]).leave_joint(&[1, 2, 4]);
         for node in [1, 2, 4] {
             fleet.step(node, |control, now| control.step(now, 3, Message::VoterSet(end.clone())));
         }
@@ -261,7 +261,7 @@
             fleet.cut(new, old);
         }
         if forgets {
-            fleet.disks.get_mut(&old).unwrap().kept.muster = VoterSet::initial(&[1, 2, 3]);
+            fleet.disks.get_mut(&old).unwrap().kept.voter_set = VoterSet::initial(&[1, 2, 3]);
         }
     }
     fleet.strict = !forgets;
@@ -334,7 +334,7 @@
         let why = format!("seed {seed}");
         let mut fleet = up(seed);
         fleet.reseat(1, 2, REPLACE);
-        assert!(until(&mut fleet, 1.0, |fleet| muster(fleet, 1).is_joint()));
+        assert!(until(&mut fleet, 1.0, |fleet| voter_set(fleet, 1).is_joint()));
         fleet.kill(4, false);
         fleet.replace(1, 3, 8);
         fleet.run(2.0);
@@ -357,7 +357,7 @@
         fleet.run(2.0);
         for (n, &(what, length)) in plan.iter().take(8).enumerate() {
             let holder = fleet.holder(SingletonRole::QuotaCounter).unwrap_or(1);
-            let seats = muster(&fleet, 1).voters.clone();
+            let seats = voter_set(&fleet, 1).voters.clone();
             let spare = (1..=4).find(|node| !seats.contains(node)).unwrap_or(4);
             match what % 5 {
                 0 | 1 => {
@@ -376,8 +376,8 @@
         }
         fleet.heal();
         fleet.run(14.0);
-        for duty in archlink_messages::SINGLETON_ROLES {
-            assert!(fleet.holder(duty).is_some(), "nobody holds {duty:?}");
+        for role in archlink_messages::SINGLETON_ROLES {
+            assert!(fleet.holder(role).is_some(), "nobody holds {role:?}");
         }
     });
 }
@@ -388,21 +388,21 @@
 fn another_lifes_bid_is_no_renewal() {
     let mut voter = Leases::new(0.0, 1, 7, &[]);
     voter.set_voter_set(&VoterSet::initial(&[1, 2, 3]));
-    let post = LeaseGrant { role: SingletonRole::QuotaCounter, holder: 4, term: 1 };
-    let granted = |acts: Vec<Effect>| {
+    let grant = LeaseGrant { role: SingletonRole::QuotaCounter, holder: 4, term: 1 };
+    let granted = |effects: Vec<Effect>| {
         matches!(
-            &acts[..],
+            &effects[..],
             [Effect::Store(..)]
                 | [Effect::Send(_, Message::Consensus(_, ConsensusMessage::LeaseGranted(..)))]
         )
     };
-    assert!(granted(voter.step(0.1, 4, &ConsensusMessage::LeaseRequest(post, 5))));
-    assert!(granted(voter.step(0.2, 4, &ConsensusMessage::LeaseRenewal(post, 6))));
-    assert!(!granted(voter.step(0.3, 4, &ConsensusMessage::LeaseRequest(post, 99))));
+    assert!(granted(voter.step(0.1, 4, &ConsensusMessage::LeaseRequest(grant, 5))));
+    assert!(granted(voter.step(0.2, 4, &ConsensusMessage::LeaseRenewal(grant, 6))));
+    assert!(!granted(voter.step(0.3, 4, &ConsensusMessage::LeaseRequest(grant, 99))));
     assert!(granted(voter.step(
         0.4,
         4,
-        &ConsensusMessage::LeaseRequest(LeaseGrant { term: 2, ..post }, 100)
+        &ConsensusMessage::LeaseRequest(LeaseGrant { term: 2, ..grant }, 100)
     )));
 }
 
@@ -411,18 +411,18 @@
 fn terms_grow_through_a_change_and_a_kill_of_all() {
     for seed in 0..20 {
         let mut fleet = up(seed);
-        let term = |fleet: &Fleet, duty| {
-            let posts = fleet.live.iter().flat_map(|(n, c)| c.leases.holders(fleet.clock(*n)));
-            posts.filter(|post| post.role == duty).map(|post| post.term).max()
+        let term = |fleet: &Fleet, role| {
+            let grants = fleet.live.iter().flat_map(|(n, c)| c.leases.holders(fleet.clock(*n)));
+            grants.filter(|grant| grant.role == role).map(|grant| grant.term).max()
         };
-        let before = archlink_messages::SINGLETON_ROLES.map(|duty| term(&fleet, duty));
+        let before = archlink_messages::SINGLETON_ROLES.map(|role| term(&fleet, role));
         fleet.reseat(1, 2, REPLACE);
         fleet.run(2.5);
         assert_eq!(fleet.done.get(&2), Some(&Outcome::Chosen), "seed {seed}");
         (1..=4).for_each(|node| fleet.kill(node, false));
         [2, 4].iter().for_each(|&node| fleet.start(node, false));
         fleet.run(3.0);
-        let after = archlink_messages::SINGLETON_ROLES.map(|duty| term(&fleet, duty));
+        let after = archlink_messages::SINGLETON_ROLES.map(|role| term(&fleet, role));
         assert!(after[0] > before[0] && after[1] > before[1], "seed {seed}: {before:?} {after:?}");
     }
 }
@@ -442,7 +442,7 @@
         fleet.start(holder, false);
         fleet.run(2.0);
     }
-    let next = muster(&fleet, 1).enter_joint(vec![1, 2, 4]);
+    let next = voter_set(&fleet, 1).enter_joint(vec![1, 2, 4]);
     let next = if early { next.leave_joint(&[1, 2, 4]) } else { next };
     // Nobody else knows of its term any more.
     for node in [1, 2, 4] {
@@ -575,8 +575,8 @@
         fleet.start(1, false);
         fleet.run(0.1);
         let now = fleet.clock(1) + 3.0;
-        let acts = fleet.live.get_mut(&1).unwrap().tick(now);
-        let asked = acts.into_iter().find_map(|act| match act {
+        let effects = fleet.live.get_mut(&1).unwrap().tick(now);
+        let asked = effects.into_iter().find_map(|effect| match effect {
             Effect::Send(2, Message::Consensus(_, ConsensusMessage::StateTransferRequest(serial))) => {
                 Some(serial)
             }
@@ -605,18 +605,21 @@
 fn a_writer_that_wakes_late_counts_no_old_word() {
     let mut helm = Proposer::new(4, 1);
     helm.set_voter_set(0.0, &VoterSet::initial(&[1, 2, 3]));
-    let acts = helm.propose(0.0, Change::Evacuation { zone: "a".into(), on: true }, 1);
-    let ballot = acts.iter().find_map(|act| match act {
-        Effect::Send(_, Message::Consensus(_, ConsensusMessage::Prepare(_, ballot))) => Some(*ballot),
+    let effects = helm.propose(0.0, Change::Evacuation { zone: "a".into(), on: true }, 1);
+    let proposal = effects.iter().find_map(|effect| match effect {
+        Effect::Send(_, Message::Consensus(_, ConsensusMessage::Prepare(_, proposal))) => Some(*proposal),
         _ => None,
     });
-    let ballot = ballot.expect("a ballot");
+    let proposal = proposal.expect("a ballot");
     for node in [1, 2] {
-        helm.step(0.1, node, &ConsensusMessage::Promise(Register::Evacuations, ballot, None));
+        helm.step(0.1, node, &ConsensusMessage::Promise(Register::Evacuations, proposal, None));
     }
-    helm.step(0.2, 1, &ConsensusMessage::Accepted(Register::Evacuations, ballot));
-    let acts = helm.step(9.0, 2, &ConsensusMessage::Accepted(Register::Evacuations, ballot));
-    assert!(!acts.iter().any(|act| matches!(act, Effect::ProposalResolved(_, Outcome::Chosen))), "{acts:?}");
+    helm.step(0.2, 1, &ConsensusMessage::Accepted(Register::Evacuations, proposal));
+    let effects = helm.step(9.0, 2, &ConsensusMessage::Accepted(Register::Evacuations, proposal));
+    assert!(
+        !effects.iter().any(|effect| matches!(effect, Effect::ProposalResolved(_, Outcome::Chosen))),
+        "{effects:?}"
+    );
 }
 
 /// Guards against a majority of an old answer and a new one: the voter of the old one has lost its disk since, and read from the
@@ -632,7 +635,7 @@
     };
     let answers = [(Register::Configuration, held.proposal)];
     for (node, now) in [(1, 0.1), (2, 3.0)] {
-        let asked = helm.tick(now).into_iter().find_map(|act| match act {
+        let asked = helm.tick(now).into_iter().find_map(|effect| match effect {
             Effect::Send(_, Message::Consensus(_, ConsensusMessage::ReadRequest(serial))) => Some(serial),
             _ => None,
         });
@@ -653,7 +656,7 @@
             fleet.reseat(2, 2 + seed, REPLACE);
             fleet.run(1.0 + 0.1 * seed as f64);
             let (known, whole) =
-                (fleet.disks[&1].kept.muster.is_known(), fleet.live[&1].acceptor.is_recovered());
+                (fleet.disks[&1].kept.voter_set.is_known(), fleet.live[&1].acceptor.is_recovered());
             assert!(!known && !whole, "seed {seed}");
             fleet.kill(1, false);
         }
@@ -661,7 +664,7 @@
         fleet.run(14.0);
         let kept = &fleet.disks[&1].kept;
         assert!(
-            kept.muster.is_known() && kept.slots[&Register::Configuration].accepted.is_some(),
+            kept.voter_set.is_known() && kept.slots[&Register::Configuration].accepted.is_some(),
             "seed {seed}"
         );
     }
@@ -717,7 +720,7 @@
         assert!(held.iter().any(|(register, stamp, _)| (*register, *stamp) == (Register::Configuration, 8)));
         // What is lost is no fault from here on; that it stays lost is.
         fleet.checks = archlink_simulation::checks::Checks::default();
-        let epoch = muster(&fleet, 1).epoch;
+        let epoch = voter_set(&fleet, 1).epoch;
         fleet.reseat(1, 3, MembershipChange::ForceNewGeneration { epoch, voters: vec![1, 4] });
         fleet.run(2.5);
         assert_eq!(fleet.done.get(&3), Some(&Outcome::Chosen), "{why}");
--- a/crates/consensus/tests/contact.rs
+++ b/crates/control-node/tests/quorum_contact.rs
@@ -1,16 +1,16 @@
 //! What a control gateway may say that a majority has not confirmed lately, and since when one has: reads at any rate,
 //! slow disks, answers out of order, late and of earlier lives, gateways that are cut off.
 
-mod roads;
+mod simulated_network;
 
 use archlink_consensus::Effect;
-use archlink_consensus::event_log::Event;
 use archlink_consensus::proposer::Proposer;
+use archlink_control_node::event_log::Event;
 use archlink_messages::{
     AcceptedValue, ConsensusMessage, Heartbeat, HostList, Message, NodeId, ProposalNumber, Register,
     StateUpdate, VersionVector, VoterSet,
 };
-use roads::Roads;
+use simulated_network::Roads;
 
 /// Longest search for a smaller case of a failure.
 const SHRINK: std::time::Duration = std::time::Duration::from_secs(5);
@@ -72,18 +72,18 @@
     }
 }
 
-fn ballot(round: u64) -> ProposalNumber {
+fn proposal(round: u64) -> ProposalNumber {
     ProposalNumber { round, node: 9, nonce: 0 }
 }
 
 fn held(round: u64) -> AcceptedValue {
-    AcceptedValue { proposal: ballot(round), revision: round, ..AcceptedValue::default() }
+    AcceptedValue { proposal: proposal(round), revision: round, ..AcceptedValue::default() }
 }
 
 /// One that asks and three voters that are asked, of which any two make a value chosen by holding it.
 struct Asked {
     now: f64,
-    helm: Proposer,
+    proposer: Proposer,
     voters: [u64; 3],
     newest: u64,
     /// Each value and since when it is chosen.
@@ -92,10 +92,10 @@
 }
 
 impl Asked {
-    fn helm(seed: u64) -> Proposer {
-        let mut helm = Proposer::new(9, seed);
-        helm.set_voter_set(0.0, &VoterSet::initial(&[1, 2, 3]));
-        helm
+    fn proposer(seed: u64) -> Proposer {
+        let mut proposer = Proposer::new(9, seed);
+        proposer.set_voter_set(0.0, &VoterSet::initial(&[1, 2, 3]));
+        proposer
     }
 
     fn hold(&mut self, voter: usize) {
@@ -107,14 +107,14 @@
     }
 
     /// A voter answers with what it holds now; `late` is how long the answer takes, lost where none.
-    fn act(&mut self, acts: Vec<Effect>, mut late: impl FnMut() -> Option<f64>) {
-        for act in acts {
-            let Effect::Send(to, Message::Consensus(_, poll)) = act else { continue };
+    fn effect(&mut self, effects: Vec<Effect>, mut late: impl FnMut() -> Option<f64>) {
+        for effect in effects {
+            let Effect::Send(to, Message::Consensus(_, poll)) = effect else { continue };
             let (holds, Some(late)) = (self.voters[to as usize - 1], late()) else { continue };
             let answer = match poll {
                 ConsensusMessage::ReadRequest(serial) => {
                     let of = |register| {
-                        if register == Register::Configuration { ballot(holds) } else { ballot(0) }
+                        if register == Register::Configuration { proposal(holds) } else { proposal(0) }
                     };
                     let of = |r| (r, if holds == 0 { ProposalNumber::default() } else { of(r) });
                     ConsensusMessage::ReadReply(serial, archlink_messages::REGISTERS.map(of).to_vec())
@@ -135,13 +135,13 @@
             let now = self.now;
             let due: Vec<_> = self.way.extract_if(.., |word| word.0 <= now).collect();
             for (_, from, poll) in due {
-                let acts = self.helm.step(now, from, &poll);
-                self.act(acts, &mut late);
+                let effects = self.proposer.step(now, from, &poll);
+                self.effect(effects, &mut late);
             }
-            let acts = self.helm.tick(now);
-            self.act(acts, &mut late);
-            let mine = self.helm.chosen(Register::Configuration).map_or(0, |held| held.revision);
-            let confirmed = self.helm.confirmed(Register::Configuration).unwrap_or(f64::NEG_INFINITY);
+            let effects = self.proposer.tick(now);
+            self.effect(effects, &mut late);
+            let mine = self.proposer.chosen(Register::Configuration).map_or(0, |held| held.revision);
+            let confirmed = self.proposer.confirmed(Register::Configuration).unwrap_or(f64::NEG_INFINITY);
             let missed = self.chosen.iter().find(|(value, at)| *value > mine && *at < confirmed);
             assert!(missed.is_none(), "{mine} was confirmed as of {confirmed}, but {missed:?} stood by then");
         }
@@ -158,17 +158,17 @@
         .with_type::<(u64, Vec<(u8, u8)>)>()
         .for_each(|(seed, plan)| {
             let mut chance = oorandom::Rand64::new(u128::from(*seed));
-            let helm = Asked::helm(*seed);
+            let proposer = Asked::proposer(*seed);
             let (chosen, way) = (Vec::new(), Vec::new());
-            let mut asked = Asked { now: 1.0, helm, voters: [0; 3], newest: 0, chosen, way };
+            let mut asked = Asked { now: 1.0, proposer, voters: [0; 3], newest: 0, chosen, way };
             for &(what, length) in plan.iter().take(40) {
                 match what % 8 {
                     0 => asked.newest += 1,
                     n @ 1..=3 => asked.hold(usize::from(n) - 1),
-                    4 => asked.helm = Asked::helm(chance.rand_u64()),
+                    4 => asked.proposer = Asked::proposer(chance.rand_u64()),
                     _ => {
-                        let acts = asked.helm.request_confirmation(asked.now);
-                        asked.act(acts, || Some(0.3));
+                        let effects = asked.proposer.request_confirmation(asked.now);
+                        asked.effect(effects, || Some(0.3));
                     }
                 }
                 let lossy = chance.rand_float();
@@ -181,10 +181,10 @@
             asked.run(4.0, &mut late);
             for _ in 0..100 {
                 asked.run(0.02, &mut late);
-                let age = asked.now - asked.helm.confirmed(Register::Configuration).expect("confirmed");
+                let age = asked.now - asked.proposer.confirmed(Register::Configuration).expect("confirmed");
                 assert!(age < 0.4 + ANSWERED + 0.03, "{age}");
                 assert_eq!(
-                    asked.helm.chosen(Register::Configuration).map_or(0, |held| held.revision),
+                    asked.proposer.chosen(Register::Configuration).map_or(0, |held| held.revision),
                     asked.newest
                 );
             }
@@ -192,16 +192,16 @@
 }
 
 /// The number of the question that is asked at that time.
-fn question(helm: &mut Proposer, now: f64) -> u64 {
-    let serial = |act: Effect| match act {
+fn question(proposer: &mut Proposer, now: f64) -> u64 {
+    let serial = |effect: Effect| match effect {
         Effect::Send(_, Message::Consensus(_, ConsensusMessage::ReadRequest(serial))) => Some(serial),
         _ => None,
     };
-    helm.tick(now).into_iter().find_map(serial).expect("a question")
+    proposer.tick(now).into_iter().find_map(serial).expect("a question")
 }
 
 fn answer(serial: u64, round: u64) -> ConsensusMessage {
-    ConsensusMessage::ReadReply(serial, vec![(Register::Configuration, ballot(round))])
+    ConsensusMessage::ReadReply(serial, vec![(Register::Configuration, proposal(round))])
 }
 
 /// Guards against an answer that hung at a voter's disk through the asker's restart: questions were numbered from nought in
@@ -209,26 +209,26 @@
 /// epoch's counts as little.
 #[test]
 fn an_answer_to_a_question_of_an_earlier_life_or_epoch_counts_for_nothing() {
-    let mut before = Asked::helm(1);
+    let mut before = Asked::proposer(1);
     let old = question(&mut before, 1.0);
     // The asker starts anew; meanwhile 2 is chosen in the place of 1.
-    let mut helm = Asked::helm(2);
-    let first = question(&mut helm, 9.0);
-    helm.set_voter_set(9.0, &VoterSet::initial(&[1, 2, 3]).enter_joint(vec![1, 2, 4]));
-    let new = question(&mut helm, 9.1);
-    helm.learn(Register::Configuration, &held(1));
+    let mut proposer = Asked::proposer(2);
+    let first = question(&mut proposer, 9.0);
+    proposer.set_voter_set(9.0, &VoterSet::initial(&[1, 2, 3]).enter_joint(vec![1, 2, 4]));
+    let new = question(&mut proposer, 9.1);
+    proposer.learn(Register::Configuration, &held(1));
     for voter in [1, 2, 4] {
-        helm.step(9.2, voter, &answer(old, 1));
-        helm.step(9.2, voter, &answer(first, 1));
+        proposer.step(9.2, voter, &answer(old, 1));
+        proposer.step(9.2, voter, &answer(first, 1));
     }
-    assert_eq!(helm.confirmed(Register::Configuration), None);
+    assert_eq!(proposer.confirmed(Register::Configuration), None);
     for voter in [1, 2] {
-        helm.step(9.2, voter, &answer(new, 2));
+        proposer.step(9.2, voter, &answer(new, 2));
     }
-    assert_eq!(helm.confirmed(Register::Configuration), None, "what is held was replaced");
-    helm.learn(Register::Configuration, &held(2));
+    assert_eq!(proposer.confirmed(Register::Configuration), None, "what is held was replaced");
+    proposer.learn(Register::Configuration, &held(2));
     assert_eq!(
-        helm.confirmed(Register::Configuration),
+        proposer.confirmed(Register::Configuration),
         Some(9.1),
         "since the question, not since the answers"
     );
@@ -239,11 +239,11 @@
 #[test]
 fn voters_that_are_apart_confirm_what_none_of_a_majority_is_beyond() {
     for (named, confirmed) in [([1, 2, 2], true), ([1, 2, 3], true), ([3, 2, 3], false)] {
-        let mut helm = Asked::helm(1);
-        let serial = question(&mut helm, 1.0);
-        (1..=3).for_each(|voter| drop(helm.step(1.1, voter, &answer(serial, named[voter as usize - 1]))));
-        helm.learn(Register::Configuration, &held(2));
-        assert_eq!(helm.confirmed(Register::Configuration), confirmed.then_some(1.0), "{named:?}");
+        let mut proposer = Asked::proposer(1);
+        let serial = question(&mut proposer, 1.0);
+        (1..=3).for_each(|voter| drop(proposer.step(1.1, voter, &answer(serial, named[voter as usize - 1]))));
+        proposer.learn(Register::Configuration, &held(2));
+        assert_eq!(proposer.confirmed(Register::Configuration), confirmed.then_some(1.0), "{named:?}");
     }
 }
 
@@ -251,18 +251,18 @@
 #[test]
 fn answers_far_apart_are_no_majority() {
     for (later, together) in [(1.0, true), (2.6, false), (9.0, false)] {
-        let mut helm = Asked::helm(1);
-        let mut serial = question(&mut helm, 1.0);
-        helm.step(1.1, 1, &answer(serial, 5));
+        let mut proposer = Asked::proposer(1);
+        let mut serial = question(&mut proposer, 1.0);
+        proposer.step(1.1, 1, &answer(serial, 5));
         let mut now = 1.0;
         while now < 1.0 + later {
             now += 0.4;
-            serial = question(&mut helm, now);
+            serial = question(&mut proposer, now);
         }
-        let fetches = !helm.step(now, 2, &answer(serial, 5)).is_empty();
-        helm.step(now, 2, &ConsensusMessage::FetchedValue(Register::Configuration, held(5)));
+        let fetches = !proposer.step(now, 2, &answer(serial, 5)).is_empty();
+        proposer.step(now, 2, &ConsensusMessage::FetchedValue(Register::Configuration, held(5)));
         assert_eq!(
-            (fetches, helm.chosen(Register::Configuration).is_some()),
+            (fetches, proposer.chosen(Register::Configuration).is_some()),
             (together, together),
             "{later}"
         );
@@ -291,17 +291,17 @@
                 continue;
             }
             for n in 0..2 + if node == 6 { more } else { 0 } {
-                let (pilot, front) =
+                let (data_node, front) =
                     (100 * node + n, std::net::SocketAddrV4::new((100 * node + n).into(), 80));
                 let (zone, region) = (format!("z{node}"), "r".to_string());
-                let pilot = archlink_messages::DataNode {
-                    node: pilot,
+                let data_node = archlink_messages::DataNode {
+                    node: data_node,
                     zone,
                     region,
                     client_address: front,
                     ready: true,
                 };
-                roads.step(node, |control, now| control.record_event(now, Event::SessionRenewed(pilot)));
+                roads.step(node, |control, now| control.record_event(now, Event::SessionRenewed(data_node)));
             }
         }
         at = if roads.now >= at { roads.now + 0.4 } else { at };
@@ -341,10 +341,10 @@
                     assert!(age >= roads.now - began, "confirmed {age} s ago");
                     assert!(theirs.versions.configuration <= other.versions.configuration);
                     assert!(theirs.versions.evacuations <= other.versions.evacuations);
-                    for post in &theirs.leases {
+                    for grant in &theirs.leases {
                         let known = (1..6).flat_map(|node| beat(roads, node).leases);
-                        let newest = known.filter(|p| p.role == post.role).map(|p| p.term).max();
-                        assert!(newest.is_none_or(|term| term >= post.term), "{post:?}, not {newest:?}");
+                        let newest = known.filter(|p| p.role == grant.role).map(|p| p.term).max();
+                        assert!(newest.is_none_or(|term| term >= grant.term), "{grant:?}, not {newest:?}");
                     }
                 });
                 roads.cut.clear();
@@ -465,7 +465,7 @@
 #[test]
 fn what_is_founded_anew_comes_after_all_before() {
     let of = |founding: u64, round, stamp, text: &'static str| AcceptedValue {
-        proposal: ballot(VoterSet { epoch: founding << 32, ..VoterSet::default() }.first_round() + round),
+        proposal: proposal(VoterSet { epoch: founding << 32, ..VoterSet::default() }.first_round() + round),
         revision: stamp,
         value: text.into(),
         ..AcceptedValue::default()
@@ -475,9 +475,10 @@
     let hear = |roads: &mut Roads, held: AcceptedValue| {
         let mut learned = false;
         roads.step(1, |control, now| {
-            let acts = control.apply_updates(now, vec![StateUpdate::Chosen(Register::Configuration, held)]);
-            learned = !acts.is_empty();
-            acts
+            let effects =
+                control.apply_updates(now, vec![StateUpdate::Chosen(Register::Configuration, held)]);
+            learned = !effects.is_empty();
+            effects
         });
         learned
     };
--- a/crates/consensus/tests/roads/mod.rs
+++ b/crates/control-node/tests/simulated_network/mod.rs
@@ -2,9 +2,9 @@
 //! play on. A disk takes what waits together, with one sync for all, and says so only then.
 #![allow(dead_code)]
 
-use archlink_consensus::control::{ControlNodeState, InitialState};
 use archlink_consensus::proposer::Change;
 use archlink_consensus::{DurableRecord, Effect, Outcome};
+use archlink_control_node::node::{ControlNodeState, InitialState};
 use archlink_messages::{
     AcceptorState, ConsensusMessage, ControlNode, LeaseGrant, Message, NodeId, Register, SingletonRole,
     VoterSet,
@@ -14,8 +14,8 @@
 #[derive(Clone, Default)]
 pub struct Disk {
     slots: BTreeMap<Register, AcceptorState>,
-    posts: BTreeMap<SingletonRole, LeaseGrant>,
-    muster: VoterSet,
+    grants: BTreeMap<SingletonRole, LeaseGrant>,
+    voter_set: VoterSet,
     queue: Vec<(DurableRecord, Vec<(NodeId, Message)>)>,
     writing: Vec<(DurableRecord, Vec<(NodeId, Message)>)>,
     until: f64,
@@ -81,17 +81,17 @@
 
     pub fn start(&mut self, node: NodeId) {
         let disk = self.disks.entry(node).or_default();
-        if !disk.muster.is_known() {
-            disk.muster = VoterSet::initial(&self.seats);
+        if !disk.voter_set.is_known() {
+            disk.voter_set = VoterSet::initial(&self.seats);
         }
         let start = InitialState {
-            identity: keeper(node),
+            identity: control_node(node),
             required_voters: self.seats.len(),
             // No seat is given away within these tests.
             catch_up: 1000.0,
             acceptors: Some(disk.slots.clone()),
-            voter_set: disk.muster.clone(),
-            grants: disk.posts.values().copied().collect(),
+            voter_set: disk.voter_set.clone(),
+            grants: disk.grants.values().copied().collect(),
             seed: self.chance.rand_u64(),
         };
         self.live.insert(node, ControlNodeState::new(self.now, start));
@@ -156,13 +156,13 @@
     pub fn step(&mut self, node: NodeId, step: impl FnOnce(&mut ControlNodeState, f64) -> Vec<Effect>) {
         let now = self.now;
         let Some(control) = self.live.get_mut(&node) else { return };
-        let mut acts = step(control, now);
+        let mut effects = step(control, now);
         // What is learned is told at once, as the program does.
-        if acts.iter().any(|act| matches!(act, Effect::Learned(_))) {
-            acts.extend(control.broadcast_heartbeat(now));
+        if effects.iter().any(|effect| matches!(effect, Effect::Learned(_))) {
+            effects.extend(control.broadcast_heartbeat(now));
         }
-        for act in acts {
-            match act {
+        for effect in effects {
+            match effect {
                 Effect::Send(to, word) => self.send(node, to, word),
                 Effect::Store(record, then) => {
                     self.disks.entry(node).or_default().queue.push((record, then));
@@ -189,9 +189,9 @@
         }
         for (record, then) in kept {
             let disk = self.disks.entry(node).or_default();
-            disk.muster = record.voter_set.unwrap_or(std::mem::take(&mut disk.muster));
+            disk.voter_set = record.voter_set.unwrap_or(std::mem::take(&mut disk.voter_set));
             disk.slots.extend(record.acceptors);
-            disk.posts.extend(record.grants.into_iter().map(|post| (post.role, post)));
+            disk.grants.extend(record.grants.into_iter().map(|grant| (grant.role, grant)));
             then.into_iter().for_each(|(to, word)| self.send(node, to, word));
         }
     }
@@ -263,7 +263,7 @@
     }
 }
 
-pub fn keeper(node: NodeId) -> ControlNode {
+pub fn control_node(node: NodeId) -> ControlNode {
     let address = std::net::SocketAddrV4::new(node.into(), 80);
     ControlNode { node, zone: format!("z{node}"), region: "r".into(), operator_address: address }
 }
--- a/crates/control-plane/src/admin_client.rs
+++ b/crates/control-plane/src/admin_client.rs
@@ -136,10 +136,11 @@
     let file = below.get_one::<String>("FILE").map_or("", String::as_str);
     let text =
         std::fs::read(file).change_context(ControlPlaneError::File).attach_with(|| file.to_string())?;
-    let chart = admin_commands::checked(&text)
+    let configuration = admin_commands::checked(&text)
         .map_err(|why| failed(ControlPlaneError::File, format!("{file}: {why}")))?;
-    let (routes, services, tenants) = (chart.routes.len(), chart.services.len(), chart.tenants.len());
-    let (version, digest) = (chart.version, hex(&digest(&text)));
+    let (routes, services, tenants) =
+        (configuration.routes.len(), configuration.services.len(), configuration.tenants.len());
+    let (version, digest) = (configuration.version, hex(&digest(&text)));
     eprintln!(
         "version {version:08x}, digest {digest}: {routes} routes, {services} services, {tenants} tenants"
     );
--- a/crates/control-plane/src/admin_commands.rs
+++ b/crates/control-plane/src/admin_commands.rs
@@ -51,16 +51,16 @@
 
 /// A configuration that may be sent; else the refusal, which rests on the text alone.
 pub fn checked(text: &[u8]) -> Result<Configuration, String> {
-    let chart = Configuration::read(text).map_err(|e| e.current_context().to_string())?;
-    match chart.version {
-        ..=MOST_VERSION => Ok(chart),
+    let configuration = Configuration::read(text).map_err(|e| e.current_context().to_string())?;
+    match configuration.version {
+        ..=MOST_VERSION => Ok(configuration),
         version => Err(format!("ConfigVersion: found {version:x}, allowed is {MOST_VERSION:x} at most")),
     }
 }
 
 pub async fn replace(port: &Node, text: &Bytes) -> Response {
     let version = match checked(text) {
-        Ok(chart) => chart.version,
+        Ok(configuration) => configuration.version,
         Err(why) => {
             log::warn!("a configuration is refused: {why}");
             return refused(400, why);
--- a/crates/control-plane/src/admin_queries.rs
+++ b/crates/control-plane/src/admin_queries.rs
@@ -45,28 +45,29 @@
     let field = |name| query.split('&').find_map(|pair| pair.split_once('=').filter(|(key, _)| *key == name));
     let text = |name| field(name).map_or("", |(_, value)| value);
     let turn = archlink_runtime::random_seed() as usize;
-    let pilots = port.look(|control, now| {
+    let data_nodes = port.look(|control, now| {
         control.event_log.registry.resolve(now, text("Zone"), text("Region"), MOST, turn)
     });
-    if pilots.is_empty() {
+    if data_nodes.is_empty() {
         return later("no data gateway is ready");
     }
-    let addresses: Vec<String> = pilots.iter().map(|pilot| pilot.client_address.to_string()).collect();
+    let addresses: Vec<String> =
+        data_nodes.iter().map(|data_node| data_node.client_address.to_string()).collect();
     let ttl = format!("{}ms", (TTL.min(port.settings.timing_bounds.ttl_max) * 1e3).round());
     Response::json(200, json!({"Addresses": addresses, "Ttl": ttl}).to_string())
 }
 
 pub fn members(port: &Node) -> Value {
     port.look(|control, now| {
-        let muster = control.voter_set();
-        let keepers: Vec<Value> = (control.event_log.registry.control_nodes().iter())
-            .map(|k| json!({"Control": k.operator_address, "Zone": k.zone, "Votes": muster.contains(k.node)}))
+        let voter_set = control.voter_set();
+        let control_nodes: Vec<Value> = (control.event_log.registry.control_nodes().iter())
+            .map(|k| json!({"Control": k.operator_address, "Zone": k.zone, "Votes": voter_set.contains(k.node)}))
             .collect();
-        let pilots: Vec<Value> = (control.event_log.registry.data_nodes(now).iter())
+        let data_nodes: Vec<Value> = (control.event_log.registry.data_nodes(now).iter())
             .map(|p| json!({"Front": p.client_address, "Zone": p.zone, "Ready": p.ready}))
             .collect();
         let whole = control.acceptor.is_recovered();
-        json!({"Control": keepers, "Edge": pilots, "EdgeCounted": control.event_log.registry.possibly_active().len(), "DiskWhole": whole})
+        json!({"Control": control_nodes, "Edge": data_nodes, "EdgeCounted": control.event_log.registry.possibly_active().len(), "DiskWhole": whole})
     })
 }
 
@@ -85,21 +86,21 @@
     })
 }
 
-pub fn duties(port: &Node) -> Value {
+pub fn roles(port: &Node) -> Value {
     port.look(|control, now| {
-        let posts: Vec<Value> = (control.leases.holders(now).iter())
-            .map(|post| {
-                let holder = std::net::Ipv4Addr::from(post.holder);
-                json!({"Duty": answer_names::role(post.role), "Holder": holder, "Term": post.term})
+        let grants: Vec<Value> = (control.leases.holders(now).iter())
+            .map(|grant| {
+                let holder = std::net::Ipv4Addr::from(grant.holder);
+                json!({"Duty": answer_names::role(grant.role), "Holder": holder, "Term": grant.term})
             })
             .collect();
-        json!({"Duties": posts})
+        json!({"Duties": grants})
     })
 }
 
 pub fn quota(port: &Node) -> Value {
-    let chart = port.chart();
-    let tenants: Vec<Value> = (chart.iter().flat_map(|chart| &chart.tenants))
+    let configuration = port.configuration();
+    let tenants: Vec<Value> = (configuration.iter().flat_map(|configuration| &configuration.tenants))
         .map(|t| json!({"Designation": t.name, "RatePerS": t.rate, "BurstSize": t.burst}))
         .collect();
     let holds = port.look(|control, now| control.counter_lease(now)).map(|term| term.term);
@@ -108,7 +109,7 @@
 
 pub fn journal(port: &Node) -> Value {
     port.look(|control, now| {
-        let line = |(at, event): &(f64, archlink_consensus::event_log::Event)| json!({"SecondsAgo": now - at, "What": event.describe()});
+        let line = |(at, event): &(f64, archlink_control_node::event_log::Event)| json!({"SecondsAgo": now - at, "What": event.describe()});
         json!({"Events": control.event_log.recent().map(line).collect::<Vec<_>>()})
     })
 }
--- a/crates/control-plane/src/admin_server.rs
+++ b/crates/control-plane/src/admin_server.rs
@@ -115,7 +115,7 @@
         Call::Resolution => admin_queries::resolve(port, query),
         Call::Members => admin_queries::aged(port, admin_queries::members(port)),
         Call::Hosts => admin_queries::aged(port, admin_queries::hosts(port)),
-        Call::Duties => admin_queries::aged(port, admin_queries::duties(port)),
+        Call::Duties => admin_queries::aged(port, admin_queries::roles(port)),
         Call::Quota => admin_queries::aged(port, admin_queries::quota(port)),
         Call::Journal => admin_queries::aged(port, admin_queries::journal(port)),
     }
--- a/crates/control-plane/src/disaster_recovery.rs
+++ b/crates/control-plane/src/disaster_recovery.rs
@@ -27,9 +27,9 @@
 
 /// What is held, as `Chart 0000000a`: the number that operators know, else the count of changes.
 fn named(held: &Value) -> (String, Vec<u64>, String) {
-    let ballot = held["Ballot"].as_array().map(|b| b.iter().filter_map(Value::as_u64).collect());
+    let proposal = held["Ballot"].as_array().map(|b| b.iter().filter_map(Value::as_u64).collect());
     let number = if held["ConfigVersion"].is_string() { &held["ConfigVersion"] } else { &held["Stamp"] };
-    (text(&held["Register"]), ballot.unwrap_or_default(), text(number))
+    (text(&held["Register"]), proposal.unwrap_or_default(), text(number))
 }
 
 /// What a person has to repeat for a founding anew.
@@ -45,7 +45,7 @@
 struct Survivor {
     epoch: u64,
     whole: bool,
-    ballots: Vec<Vec<u64>>,
+    proposals: Vec<Vec<u64>>,
     at: String,
     lost: Vec<String>,
 }
@@ -54,12 +54,12 @@
 fn look(at: &str, told: &Value, newest: &mut Newest) -> (String, Option<Survivor>) {
     let held: Vec<(String, Vec<u64>, String)> =
         told["Held"].as_array().into_iter().flatten().map(named).collect();
-    for (register, ballot, number) in &held {
+    for (register, proposal, number) in &held {
         let known = newest.entry(register.clone()).or_default();
-        if *ballot > known.0 {
-            *known = (ballot.clone(), number.clone(), BTreeSet::new());
+        if *proposal > known.0 {
+            *known = (proposal.clone(), number.clone(), BTreeSet::new());
         }
-        if *ballot == known.0 {
+        if *proposal == known.0 {
             known.2.insert(text(&told["Here"]));
         }
     }
@@ -76,9 +76,9 @@
         if holds.is_empty() { "nothing".to_string() } else { holds.join(", ") },
         or_none(&lost),
     );
-    let ballot = |register: &&str| held.iter().find(|(name, _, _)| name == register).map(|h| h.1.clone());
-    let ballots = REGISTERS.iter().map(|register| ballot(register).unwrap_or_default()).collect();
-    (line, seated.then(|| Survivor { epoch, whole, ballots, at: at.to_string(), lost }))
+    let proposal = |register: &&str| held.iter().find(|(name, _, _)| name == register).map(|h| h.1.clone());
+    let proposals = REGISTERS.iter().map(|register| proposal(register).unwrap_or_default()).collect();
+    (line, seated.then(|| Survivor { epoch, whole, proposals, at: at.to_string(), lost }))
 }
 
 /// What was found, for people; and the command that founds anew, where that is the way out.
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -22,7 +22,7 @@
 mod write_queue;
 
 use archlink_config::Settings;
-use archlink_consensus::control::{ControlNodeState, InitialState};
+use archlink_control_node::node::{ControlNodeState, InitialState};
 use archlink_messages::{ControlNode, VoterSet};
 use archlink_runtime::Clock;
 use archlink_storage::{StateChange, Storage, StorageError};
@@ -127,15 +127,15 @@
         Some(folder) => open_patiently(folder).map(|(book, state)| (Some(book), state))?,
         None => (None, archlink_storage::DurableState::default()),
     };
-    let mut muster = state.voter_set;
-    let remembers = muster.is_known();
+    let mut voter_set = state.voter_set;
+    let remembers = voter_set.is_known();
     if !remembers && settings.first_start {
         // The seeds are the same three everywhere at the very first start, and only then. They are on the disk before a word
         // is said: a first start that dies halfway goes on where it was.
-        muster = VoterSet::initial(&seeds);
+        voter_set = VoterSet::initial(&seeds);
         if let Some(logbook) = &logbook {
             let (told, kept) = std::sync::mpsc::channel();
-            let entered = StateChange { voter_set: Some(muster.clone()), ..StateChange::default() };
+            let entered = StateChange { voter_set: Some(voter_set.clone()), ..StateChange::default() };
             logbook.enter(entered, move || told.send(()).unwrap_or_default());
             kept.recv().change_context(ControlPlaneError::Disk)?;
         }
@@ -149,8 +149,8 @@
             region: settings.region.clone(),
             operator_address: SocketAddrV4::new(settings.ip, control.port()),
         },
-        acceptors: muster.is_known().then_some(state.acceptors),
-        voter_set: muster,
+        acceptors: voter_set.is_known().then_some(state.acceptors),
+        voter_set,
         // A majority is left of so many when as many as `Tolerance` names are lost at once.
         required_voters: 2 * settings.tolerated_losses as usize + 1,
         catch_up: settings.timing_bounds.catch_up.min(MOST_CATCH_UP),
@@ -205,7 +205,7 @@
     port.step(|control, now| control.leave(now));
     sleep(LEAVE).await;
     let until = port.clock.now() + (HAND_OVER * port.settings.timing_bounds.grace).min(MOST_HAND_OVER);
-    while !port.look(archlink_consensus::control::ControlNodeState::may_shut_down) {
+    while !port.look(archlink_control_node::node::ControlNodeState::may_shut_down) {
         if port.clock.now() >= until {
             log::warn!("ending with a seat: nobody has taken it in time");
             return;
--- a/crates/control-plane/src/node.rs
+++ b/crates/control-plane/src/node.rs
@@ -7,10 +7,10 @@
 use crate::state_change_log::{Notices, Seen};
 use crate::write_queue::{Backlog, Disk};
 use archlink_config::{Configuration, Settings};
-use archlink_consensus::control::ControlNodeState;
 use archlink_consensus::proposer::Change;
-use archlink_consensus::update_delivery::UpdateDelivery;
 use archlink_consensus::{DurableRecord, Effect, MembershipChange, Outcome};
+use archlink_control_node::node::ControlNodeState;
+use archlink_control_node::update_delivery::UpdateDelivery;
 use archlink_messages::{
     AcceptedValue, CounterAdd, Message, NodeId, REGISTERS, Register, SINGLETON_ROLES, StateUpdate,
     VersionVector, patch,
@@ -83,7 +83,7 @@
     waiting: RefCell<HashMap<u64, oneshot::Sender<Outcome>>>,
     tokens: Cell<u64>,
     /// The configuration in force, read.
-    chart: RefCell<Option<Rc<Configuration>>>,
+    configuration: RefCell<Option<Rc<Configuration>>>,
     texts: RefCell<UpdateDelivery>,
     notices: RefCell<Notices>,
     /// When this process began, and its last tick.
@@ -116,7 +116,7 @@
             sessions: RefCell::default(),
             waiting: RefCell::default(),
             tokens: Cell::new(0),
-            chart: RefCell::default(),
+            configuration: RefCell::default(),
             texts: RefCell::default(),
             notices: RefCell::default(),
             began: clock.now(),
@@ -134,28 +134,28 @@
     /// One step of the core, and all that follows from it.
     pub fn step(&self, step: impl FnOnce(&mut ControlNodeState, f64) -> Vec<Effect>) {
         let now = self.clock.now();
-        let acts = step(&mut self.control.borrow_mut(), now);
-        self.perform(now, acts);
+        let effects = step(&mut self.control.borrow_mut(), now);
+        self.perform(now, effects);
     }
 
     pub fn hear(&self, from: NodeId, word: Message) {
         self.step(|control, now| control.step(now, from, word));
     }
 
-    fn perform(&self, now: f64, acts: Vec<Effect>) {
-        let mut acts = VecDeque::from(acts);
-        while let Some(act) = acts.pop_front() {
-            match act {
+    fn perform(&self, now: f64, effects: Vec<Effect>) {
+        let mut effects = VecDeque::from(effects);
+        while let Some(effect) = effects.pop_front() {
+            match effect {
                 Effect::Send(to, word) if to == self.me => {
-                    acts.extend(self.control.borrow_mut().step(now, self.me, word));
+                    effects.extend(self.control.borrow_mut().step(now, self.me, word));
                 }
                 Effect::Send(to, word) => self.send(to, word),
-                Effect::Store(DurableRecord { acceptors: slots, grants: posts, voter_set: muster }, then) => {
-                    self.store(StateChange { voter_set: muster, acceptors: slots, grants: posts }, then);
+                Effect::Store(DurableRecord { acceptors: slots, grants, voter_set }, then) => {
+                    self.store(StateChange { voter_set, acceptors: slots, grants }, then);
                 }
                 Effect::Learned(register) => {
                     self.learned(register);
-                    acts.extend(self.control.borrow_mut().broadcast_heartbeat(now));
+                    effects.extend(self.control.borrow_mut().broadcast_heartbeat(now));
                 }
                 Effect::ProposalResolved(token, outcome) => {
                     if let Some(waiting) = self.waiting.borrow_mut().remove(&token) {
@@ -212,7 +212,7 @@
                 Err(e) => return log::error!("the chosen configuration can't be unpacked: {e}"),
             };
             match Configuration::read(&text) {
-                Ok(chart) => *self.chart.borrow_mut() = Some(Rc::new(chart)),
+                Ok(configuration) => *self.configuration.borrow_mut() = Some(Rc::new(configuration)),
                 Err(e) => log::error!("the chosen configuration can't be read: {e}"),
             }
             self.texts.borrow_mut().configuration_learned(held.ordering_key(), text);
@@ -326,11 +326,11 @@
         self.catch_up();
         let contact = self.contact();
         self.look(|control, now| {
-            let holds = |duty| control.leases.held_lease(now, duty).map(|term| term.term);
+            let holds = |role| control.leases.held_lease(now, role).map(|term| term.term);
             let seen = Seen {
                 contact,
-                muster: control.voter_set(),
-                held: SINGLETON_ROLES.map(|duty| (duty, holds(duty))),
+                voter_set: control.voter_set(),
+                held: SINGLETON_ROLES.map(|role| (role, holds(role))),
             };
             self.notices.borrow_mut().look(now, &seen)
         })
@@ -348,8 +348,8 @@
         yield_now().await;
     }
 
-    pub fn chart(&self) -> Option<Rc<Configuration>> {
-        self.chart.borrow().clone()
+    pub fn configuration(&self) -> Option<Rc<Configuration>> {
+        self.configuration.borrow().clone()
     }
 
     /// Totals of a data gateway's adds; none where this gateway does not hold the counts, or not long enough.
--- a/crates/control-plane/src/peer_identity.rs
+++ b/crates/control-plane/src/peer_identity.rs
@@ -43,9 +43,9 @@
     /// Is that its word to say? An error is why the connection ends.
     pub fn says(&mut self, speakers: &mut Speakers, word: &Message) -> Result<(), &'static str> {
         let (told, serial) = match word {
-            Message::PeerHello { control_node: keeper, .. } => (Some(Who::Keeper(keeper.node)), None),
-            Message::SessionHeartbeat { serial, data_node: pilot, .. } => {
-                (Some(Who::Pilot(pilot.node)), Some(*serial))
+            Message::PeerHello { control_node, .. } => (Some(Who::Keeper(control_node.node)), None),
+            Message::SessionHeartbeat { serial, data_node, .. } => {
+                (Some(Who::Pilot(data_node.node)), Some(*serial))
             }
             Message::CounterAdds { serial, .. } => (Some(Who::Counts), Some(*serial)),
             _ => (None, None),
--- a/crates/control-plane/src/peer_links.rs
+++ b/crates/control-plane/src/peer_links.rs
@@ -6,7 +6,7 @@
 use crate::peer_identity::{Caller, Speakers, Who};
 use crate::read_settings;
 use archlink_config::Settings;
-use archlink_consensus::event_log::Event;
+use archlink_control_node::event_log::Event;
 use archlink_messages::{Message, NodeId};
 use archlink_runtime::{MessageSender, split_connection};
 use futures_util::StreamExt;
@@ -154,12 +154,12 @@
 /// Takes a word of a caller that may say it; an error ends the connection.
 fn heard(port: &Node, caller: &Caller, out: &MessageSender, word: Message) -> Result<(), &'static str> {
     match (word, caller.who) {
-        (Message::SessionHeartbeat { serial, data_node: pilot, clock, leases: terms }, _) => {
-            port.sessions.borrow_mut().insert(pilot.node, out.clone());
+        (Message::SessionHeartbeat { serial, data_node, clock, leases: terms }, _) => {
+            port.sessions.borrow_mut().insert(data_node.node, out.clone());
             port.step(|control, now| {
                 control.observe_clock(now, clock);
-                terms.iter().for_each(|&post| control.leases.learn_holder(now, 0, post));
-                control.record_event(now, Event::SessionRenewed(pilot))
+                terms.iter().for_each(|&grant| control.leases.learn_holder(now, 0, grant));
+                control.record_event(now, Event::SessionRenewed(data_node))
             });
             // One that is lost is asked for again with the next hail, by another number.
             out.try_send(port.look(|control, now| control.heartbeat(now, serial))).ok();
--- a/crates/control-plane/src/simulated_cluster.rs
+++ b/crates/control-plane/src/simulated_cluster.rs
@@ -6,7 +6,7 @@
 use crate::node::{Kept, Node};
 use crate::write_queue::Disk;
 use archlink_config::Settings;
-use archlink_consensus::control::{ControlNodeState, InitialState};
+use archlink_control_node::node::{ControlNodeState, InitialState};
 use archlink_http::codec::{HeaderValue, Request, Response};
 use archlink_messages::{ControlNode, Message, NodeId, VoterSet};
 use archlink_runtime::Clock;
@@ -58,11 +58,11 @@
             return false;
         }
         let mut state = self.0.0.borrow_mut();
-        if let Some(muster) = entered.voter_set {
-            state.voter_set = muster;
+        if let Some(voter_set) = entered.voter_set {
+            state.voter_set = voter_set;
         }
         state.acceptors.extend(entered.acceptors);
-        state.grants.extend(entered.grants.into_iter().map(|post| (post.role, post)));
+        state.grants.extend(entered.grants.into_iter().map(|grant| (grant.role, grant)));
         kept();
         true
     }
@@ -87,17 +87,17 @@
 /// One gateway, with a link to nobody yet, whose process stands still.
 pub fn still(node: NodeId, shelf: Shelf) -> Rc<Node> {
     let (settings, clock) = (settings(node), Clock::start());
-    let keeper = ControlNode {
+    let control_node = ControlNode {
         node,
         zone: settings.zone.clone(),
         region: settings.region.clone(),
         operator_address: SocketAddrV4::new(node.into(), 8200),
     };
-    let muster = VoterSet::initial(&NODES[..SEATS]);
+    let voter_set = VoterSet::initial(&NODES[..SEATS]);
     let slots = Some(Default::default());
     let start = InitialState {
-        identity: keeper,
-        voter_set: muster,
+        identity: control_node,
+        voter_set,
         required_voters: SEATS,
         catch_up: 1000.0,
         acceptors: slots,
--- a/crates/control-plane/src/state_change_log.rs
+++ b/crates/control-plane/src/state_change_log.rs
@@ -10,7 +10,7 @@
 pub struct Seen<'a> {
     /// Seconds since a question was asked to which a majority answered.
     pub contact: Option<f64>,
-    pub muster: &'a VoterSet,
+    pub voter_set: &'a VoterSet,
     /// The term in which this gateway holds each duty.
     pub held: [(SingletonRole, Option<u64>); SINGLETON_ROLES.len()],
 }
@@ -19,7 +19,7 @@
 pub struct Notices {
     /// Since when there is contact, or none; not known before the first.
     contact: Option<(bool, f64)>,
-    muster: VoterSet,
+    voter_set: VoterSet,
     held: [Option<u64>; SINGLETON_ROLES.len()],
 }
 
@@ -55,16 +55,16 @@
             }
             _ => {}
         }
-        if *seen.muster != self.muster {
-            lines.extend(self.epoch(seen.muster));
-            self.muster = seen.muster.clone();
+        if *seen.voter_set != self.voter_set {
+            lines.extend(self.epoch(seen.voter_set));
+            self.voter_set = seen.voter_set.clone();
         }
-        for (before, (duty, term)) in self.held.iter_mut().zip(seen.held) {
+        for (before, (role, term)) in self.held.iter_mut().zip(seen.held) {
             match (*before, term) {
                 (was, Some(term)) if was != Some(term) => {
-                    lines.push(format!("{} won, term {term}", answer_names::role(duty)))
+                    lines.push(format!("{} won, term {term}", answer_names::role(role)))
                 }
-                (Some(was), None) => lines.push(format!("{} lost, term {was}", answer_names::role(duty))),
+                (Some(was), None) => lines.push(format!("{} lost, term {was}", answer_names::role(role))),
                 _ => {}
             }
             *before = term;
@@ -72,20 +72,23 @@
         lines
     }
 
-    fn epoch(&self, muster: &VoterSet) -> Vec<String> {
-        let (before, epoch, seats) = (&self.muster, muster.epoch, list(&muster.voters));
-        let mut lines = vec![match muster.is_joint() {
-            true => format!("epoch {epoch}: {seats} vote, and {} with them", list(&muster.incoming)),
+    fn epoch(&self, voter_set: &VoterSet) -> Vec<String> {
+        let (before, epoch, seats) = (&self.voter_set, voter_set.epoch, list(&voter_set.voters));
+        let mut lines = vec![match voter_set.is_joint() {
+            true => format!("epoch {epoch}: {seats} vote, and {} with them", list(&voter_set.incoming)),
             false => format!("epoch {epoch}: {seats} vote"),
         }];
         // A joint epoch may have gone by between two looks: then its end is told by who votes.
-        let came =
-            if before.is_joint() { before.incoming == muster.voters } else { before.voters != muster.voters };
+        let came = if before.is_joint() {
+            before.incoming == voter_set.voters
+        } else {
+            before.voters != voter_set.voters
+        };
         if !before.is_known() {
-        } else if muster.first_round() != before.first_round() {
+        } else if voter_set.first_round() != before.first_round() {
             lines.push(format!("founded anew: {seats}; what other disks hold is void"));
-        } else if muster.is_joint() {
-            lines.push(format!("change of the voters begun: {seats} to {}", list(&muster.incoming)));
+        } else if voter_set.is_joint() {
+            lines.push(format!("change of the voters begun: {seats} to {}", list(&voter_set.incoming)));
         } else if came {
             lines.push(format!("change of the voters ended: {seats}"));
         } else {
@@ -103,9 +106,9 @@
     #[test]
     fn what_changes_is_said_once() {
         let mut notices = Notices::default();
-        let mut look = |now, contact, muster: &VoterSet, tally| {
+        let mut look = |now, contact, voter_set: &VoterSet, tally| {
             let held = [(SingletonRole::HostDiscovery, None), (SingletonRole::QuotaCounter, tally)];
-            notices.look(now, &Seen { contact, muster, held }).join("; ")
+            notices.look(now, &Seen { contact, voter_set, held }).join("; ")
         };
         let first = VoterSet::initial(&[1, 2, 3]);
         let joint = first.enter_joint(vec![1, 2, 4]);
@@ -124,9 +127,9 @@
             change of the voters begun: 0.0.0.1,0.0.0.2,0.0.0.3 to 0.0.0.1,0.0.0.2,0.0.0.4";
         assert_eq!(look(7.0, Some(0.1), &joint, None), format!("contact regained after 4.5 s; {begun}"));
         assert!(look(8.0, Some(0.1), &joint.leave_joint(&first.voters), None).contains("rolled back"));
-        let mut notices = Notices { muster: joint.clone(), ..Notices::default() };
+        let mut notices = Notices { voter_set: joint.clone(), ..Notices::default() };
         let held = [(SingletonRole::HostDiscovery, None), (SingletonRole::QuotaCounter, None)];
         let ended = joint.leave_joint(&joint.incoming);
-        assert!(notices.look(1.0, &Seen { contact: None, muster: &ended, held })[1].contains("ended"));
+        assert!(notices.look(1.0, &Seen { contact: None, voter_set: &ended, held })[1].contains("ended"));
     }
 }
--- a/crates/control-plane/src/tests.rs
+++ b/crates/control-plane/src/tests.rs
@@ -12,7 +12,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 
-fn pilot() -> DataNode {
+fn data_node() -> DataNode {
     let front = SocketAddrV4::new([10, 0, 1, 1].into(), 8206);
     DataNode {
         node: 0x0a00_0101,
@@ -45,7 +45,7 @@
             let sound = Sound::new();
             pass(1.0).await;
             assert_eq!(sound.call(0, Call::Replace, "", &configuration(1, 5)).await.0.status, 200);
-            let hailed = archlink_consensus::event_log::Event::SessionRenewed(pilot());
+            let hailed = archlink_control_node::event_log::Event::SessionRenewed(data_node());
             sound.ports[1].step(|control, now| control.record_event(now, hailed));
             pass(1.0).await;
             let (names, body) = wanted(call);
@@ -189,7 +189,7 @@
     play(async {
         let gateway = still(NODES[0], Shelf::default());
         gateway.step(|control, now| {
-            control.record_event(now, archlink_consensus::event_log::Event::SessionRenewed(pilot()))
+            control.record_event(now, archlink_control_node::event_log::Event::SessionRenewed(data_node()))
         });
         assert_eq!(ask(&gateway, Call::Resolution, "", "").await.0.status, 200);
         pass(20.0).await;
@@ -206,17 +206,12 @@
         let gateway = port(NODES[0], shelf.clone());
         let (out, mut words) = mpsc::channel(256);
         gateway.links.borrow_mut().insert(NODES[1], out);
-        let ballot = ProposalNumber { round: 5, node: NODES[1], nonce: 1 };
-        let held = AcceptedValue {
-            proposal: ballot,
-            revision: 3,
-            value: "east".into(),
-            recent_versions: Vec::new(),
-        };
+        let proposal = ProposalNumber { round: 5, node: NODES[1], nonce: 1 };
+        let held = AcceptedValue { proposal, revision: 3, value: "east".into(), recent_versions: Vec::new() };
         let say = |poll| gateway.hear(NODES[1], Message::Consensus(1, poll));
         shelf.refuse(true);
         say(ConsensusMessage::Accept(Register::Evacuations, held));
-        let (next, disk) = (ProposalNumber { round: 6, ..ballot }, |register| {
+        let (next, disk) = (ProposalNumber { round: 6, ..proposal }, |register| {
             shelf.state().acceptors.get(&register).cloned()
         });
         say(ConsensusMessage::Prepare(Register::Configuration, next));
@@ -226,19 +221,19 @@
         let mut told = ProposalNumber::default();
         while let Ok(word) = words.try_recv() {
             match word {
-                Message::Consensus(_, ConsensusMessage::ReadReply(1, ballots)) => told = ballots[1].1,
+                Message::Consensus(_, ConsensusMessage::ReadReply(1, proposals)) => told = proposals[1].1,
                 Message::Consensus(_, ConsensusMessage::Accepted(..) | ConsensusMessage::Promise(..)) => {
                     panic!("{word:?} was said")
                 }
                 _ => {}
             }
         }
-        assert_eq!(told, ballot);
+        assert_eq!(told, proposal);
         let on_disk = disk(Register::Evacuations).and_then(|slot| slot.accepted).map(|held| held.proposal);
-        assert_eq!(on_disk, Some(ballot), "it was told of and is on no disk");
+        assert_eq!(on_disk, Some(proposal), "it was told of and is on no disk");
         // With nothing asked any more the next tick brings it to disk.
         shelf.refuse(true);
-        say(ConsensusMessage::Prepare(Register::Configuration, ProposalNumber { round: 7, ..ballot }));
+        say(ConsensusMessage::Prepare(Register::Configuration, ProposalNumber { round: 7, ..proposal }));
         shelf.refuse(false);
         pass(0.1).await;
         assert_eq!(disk(Register::Configuration).map(|slot| slot.promised.round), Some(7));
--- a/crates/control-plane/src/tests/answers.rs
+++ b/crates/control-plane/src/tests/answers.rs
@@ -1,15 +1,15 @@
 //! The operators' calls as they are seen from outside: paths, statuses, header lines, field names and texts, all written
 //! out here. They stay as they are when types of the program are renamed.
 
-use super::{pilot, served};
+use super::{data_node, served};
 use crate::admin_commands;
 use crate::answer_names;
 use crate::calls::Call;
 use crate::node::Unbegun;
 use crate::simulated_cluster::{NODES, Shelf, Sound, configuration, pass, play, still};
 use crate::state_change_log::{Notices, Seen};
-use archlink_consensus::event_log::Event;
 use archlink_consensus::{MembershipError, Outcome};
+use archlink_control_node::event_log::Event;
 use archlink_http::codec::Response;
 use archlink_messages::{
     ControlNode, HostInstance, HostList, Register, SINGLETON_ROLES, SessionTable, VoterSet,
@@ -80,7 +80,7 @@
         instances: vec![host("i-1", false, 1.5), host("i-2", true, 0.0)],
     };
     sound.ports[0].step(|control, now| control.record_event(now, Event::HostListChanged(hosts)));
-    sound.ports[0].step(|control, now| control.record_event(now, Event::SessionRenewed(pilot())));
+    sound.ports[0].step(|control, now| control.record_event(now, Event::SessionRenewed(data_node())));
     sound
 }
 
@@ -427,9 +427,10 @@
     play(async {
         let sound = running().await;
         let told = answered(&sound, Call::Members, "", "").await;
-        let keeper = |n: u32| json!({"Control": format!("10.0.0.{n}:8200"), "Zone": "west", "Votes": n < 4});
+        let control_node =
+            |n: u32| json!({"Control": format!("10.0.0.{n}:8200"), "Zone": "west", "Votes": n < 4});
         let expected = json!({
-            "Control": [keeper(1), keeper(2), keeper(3), keeper(4)],
+            "Control": [control_node(1), control_node(2), control_node(3), control_node(4)],
             "Edge": [{"Front": "10.0.1.1:8206", "Zone": "west", "Ready": true}],
             "EdgeCounted": 1, "DiskWhole": true, "ConfirmedSecondsAgo": "seconds", "Contact": true,
         });
@@ -461,8 +462,8 @@
     play(async {
         let sound = running().await;
         let told = answered(&sound, Call::Duties, "", "").await;
-        let duty = |name: &str| json!({"Duty": name, "Holder": "a voter", "Term": "a number"});
-        let expected = json!({"Duties": [duty("Lookout"), duty("Tally")], "ConfirmedSecondsAgo": "seconds",
+        let role = |name: &str| json!({"Duty": name, "Holder": "a voter", "Term": "a number"});
+        let expected = json!({"Duties": [role("Lookout"), role("Tally")], "ConfirmedSecondsAgo": "seconds",
             "Contact": true});
         assert_eq!(told, expected);
     });
@@ -491,18 +492,19 @@
 
 #[test]
 fn the_journal_tells_events_in_these_words() {
-    let keeper = ControlNode {
+    let control_node = ControlNode {
         node: NODES[1],
         zone: "east".into(),
         region: "coast".into(),
         operator_address: SocketAddrV4::new(NODES[1].into(), 8200),
     };
-    let sessions = SessionTable { source: NODES[1], incarnation: 1, version: 1, data_nodes: vec![pilot()] };
+    let sessions =
+        SessionTable { source: NODES[1], incarnation: 1, version: 1, data_nodes: vec![data_node()] };
     let hosts = HostList { term: 4, version: 12, instances: Vec::new() };
     let events = [
-        (Event::ControlNodeDiscovered(keeper.clone()), "control gateway 10.0.0.2:8200 in east"),
-        (Event::SessionRenewed(pilot()), "data gateway 10.0.1.1:8206 in west, ready true"),
-        (Event::SessionClosed(pilot().node), "session of 10.0.1.1 ended"),
+        (Event::ControlNodeDiscovered(control_node.clone()), "control gateway 10.0.0.2:8200 in east"),
+        (Event::SessionRenewed(data_node()), "data gateway 10.0.1.1:8206 in west, ready true"),
+        (Event::SessionClosed(data_node().node), "session of 10.0.1.1 ended"),
         (Event::PeerSessions(sessions), "10.0.0.2 has 1 sessions"),
         (Event::PeerHeartbeat(NODES[1], Vec::new()), "10.0.0.2 lives"),
         (Event::HostListChanged(hosts.clone()), "list 4.12 of 0 hosts"),
@@ -514,10 +516,10 @@
     play(async move {
         let gateway = still(NODES[0], Shelf::default());
         for event in [
-            Event::ControlNodeDiscovered(keeper),
-            Event::SessionRenewed(pilot()),
+            Event::ControlNodeDiscovered(control_node),
+            Event::SessionRenewed(data_node()),
             Event::HostListChanged(hosts),
-            Event::SessionClosed(pilot().node),
+            Event::SessionClosed(data_node().node),
         ] {
             gateway.step(|control, now| control.record_event(now, event));
         }
@@ -540,10 +542,10 @@
 /// The log names duties and registers by the same words as the answers.
 #[test]
 fn the_log_names_duties_and_registers_in_these_words() {
-    let (muster, mut notices) = (VoterSet::default(), Notices::default());
+    let (voter_set, mut notices) = (VoterSet::default(), Notices::default());
     let mut lines = |term: Option<u64>| {
-        let held = SINGLETON_ROLES.map(|duty| (duty, term));
-        notices.look(0.0, &Seen { contact: None, muster: &muster, held })
+        let held = SINGLETON_ROLES.map(|role| (role, term));
+        notices.look(0.0, &Seen { contact: None, voter_set: &voter_set, held })
     };
     assert_eq!(lines(Some(3)), ["Lookout won, term 3", "Tally won, term 3"]);
     assert_eq!(lines(None), ["Lookout lost, term 3", "Tally lost, term 3"]);
