--- a/crates/control-plane/src/voter_admin.rs
+++ b/crates/control-plane/src/voter_admin.rs
@@ -6,9 +6,9 @@
 use crate::answer_names;
 use crate::calls::Call;
 use crate::node::{Node, Order};
-use archlink_consensus::control::MemberStatus;
 use archlink_consensus::membership::ChangeResult;
 use archlink_consensus::{MembershipChange, Outcome};
+use archlink_control_node::node::MemberStatus;
 use archlink_http::codec::Response;
 use archlink_messages::{ControlNode, NodeId, ProposalNumber, Register};
 use serde::Deserialize;
@@ -41,23 +41,26 @@
     members.filter(|m| (m.voter || m.incoming) && silent(m)).map(|m| m.node).collect()
 }
 
-fn member(member: MemberStatus, me: NodeId, keepers: &[ControlNode]) -> Value {
+fn member(member: MemberStatus, me: NodeId, control_nodes: &[ControlNode]) -> Value {
     let MemberStatus { node, zone, voter: seat, incoming: comes, last_heard_age: heard, recovered: whole } =
         member;
-    let control = keepers.iter().find(|keeper| keeper.node == node).map(|keeper| keeper.operator_address);
+    let control = control_nodes
+        .iter()
+        .find(|control_node| control_node.node == node)
+        .map(|control_node| control_node.operator_address);
     json!({"Address": address(node), "Control": control, "Zone": zone, "Seat": seat, "Comes": comes,
         "Here": node == me, "HeardSecondsAgo": heard.map(|ago| (ago * 1e3).round() / 1e3), "DiskWhole": whole})
 }
 
-fn held((register, stamp, ballot): (Register, u64, ProposalNumber)) -> Value {
+fn held((register, stamp, proposal): (Register, u64, ProposalNumber)) -> Value {
     let version = (register == Register::Configuration).then(|| format!("{:08x}", stamp.saturating_sub(1)));
     json!({"Register": answer_names::register(register), "Stamp": stamp, "ConfigVersion": version,
-        "Ballot": [ballot.round, u64::from(ballot.node), u64::from(ballot.nonce)]})
+        "Ballot": [proposal.round, u64::from(proposal.node), u64::from(proposal.nonce)]})
 }
 
 pub fn look(port: &Node) -> Value {
     let lost: Vec<Ipv4Addr> = lost(port).into_iter().map(address).collect();
-    let (voters, keepers, whole) = port.look(|control, now| {
+    let (voters, control_nodes, whole) = port.look(|control, now| {
         (
             control.voter_set_status(now),
             control.event_log.registry.control_nodes(),
@@ -65,7 +68,8 @@
         )
     });
     let changing = voters.voter_set.is_joint();
-    let members: Vec<Value> = voters.members.into_iter().map(|m| member(m, port.me, &keepers)).collect();
+    let members: Vec<Value> =
+        voters.members.into_iter().map(|m| member(m, port.me, &control_nodes)).collect();
     let last = voters
         .last_change
         .map(|(ago, ended)| json!({"SecondsAgo": ago, "Came": ended == ChangeResult::Committed}));
--- a/crates/control-plane/src/write_queue.rs
+++ b/crates/control-plane/src/write_queue.rs
@@ -28,16 +28,16 @@
 }
 
 fn joined(older: StateChange, newer: StateChange) -> StateChange {
-    let StateChange { voter_set: muster, acceptors: mut slots, grants: mut posts } = older;
+    let StateChange { voter_set, acceptors: mut slots, mut grants } = older;
     for (register, slot) in newer.acceptors {
         slots.retain(|(known, _)| *known != register);
         slots.push((register, slot));
     }
-    for post in newer.grants {
-        posts.retain(|known| known.role != post.role);
-        posts.push(post);
+    for grant in newer.grants {
+        grants.retain(|known| known.role != grant.role);
+        grants.push(grant);
     }
-    StateChange { voter_set: newer.voter_set.or(muster), acceptors: slots, grants: posts }
+    StateChange { voter_set: newer.voter_set.or(voter_set), acceptors: slots, grants }
 }
 
 impl Backlog {
--- a/crates/data-plane/src/front.rs
+++ b/crates/data-plane/src/front.rs
@@ -87,8 +87,10 @@
     let mut framed = Framed::new(stream, codec);
     let mut stage = front.stage.clone();
     loop {
-        let limits =
-            front.gateway.chart().map_or((3.0, 15.0), |chart| (chart.header_timeout, chart.idle_timeout));
+        let limits = front
+            .gateway
+            .configuration()
+            .map_or((3.0, 15.0), |configuration| (configuration.header_timeout, configuration.idle_timeout));
         let idle = Duration::from_secs_f64((limits.0 + limits.1).clamp(1.0, 600.0));
         let asked = tokio::select! {
             biased;
--- a/crates/data-plane/src/gateway.rs
+++ b/crates/data-plane/src/gateway.rs
@@ -30,7 +30,7 @@
     pub clock: Clock,
     pub kept: Rc<ConnectionPool<ClientCodec>>,
     pub views: RefCell<FleetView>,
-    pub berth: RefCell<Balancer>,
+    pub balancer: RefCell<Balancer>,
     pub budget: RefCell<RetryBudget>,
     pub metrics: Metrics,
     shares: RefCell<HashMap<String, LocalShare>>,
@@ -54,12 +54,12 @@
         let cold = WarmUpBound { overrun: bounds.warm_up_overrun, slack: bounds.warm_up_slack };
         let me = archlink_runtime::node_id(settings.ip);
         let (zone, region, zones) = (settings.zone.clone(), settings.region.clone(), settings.zones.clone());
-        let berth = Balancer::new(me, zone, region, zones, cold, archlink_runtime::random_seed());
+        let balancer = Balancer::new(me, zone, region, zones, cold, archlink_runtime::random_seed());
         Rc::new(Gateway {
             clock,
             kept,
             views: RefCell::new(FleetView::new(bounds.revoke - REVOKE_MARGIN)),
-            berth: RefCell::new(berth),
+            balancer: RefCell::new(balancer),
             budget: RefCell::default(),
             metrics: Metrics::new(),
             shares: RefCell::default(),
@@ -76,7 +76,7 @@
         })
     }
 
-    pub fn chart(&self) -> Option<Rc<Configuration>> {
+    pub fn configuration(&self) -> Option<Rc<Configuration>> {
         self.views.borrow().configuration()
     }
 
@@ -99,12 +99,12 @@
         let counts = self.has_counted.get() || self.clock.now() > self.settings.timing_bounds.quota_window;
         counts
             && !self.leaving.get()
-            && self.chart().is_some()
+            && self.configuration().is_some()
             && self.vouched()
-            && self.berth.borrow().host_counts().1 > 0
+            && self.balancer.borrow().host_counts().1 > 0
     }
 
-    pub fn pilot(&self) -> DataNode {
+    pub fn data_node(&self) -> DataNode {
         let unset = SocketAddrV4::new(self.settings.ip, 0);
         let front = match self.settings.client_address {
             Some(SocketAddr::V4(front)) => front,
@@ -125,7 +125,7 @@
     }
 
     /// Data gateways that may be at work; 0 is not known yet.
-    pub fn pilots(&self) -> u32 {
+    pub fn data_nodes(&self) -> u32 {
         self.views.borrow().data_nodes().len() as u32
     }
 
@@ -140,17 +140,17 @@
                 log::info!("{}", turn.describe());
             }
             match turn {
-                ViewChange::Configuration(chart) => self.take_chart(&chart),
+                ViewChange::Configuration(configuration) => self.take_chart(&configuration),
                 ViewChange::EvacuatedZones(zones) => {
-                    self.berth.borrow_mut().set_evacuated(now, zones);
+                    self.balancer.borrow_mut().set_evacuated(now, zones);
                 }
                 ViewChange::HostList(hosts) => {
-                    let left = self.berth.borrow_mut().update_hosts(now, &hosts.instances);
+                    let left = self.balancer.borrow_mut().update_hosts(now, &hosts.instances);
                     left.into_iter().for_each(|key| self.kept.forget(key));
                 }
                 ViewChange::DataNodes => {
                     self.split_quotas();
-                    self.berth.borrow_mut().set_gateways(self.views.borrow().data_nodes());
+                    self.balancer.borrow_mut().set_gateways(self.views.borrow().data_nodes());
                 }
                 ViewChange::InvalidUpdate(why) => log::error!("{why}"),
                 ViewChange::ControlNodes | ViewChange::Leases | ViewChange::ConfirmationChanged => {}
@@ -159,24 +159,28 @@
         self.turned.notify_waiters();
     }
 
-    fn take_chart(&self, chart: &Configuration) {
-        let services = chart.services.values().map(|service| {
+    fn take_chart(&self, configuration: &Configuration) {
+        let services = configuration.services.values().map(|service| {
             let terms =
                 ServiceLimits { warm_up_rate: service.warm_up_rate, warm_up_period: service.warm_up_period };
             (service.name.clone(), terms)
         });
-        self.berth.borrow_mut().set_services(services.collect());
+        self.balancer.borrow_mut().set_services(services.collect());
         self.split_quotas();
     }
 
     /// The counter's part of each quota, which hangs on how many share the rest.
     fn split_quotas(&self) {
-        let (Some(chart), bound, pilots) = (self.chart(), self.bound(), self.pilots()) else { return };
+        let (Some(configuration), bound, data_nodes) =
+            (self.configuration(), self.bound(), self.data_nodes())
+        else {
+            return;
+        };
         let quota = |t: &Tenant| {
-            let counted = bound.counted_fraction(t.rate, t.burst, pilots);
+            let counted = bound.counted_fraction(t.rate, t.burst, data_nodes);
             Quota { tenant: t.name.clone(), rate: t.rate, burst: t.burst, counted }
         };
-        let quotas: Vec<Quota> = chart.tenants.iter().map(quota).collect();
+        let quotas: Vec<Quota> = configuration.tenants.iter().map(quota).collect();
         self.asker.borrow_mut().quotas(&quotas);
     }
 
--- a/crates/data-plane/src/hand_off.rs
+++ b/crates/data-plane/src/hand_off.rs
@@ -98,7 +98,7 @@
         return Err(left(Came::Withdrawn));
     }
     // A new connection took its time: what is no longer allowed is not sent.
-    if !gateway.berth.borrow().is_listed(to.key) || Instant::now() >= until {
+    if !gateway.balancer.borrow().is_listed(to.key) || Instant::now() >= until {
         return Err(nowhere(io::ErrorKind::Interrupted));
     }
     let remaining = (until - Instant::now()).as_millis().max(1);
@@ -203,7 +203,7 @@
         gateway.metrics.departed_hand_off(&service, how, after);
     }
     let now = gateway.clock.now();
-    gateway.berth.borrow_mut().attempt_ended(now, to.key, now - began, end);
+    gateway.balancer.borrow_mut().attempt_ended(now, to.key, now - began, end);
     done.try_send(Outcome { came, reply }).ok();
 }
 
--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -128,7 +128,7 @@
             sleep(Duration::from_secs(1)).await;
             kept.close_idle();
             if second % LINES_EVERY == 0 {
-                let doors = swept.berth.borrow().admission_log_lines(swept.clock.now());
+                let doors = swept.balancer.borrow().admission_log_lines(swept.clock.now());
                 let lines = doors.into_iter().chain(swept.metrics.departure_lines());
                 lines.for_each(|line| log::info!("{line}"));
             }
--- a/crates/data-plane/src/request.rs
+++ b/crates/data-plane/src/request.rs
@@ -50,7 +50,11 @@
 }
 
 /// The route and the tenant of a request, or the answer that it gets instead.
-fn place<'a>(gateway: &Gateway, chart: &'a Configuration, request: &Request) -> Result<Asked<'a>, Response> {
+fn place<'a>(
+    gateway: &Gateway,
+    configuration: &'a Configuration,
+    request: &Request,
+) -> Result<Asked<'a>, Response> {
     let Some(origin) = request.host.once() else { return Err(Response::plain(400)) };
     let path = request.target.split('?').next().unwrap_or("");
     let origin = origin
@@ -59,23 +63,23 @@
         .map_or(origin, |(name, _)| name);
     // Which routes and keys there are may have changed: who can't know says so.
     let known = gateway.vouched();
-    let Some(number) = chart.route(origin, path) else {
+    let Some(number) = configuration.route(origin, path) else {
         return Err(if known { Response::plain(404) } else { come_back(503, SOON) });
     };
-    let route = &chart.routes[number];
-    if route.public || !chart.keyed {
+    let route = &configuration.routes[number];
+    if route.public || !configuration.keyed {
         return Ok(Asked { route, tenant: None });
     }
     if !known {
         return Err(come_back(503, SOON));
     }
     let tenant = match &request.fields[KEY] {
-        HeaderValue::Once(key) => chart.tenant(key),
+        HeaderValue::Once(key) => configuration.tenant(key),
         HeaderValue::Absent => None,
         HeaderValue::Ambiguous => return Err(Response::plain(400)),
     };
     match tenant {
-        Some(number) => Ok(Asked { route, tenant: Some(&chart.tenants[number]) }),
+        Some(number) => Ok(Asked { route, tenant: Some(&configuration.tenants[number]) }),
         None => Err(Response::plain(401)),
     }
 }
@@ -112,7 +116,7 @@
 /// The answer to a request of that client.
 pub async fn respond(gateway: &Rc<Gateway>, request: Request, client: &Client) -> Response {
     let began = gateway.clock.now();
-    let Some(chart) = gateway.chart() else { return come_back(503, SOON) };
+    let Some(configuration) = gateway.configuration() else { return come_back(503, SOON) };
     let (id, told) = match (&request.fields[ATTEMPT_ID], &request.fields[TIME_REMAINING]) {
         (HeaderValue::Once(id), HeaderValue::Once(told)) => (id.clone(), Some(told.parse::<f64>())),
         (HeaderValue::Once(id), HeaderValue::Absent) => (id.clone(), None),
@@ -123,10 +127,10 @@
         None => LONGEST,
         _ => return Response::plain(400),
     };
-    if request.body.len() > chart.max_body {
+    if request.body.len() > configuration.max_body {
         return Response::plain(413);
     }
-    let asked = match place(gateway, &chart, &request) {
+    let asked = match place(gateway, &configuration, &request) {
         Ok(asked) => asked,
         Err(answer) => return answer,
     };
@@ -197,7 +201,7 @@
     fn choose(&self) -> Option<(SelectedHost, &str)> {
         let homes = self.homes.as_deref()?;
         let now = self.gateway.clock.now();
-        let mut berth = self.gateway.berth.borrow_mut();
+        let mut balancer = self.gateway.balancer.borrow_mut();
         self.services.iter().find_map(|service| {
             let need = HostRequest {
                 service,
@@ -207,7 +211,7 @@
                 tried: &self.tried,
                 queue_ticket: self.door,
             };
-            berth.select(now, &need).map(|chosen| (chosen, *service))
+            balancer.select(now, &need).map(|chosen| (chosen, *service))
         })
     }
 
@@ -249,7 +253,7 @@
                         gateway.budget.borrow_mut().deposit(
                             &gateway.budget_rule(),
                             &service,
-                            gateway.pilots(),
+                            gateway.data_nodes(),
                         );
                     }
                     doubt =
@@ -259,7 +263,7 @@
                         doubt = None;
                     }
                     selection.tried.push(to.key);
-                    gateway.berth.borrow_mut().attempt_started(now, to.key, selection.goal);
+                    gateway.balancer.borrow_mut().attempt_started(now, to.key, selection.goal);
                     let order = HandOff { to, service, until, outgoing: outgoing.clone() };
                     spawn_local(carry(gateway.clone(), order, sender.clone()));
                 }
--- a/crates/data-plane/src/session.rs
+++ b/crates/data-plane/src/session.rs
@@ -52,8 +52,8 @@
             alone_since = Instant::now();
             seeds_now().into_iter().for_each(|seeds| session.set_seeds(seeds));
         }
-        let acts = session.tick(gateway.clock.now(), &gateway.views.borrow(), || gateway.pilot());
-        perform(&gateway, &mut session, &mut line, acts).await;
+        let actions = session.tick(gateway.clock.now(), &gateway.views.borrow(), || gateway.data_node());
+        perform(&gateway, &mut session, &mut line, actions).await;
         let until = gateway.clock.instant_at(session.wake_at().min(1e6));
         let word = async {
             match &mut line {
@@ -61,14 +61,14 @@
                 None => std::future::pending().await,
             }
         };
-        let acts = tokio::select! {
+        let actions = tokio::select! {
             word = word => {
                 let now = gateway.clock.now();
                 match word {
                     Some(Ok(word)) => {
-                        let (acts, turns) = session.step(now, word, &mut gateway.views.borrow_mut());
+                        let (actions, turns) = session.step(now, word, &mut gateway.views.borrow_mut());
                         gateway.turn(turns);
-                        acts
+                        actions
                     }
                     Some(Err(e)) => session.connection_lost(now, &e.to_string()),
                     None => session.connection_lost(now, "it closed the connection"),
@@ -80,7 +80,7 @@
                 continue;
             }
         };
-        perform(&gateway, &mut session, &mut line, acts).await;
+        perform(&gateway, &mut session, &mut line, actions).await;
     }
 }
 
@@ -88,11 +88,11 @@
     gateway: &Gateway,
     session: &mut Session,
     line: &mut Option<(MessageSender, Words)>,
-    acts: Vec<SessionAction>,
+    actions: Vec<SessionAction>,
 ) {
-    let mut acts = std::collections::VecDeque::from(acts);
-    while let Some(act) = acts.pop_front() {
-        match act {
+    let mut actions = std::collections::VecDeque::from(actions);
+    while let Some(action) = actions.pop_front() {
+        match action {
             SessionAction::Connect(node) => {
                 let called = archlink_runtime::connect(archlink_runtime::node_address(
                     node,
@@ -103,12 +103,12 @@
                     let (out, words) = split_connection(framed, MOST_WORDS);
                     *line = Some((out, Box::pin(words)));
                 });
-                acts.extend(session.connected(gateway.clock.now(), called.map_err(|e| e.to_string())));
+                actions.extend(session.connected(gateway.clock.now(), called.map_err(|e| e.to_string())));
             }
             SessionAction::Disconnect => *line = None,
             SessionAction::Send(word) => {
                 if line.as_ref().is_some_and(|(out, _)| out.try_send(word).is_err()) {
-                    acts.extend(session.connection_lost(gateway.clock.now(), "it does not read"));
+                    actions.extend(session.connection_lost(gateway.clock.now(), "it does not read"));
                 }
             }
             SessionAction::Warn(text) => log::warn!("{text}"),
@@ -238,29 +238,29 @@
 
     const LEASE: f64 = 3.0;
 
-    fn pilot() -> DataNode {
+    fn data_node() -> DataNode {
         let front = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 1);
         DataNode { node: 1, zone: "z".into(), region: "r".into(), client_address: front, ready: true }
     }
 
     /// A hail's number.
     fn hail(session: &mut Session, views: &FleetView, now: f64) -> u64 {
-        let acts = session.tick(now, views, pilot);
-        let number = acts.iter().find_map(|act| match act {
+        let actions = session.tick(now, views, data_node);
+        let number = actions.iter().find_map(|action| match action {
             SessionAction::Send(Message::SessionHeartbeat { serial, .. }) => Some(*serial),
             _ => None,
         });
-        number.unwrap_or_else(|| panic!("no hail at {now}: {acts:?}"))
+        number.unwrap_or_else(|| panic!("no hail at {now}: {actions:?}"))
     }
 
     fn call(session: &mut Session, views: &FleetView, now: f64) {
-        assert!(matches!(session.tick(now, views, pilot)[..], [SessionAction::Connect(2)]));
+        assert!(matches!(session.tick(now, views, data_node)[..], [SessionAction::Connect(2)]));
         session.connected(now, Ok(()));
     }
 
     /// What a control gateway says when the fleet stands at the n-th of everything.
     fn words(n: u64, serial: u64) -> [Message; 2] {
-        let post = LeaseGrant { role: SingletonRole::QuotaCounter, holder: 10 + n as u32, term: n };
+        let lease = LeaseGrant { role: SingletonRole::QuotaCounter, holder: 10 + n as u32, term: n };
         let vector =
             VersionVector { configuration: n, evacuations: n, hosts: (1, n), ..VersionVector::default() };
         let (clock, confirmed) = (n as f64, Some(0.0));
@@ -269,7 +269,7 @@
             cluster_clock: clock,
             confirmed_age: confirmed,
             versions: vector,
-            leases: vec![post],
+            leases: vec![lease],
             voter_set: Default::default(),
             recovered: true,
             suspected: vec![],
@@ -292,7 +292,7 @@
     }
 
     fn state(views: &FleetView, now: f64) -> String {
-        let version = views.configuration().map(|chart| chart.version);
+        let version = views.configuration().map(|configuration| configuration.version);
         format!(
             "{version:?} {:?} {:?} {}",
             views.versions(),
--- a/crates/data-plane/src/tests/mod.rs
+++ b/crates/data-plane/src/tests/mod.rs
@@ -222,7 +222,7 @@
         "Records": [["r", "o", "/read", "idempotent", 2, "s"], ["w", "o", "/write", "non_idempotent", 2, "s"]]},
     "ServiceTable": {"ColumnNames": ["Designation"], "Records": [["s"]]}}"#;
 
-fn gateway(hosts: &[SocketAddr], chart: &str) -> Rc<Gateway> {
+fn gateway(hosts: &[SocketAddr], configuration: &str) -> Rc<Gateway> {
     let settings = r#"{"NodeName": "a", "IpAddress": "127.0.0.1", "Zone": "west", "Region": "coast",
         "Zones": {"west": "coast"}, "Listen": {}, "InternalPorts": [7600], "SeedNodes": [], "FirstStart": false,
         "Limits": {"MemoryMb": 256, "FileDescriptors": 1024}, "Cloud": {"RatePerS": 1},
@@ -244,7 +244,7 @@
         warm_up_seconds: 0.0,
     };
     let lines = hosts.iter().enumerate().map(line).collect();
-    let packed = patch::compress(chart.as_bytes(), b"").unwrap().into();
+    let packed = patch::compress(configuration.as_bytes(), b"").unwrap().into();
     for piece in [
         StateUpdate::ConfigurationPatch { stamp: 1, base: 0, packed },
         StateUpdate::DataNodes(vec![archlink_runtime::node_id([127, 0, 0, 1].into())]),
@@ -255,14 +255,14 @@
     }
     // Without a majority's word no configuration is in force.
     let vector = VersionVector { configuration: 1, ..VersionVector::default() };
-    let (posts, missing, muster) = (Vec::new(), Vec::new(), VoterSet::default());
+    let (leases, missing, voter_set) = (Vec::new(), Vec::new(), VoterSet::default());
     let beat = Heartbeat {
         serial: 1,
         cluster_clock: 0.0,
         confirmed_age: Some(0.0),
         versions: vector,
-        leases: posts,
-        voter_set: muster,
+        leases,
+        voter_set,
         recovered: true,
         suspected: missing,
     };
@@ -306,7 +306,7 @@
     world_of(script, OPEN)
 }
 
-fn world_of(script: &[Habit], chart: &str) -> (Rc<World>, Rc<Gateway>) {
+fn world_of(script: &[Habit], configuration: &str) -> (Rc<World>, Rc<Gateway>) {
     let world = Rc::new(World {
         script: RefCell::new(script.iter().copied().collect()),
         ran: RefCell::default(),
@@ -327,7 +327,7 @@
         hosts.push(listener.local_addr().unwrap());
         spawn_local(listen(world.clone(), n, listener));
     }
-    (world, gateway(&hosts, chart))
+    (world, gateway(&hosts, configuration))
 }
 
 fn run<F: Future<Output = ()> + 'static>(plays: impl IntoIterator<Item = F>, at_once: usize) {
--- a/crates/demo/src/lib.rs
+++ b/crates/demo/src/lib.rs
@@ -244,8 +244,8 @@
     pub platform: Platform,
     pub folder: PathBuf,
     net: u8,
-    keepers: Vec<Option<Running>>,
-    pilots: Vec<Option<Running>>,
+    control_nodes: Vec<Option<Running>>,
+    data_nodes: Vec<Option<Running>>,
     lines: (Sender<String>, Receiver<String>),
 }
 
@@ -258,10 +258,16 @@
         let folder = std::env::temp_dir().join(format!("archlink-quay-{}-{net}", std::process::id()));
         std::fs::remove_dir_all(&folder).ok();
         let platform = Platform::start().map_err(|e| e.to_string())?;
-        let mut harbour =
-            DemoSystem { platform, folder, net, keepers: Vec::new(), pilots: Vec::new(), lines: channel() };
+        let mut harbour = DemoSystem {
+            platform,
+            folder,
+            net,
+            control_nodes: Vec::new(),
+            data_nodes: Vec::new(),
+            lines: channel(),
+        };
         for n in 0..3 {
-            harbour.keepers.push(None);
+            harbour.control_nodes.push(None);
             harbour.start_control_node(n, true)?;
         }
         for n in 0..2 {
@@ -270,7 +276,7 @@
                 let until = async move { drop(stopped.await) };
                 archlink_data_plane::serve(settings, None, until).await.map_err(|e| format!("{e:?}"))
             };
-            harbour.pilots.push(Some(Running::start(serve)));
+            harbour.data_nodes.push(Some(Running::start(serve)));
         }
         Ok(harbour)
     }
@@ -286,12 +292,12 @@
             let until = async move { drop(stopped.await) };
             archlink_control_plane::serve(settings, until).await.map_err(|e| format!("{e:?}"))
         };
-        self.keepers[n] = Some(Running::start(serve));
+        self.control_nodes[n] = Some(Running::start(serve));
         Ok(())
     }
 
     pub fn stop_control_node(&mut self, n: usize) {
-        if let Some(mut running) = self.keepers[n].take() {
+        if let Some(mut running) = self.control_nodes[n].take() {
             running.stop();
         }
     }
@@ -358,10 +364,10 @@
 
 impl Drop for DemoSystem {
     fn drop(&mut self) {
-        for running in self.keepers.iter_mut().chain(&mut self.pilots).flatten() {
+        for running in self.control_nodes.iter_mut().chain(&mut self.data_nodes).flatten() {
             running.stop.take();
         }
-        for running in self.keepers.iter_mut().chain(&mut self.pilots).flatten() {
+        for running in self.control_nodes.iter_mut().chain(&mut self.data_nodes).flatten() {
             running.stop();
         }
         std::fs::remove_dir_all(&self.folder).ok();
--- a/crates/messages/src/voter_set.rs
+++ b/crates/messages/src/voter_set.rs
@@ -98,6 +98,6 @@
     pub fn from_bytes(bytes: &[u8]) -> Option<VoterSet> {
         postcard::from_bytes(bytes)
             .ok()
-            .filter(|muster: &VoterSet| muster.is_known() && !muster.voters.is_empty())
+            .filter(|voter_set: &VoterSet| voter_set.is_known() && !voter_set.voters.is_empty())
     }
 }
--- a/crates/messages/tests/wire_fixtures.rs
+++ b/crates/messages/tests/wire_fixtures.rs
@@ -88,8 +88,8 @@
     }
 }
 
-fn duty_name(duty: SingletonRole) -> &'static str {
-    match duty {
+fn duty_name(role: SingletonRole) -> &'static str {
+    match role {
         SingletonRole::HostDiscovery => "lookout",
         SingletonRole::QuotaCounter => "tally",
     }
@@ -135,7 +135,9 @@
         StateUpdate::ConfigurationPatch { packed, .. } => format!("chart.{}", list_name(packed.is_empty())),
         StateUpdate::HostList(hosts) => format!("hosts.{}", list_name(hosts.instances.is_empty())),
         StateUpdate::HostListPatch { packed, .. } => format!("hosts_patch.{}", list_name(packed.is_empty())),
-        StateUpdate::ControlNodes(keepers) => format!("keepers.{}", list_name(keepers.is_empty())),
+        StateUpdate::ControlNodes(control_nodes) => {
+            format!("keepers.{}", list_name(control_nodes.is_empty()))
+        }
         StateUpdate::DataNodes(nodes) => format!("pilots.{}", list_name(nodes.is_empty())),
         StateUpdate::Sessions(sessions) => format!("sessions.{}", list_name(sessions.data_nodes.is_empty())),
     }
@@ -144,11 +146,11 @@
 /// As for `poll_name`.
 fn word_name(word: &Message) -> String {
     match word {
-        Message::PeerHello { voter_set: muster, .. } => {
-            format!("greet.{}", list_name(muster.voters.is_empty()))
+        Message::PeerHello { voter_set, .. } => {
+            format!("greet.{}", list_name(voter_set.voters.is_empty()))
         }
         Message::Consensus(_, poll) => format!("poll.{}", poll_name(poll)),
-        Message::VoterSet(muster) => format!("muster.{}", list_name(muster.voters.is_empty())),
+        Message::VoterSet(voter_set) => format!("muster.{}", list_name(voter_set.voters.is_empty())),
         Message::Heartbeat(beat) => {
             let lists = list_name(beat.versions.sessions.is_empty());
             format!("beat.{}.{lists}", option_name(beat.confirmed_age.is_some()))
@@ -181,7 +183,7 @@
 }
 
 /// Numbers of one, two and more bytes on the wire, so that a change of the encoding or of the order of fields shows.
-fn ballot() -> ProposalNumber {
+fn proposal() -> ProposalNumber {
     ProposalNumber { round: 0x0100_0000_0003, node: 0x0a01_0020, nonce: 300 }
 }
 
@@ -191,7 +193,7 @@
 
 fn held() -> AcceptedValue {
     AcceptedValue {
-        proposal: ballot(),
+        proposal: proposal(),
         revision: 513,
         value: Bytes::from_static(b"text"),
         recent_versions: vec![
@@ -201,11 +203,11 @@
     }
 }
 
-fn muster() -> VoterSet {
+fn voter_set() -> VoterSet {
     VoterSet { epoch: 0x1_0002_0003, voters: vec![0x0a01_0020, 0x0a01_0027], incoming: vec![0x0a01_002e] }
 }
 
-fn keeper() -> ControlNode {
+fn control_node() -> ControlNode {
     ControlNode {
         node: 0x0a01_0020,
         zone: "zone-1".into(),
@@ -223,7 +225,7 @@
     }
 }
 
-fn pilot(ready: bool) -> DataNode {
+fn data_node(ready: bool) -> DataNode {
     DataNode {
         node: 0x0a01_0040,
         zone: "zone-3".into(),
@@ -258,7 +260,7 @@
         source: 0x0a01_0020,
         incarnation: 1 << 40,
         version: 129,
-        data_nodes: vec![pilot(true), pilot(false)],
+        data_nodes: vec![data_node(true), data_node(false)],
     }
 }
 
@@ -273,8 +275,8 @@
     }
 }
 
-fn post(duty: SingletonRole) -> LeaseGrant {
-    LeaseGrant { role: duty, holder: 0x0a01_0020, term: 77 }
+fn post(role: SingletonRole) -> LeaseGrant {
+    LeaseGrant { role, holder: 0x0a01_0020, term: 77 }
 }
 
 fn posts() -> Vec<LeaseGrant> {
@@ -285,13 +287,13 @@
     let mut all = Vec::new();
     for register in REGISTERS {
         all.extend([
-            ConsensusMessage::Prepare(register, ballot()),
-            ConsensusMessage::Promise(register, ballot(), None),
-            ConsensusMessage::Promise(register, ballot(), Some(held())),
-            ConsensusMessage::Reject(register, ballot(), later_ballot()),
+            ConsensusMessage::Prepare(register, proposal()),
+            ConsensusMessage::Promise(register, proposal(), None),
+            ConsensusMessage::Promise(register, proposal(), Some(held())),
+            ConsensusMessage::Reject(register, proposal(), later_ballot()),
             ConsensusMessage::Accept(register, AcceptedValue::default()),
             ConsensusMessage::Accept(register, held()),
-            ConsensusMessage::Accepted(register, ballot()),
+            ConsensusMessage::Accepted(register, proposal()),
             ConsensusMessage::FetchValue(register),
             ConsensusMessage::FetchedValue(register, AcceptedValue::default()),
             ConsensusMessage::FetchedValue(register, held()),
@@ -299,7 +301,7 @@
     }
     let slots = vec![
         (Register::Configuration, AcceptorState { promised: later_ballot(), accepted: Some(held()) }),
-        (Register::Evacuations, AcceptorState { promised: ballot(), accepted: None }),
+        (Register::Evacuations, AcceptorState { promised: proposal(), accepted: None }),
         (Register::VoterSet, AcceptorState::default()),
     ];
     all.extend([
@@ -308,7 +310,7 @@
         ConsensusMessage::ReadReply(
             502,
             vec![
-                (Register::Configuration, ballot()),
+                (Register::Configuration, proposal()),
                 (Register::Evacuations, later_ballot()),
                 (Register::VoterSet, ProposalNumber::default()),
             ],
@@ -317,14 +319,14 @@
         ConsensusMessage::StateTransferReply(503, Vec::new(), Vec::new()),
         ConsensusMessage::StateTransferReply(504, slots, posts()),
     ]);
-    for duty in SINGLETON_ROLES {
+    for role in SINGLETON_ROLES {
         all.extend([
-            ConsensusMessage::LeaseRequest(post(duty), 601),
-            ConsensusMessage::LeaseRenewal(post(duty), 602),
-            ConsensusMessage::GrantPersisted(post(duty)),
-            ConsensusMessage::LeaseGranted(post(duty), 603),
-            ConsensusMessage::LeaseDenied(post(duty)),
-            ConsensusMessage::LeaseReleased(post(duty), 0x0a01_0027),
+            ConsensusMessage::LeaseRequest(post(role), 601),
+            ConsensusMessage::LeaseRenewal(post(role), 602),
+            ConsensusMessage::GrantPersisted(post(role)),
+            ConsensusMessage::LeaseGranted(post(role), 603),
+            ConsensusMessage::LeaseDenied(post(role)),
+            ConsensusMessage::LeaseReleased(post(role), 0x0a01_0027),
         ]);
     }
     all
@@ -350,7 +352,7 @@
             packed: Bytes::from_static(b"patch"),
         },
         StateUpdate::ControlNodes(Vec::new()),
-        StateUpdate::ControlNodes(vec![keeper(), other_keeper()]),
+        StateUpdate::ControlNodes(vec![control_node(), other_keeper()]),
         StateUpdate::DataNodes(Vec::new()),
         StateUpdate::DataNodes(vec![0x0a01_0040, 3]),
         StateUpdate::Sessions(SessionTable::default()),
@@ -376,7 +378,7 @@
         confirmed_age: Some(0.75),
         versions: vector(),
         leases: posts(),
-        voter_set: muster(),
+        voter_set: voter_set(),
         recovered: true,
         suspected: vec![0x0a01_002e, 4],
     };
@@ -399,19 +401,19 @@
     ];
     all.extend([
         Message::PeerHello { control_node: other_keeper(), voter_set: VoterSet::default() },
-        Message::PeerHello { control_node: keeper(), voter_set: muster() },
+        Message::PeerHello { control_node: control_node(), voter_set: voter_set() },
         Message::VoterSet(VoterSet::default()),
-        Message::VoterSet(muster()),
+        Message::VoterSet(voter_set()),
         Message::UpdateRequest(VersionVector::default()),
         Message::UpdateRequest(vector()),
         Message::StateUpdates(Vec::new()),
         Message::StateUpdates(vec![
             StateUpdate::DataNodes(vec![3]),
-            StateUpdate::ControlNodes(vec![keeper()]),
+            StateUpdate::ControlNodes(vec![control_node()]),
             StateUpdate::HostList(hosts()),
         ]),
-        Message::SessionHeartbeat { serial: 1, data_node: pilot(false), clock: 0.0, leases: Vec::new() },
-        Message::SessionHeartbeat { serial: 301, data_node: pilot(true), clock: 99.125, leases: posts() },
+        Message::SessionHeartbeat { serial: 1, data_node: data_node(false), clock: 0.0, leases: Vec::new() },
+        Message::SessionHeartbeat { serial: 301, data_node: data_node(true), clock: 99.125, leases: posts() },
         Message::CounterAdds { serial: 2, term: 77, clock: 1.0, adds: Vec::new() },
         Message::CounterAdds { serial: 302, term: 78, clock: 98.5, adds },
         Message::CounterTotals { serial: 3, clock: 1.0, totals: None },
@@ -509,11 +511,11 @@
 fn a_set_of_voters_is_stored_as_the_recorded_bytes() {
     assert_recorded("value.muster.default", &VoterSet::default().to_bytes());
     assert_eq!(VoterSet::from_bytes(&recorded()["value.muster.default"]), None);
-    let settled = VoterSet { incoming: Vec::new(), ..muster() };
-    for (name, muster) in [("value.muster.settled", settled), ("value.muster.changing", muster())] {
-        assert_recorded(name, &muster.to_bytes());
+    let settled = VoterSet { incoming: Vec::new(), ..voter_set() };
+    for (name, voter_set) in [("value.muster.settled", settled), ("value.muster.changing", voter_set())] {
+        assert_recorded(name, &voter_set.to_bytes());
         let read = VoterSet::from_bytes(&recorded()[name]).unwrap();
-        assert_eq!(read, muster, "{name}");
+        assert_eq!(read, voter_set, "{name}");
         assert_recorded(name, &read.to_bytes());
     }
 }
--- a/crates/simulation/src/checks.rs
+++ b/crates/simulation/src/checks.rs
@@ -2,9 +2,9 @@
 //! one content a stamp; an epoch names one set; what was acknowledged is in the line; whoever has a register confirmed holds
 //! nothing older than what anybody knew when that was asked. Must never look at what a gateway could not be seen to do.
 
-use archlink_consensus::control::ControlNodeState;
 use archlink_consensus::proposer::Proposer;
 use archlink_consensus::{MembershipChange, Outcome};
+use archlink_control_node::node::ControlNodeState;
 use archlink_messages::{
     AcceptedValue, NodeId, ProposalNumber, REGISTERS, Register, VersionDigest, VoterSet,
     decode_evacuated_zones,
@@ -102,7 +102,7 @@
 struct Last {
     life: u64,
     epoch: u64,
-    ballots: [ProposalNumber; REGISTERS.len()],
+    proposals: [ProposalNumber; REGISTERS.len()],
     confirmed: [Option<f64>; REGISTERS.len()],
 }
 
@@ -110,7 +110,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Checks {
     pub lines: BTreeMap<Register, Line>,
-    pub musters: BTreeMap<u64, VoterSet>,
+    pub voter_sets: BTreeMap<u64, VoterSet>,
     pub orders: BTreeMap<u64, Given>,
     /// Of which text each number of a configuration was taken.
     pub marks: BTreeMap<u64, [u8; 16]>,
@@ -131,25 +131,25 @@
         if last.life != life {
             *last = Last { life, ..Last::default() };
         }
-        let muster = control.voter_set();
-        if muster.epoch != last.epoch {
-            if muster.epoch < last.epoch {
-                return Err(format!("{node} went back to epoch {}", muster.epoch));
+        let voter_set = control.voter_set();
+        if voter_set.epoch != last.epoch {
+            if voter_set.epoch < last.epoch {
+                return Err(format!("{node} went back to epoch {}", voter_set.epoch));
             }
-            last.epoch = muster.epoch;
-            let known = self.musters.entry(muster.epoch).or_insert_with(|| muster.clone());
-            if known != muster {
-                return Err(format!("two sets of one epoch: {known:?} {muster:?}"));
+            last.epoch = voter_set.epoch;
+            let known = self.voter_sets.entry(voter_set.epoch).or_insert_with(|| voter_set.clone());
+            if known != voter_set {
+                return Err(format!("two sets of one epoch: {known:?} {voter_set:?}"));
             }
         }
         for (n, register) in REGISTERS.into_iter().enumerate() {
             let chosen = control.proposer.chosen(register);
-            let ballot = chosen.map_or(ProposalNumber::default(), |held| held.proposal);
-            if let Some(held) = chosen.filter(|_| ballot != last.ballots[n]) {
-                if ballot < last.ballots[n] {
+            let proposal = chosen.map_or(ProposalNumber::default(), |held| held.proposal);
+            if let Some(held) = chosen.filter(|_| proposal != last.proposals[n]) {
+                if proposal < last.proposals[n] {
                     return Err(format!("{node} went back to {held:?}"));
                 }
-                last.ballots[n] = ballot;
+                last.proposals[n] = proposal;
                 self.lines.entry(register).or_default().learned(now, held)?;
                 for mark in &held.recent_versions {
                     if *self.marks.entry(mark.version).or_insert(mark.digest) != mark.digest {
@@ -161,9 +161,9 @@
             if let Some(asked) = confirmed.filter(|_| confirmed != last.confirmed[n]) {
                 last.confirmed[n] = confirmed;
                 let known = self.lines.get(&register).and_then(|line| line.known_before(of_clock(asked)));
-                if known.is_some_and(|known| known > ballot) {
+                if known.is_some_and(|known| known > proposal) {
                     return Err(format!(
-                        "{node} has {register:?} {ballot:?} confirmed, {known:?} was known before"
+                        "{node} has {register:?} {proposal:?} confirmed, {known:?} was known before"
                     ));
                 }
             }
@@ -192,12 +192,12 @@
         now: f64,
         token: u64,
         outcome: Outcome,
-        helm: Option<&Proposer>,
+        proposer: Option<&Proposer>,
     ) -> Result<(), String> {
         // Tokens that no order has are the test's own.
         let Some(given) = self.orders.get_mut(&token) else { return Ok(()) };
         given.ended.get_or_insert((now, outcome));
-        let (Outcome::Chosen | Outcome::VersionConflict(_), Some(helm)) = (outcome, helm) else {
+        let (Outcome::Chosen | Outcome::VersionConflict(_), Some(proposer)) = (outcome, proposer) else {
             return Ok(());
         };
         let given = given.clone();
@@ -205,7 +205,7 @@
         let line: Vec<&Seen> = line.map(|line| line.values.values().collect()).unwrap_or_default();
         match &given.order {
             Order::Chart { version, digest, text } => {
-                let stamp = helm.chosen(Register::Configuration).map_or(0, |held| held.revision);
+                let stamp = proposer.chosen(Register::Configuration).map_or(0, |held| held.revision);
                 let stands = line.iter().find(|seen| seen.stamp == version + 1);
                 if stamp <= *version {
                     return Err(format!("{version} is acknowledged, {stamp} is the newest stamp"));
--- a/crates/simulation/src/disk.rs
+++ b/crates/simulation/src/disk.rs
@@ -12,8 +12,8 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Kept {
     pub slots: BTreeMap<Register, AcceptorState>,
-    pub posts: BTreeMap<SingletonRole, LeaseGrant>,
-    pub muster: VoterSet,
+    pub grants: BTreeMap<SingletonRole, LeaseGrant>,
+    pub voter_set: VoterSet,
 }
 
 pub(crate) type Write = (DurableRecord, Vec<(NodeId, Message)>);
@@ -35,11 +35,11 @@
 
 impl Disk {
     pub(crate) fn keep(&mut self, record: DurableRecord) {
-        if let Some(muster) = record.voter_set {
-            self.kept.muster = muster;
+        if let Some(voter_set) = record.voter_set {
+            self.kept.voter_set = voter_set;
         }
         self.kept.slots.extend(record.acceptors);
-        self.kept.posts.extend(record.grants.into_iter().map(|post| (post.role, post)));
+        self.kept.grants.extend(record.grants.into_iter().map(|grant| (grant.role, grant)));
     }
 }
 
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -4,8 +4,8 @@
 
 use crate::checks::Checks;
 use crate::disk::{Disk, Kept};
-use archlink_consensus::control::{ControlNodeState, InitialState};
 use archlink_consensus::{Effect, Outcome};
+use archlink_control_node::node::{ControlNodeState, InitialState};
 use archlink_messages::{ControlNode, Message, NodeId, Register, VoterSet};
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
@@ -119,7 +119,7 @@
     serial: u64,
 }
 
-fn keeper(node: NodeId) -> ControlNode {
+fn control_node(node: NodeId) -> ControlNode {
     let control = std::net::SocketAddrV4::new(node.into(), 80);
     ControlNode { node, zone: format!("z{node}"), region: "r".into(), operator_address: control }
 }
@@ -214,17 +214,17 @@
             return self.push(until, Event::Start(node, first));
         }
         // The seeds are on the disk before anything else is done.
-        if first && !disk.kept.muster.is_known() {
-            disk.kept.muster = VoterSet::initial(&self.seeds);
+        if first && !disk.kept.voter_set.is_known() {
+            disk.kept.voter_set = VoterSet::initial(&self.seeds);
         }
         let kept = disk.kept.clone();
         let start = InitialState {
-            identity: keeper(node),
+            identity: control_node(node),
             required_voters: self.needed,
             catch_up: self.catch_up,
-            acceptors: kept.muster.is_known().then_some(kept.slots),
-            voter_set: kept.muster,
-            grants: kept.posts.into_values().collect(),
+            acceptors: kept.voter_set.is_known().then_some(kept.slots),
+            voter_set: kept.voter_set,
+            grants: kept.grants.into_values().collect(),
             seed: self.chance.rand_u64(),
         };
         let control = ControlNodeState::new(self.clock(node), start);
@@ -274,7 +274,7 @@
             return self.push(at, Event::Greet(from, to, lives));
         }
         if let Some(greeting) = self.live.get(&from).map(ControlNodeState::peer_hello) {
-            self.post(from, to, greeting);
+            self.grant(from, to, greeting);
         }
     }
 
@@ -376,12 +376,12 @@
         }
         let twice = net.doubled > 0.0 && self.chance.rand_float() < net.doubled;
         if twice {
-            self.post(from, to, word.clone());
+            self.grant(from, to, word.clone());
         }
-        self.post(from, to, word);
+        self.grant(from, to, word);
     }
 
-    fn post(&mut self, from: NodeId, to: NodeId, word: Message) {
+    fn grant(&mut self, from: NodeId, to: NodeId, word: Message) {
         let net = self.net;
         let mut at = self.now + net.least + net.spread * self.chance.rand_float();
         if net.late > 0.0 && self.chance.rand_float() < net.late {
@@ -402,11 +402,11 @@
         let now = self.clock(node);
         let Some(control) = self.live.get_mut(&node) else { return };
         self.steps += 1;
-        let mut acts = VecDeque::from(step(control, now));
-        while let Some(act) = acts.pop_front() {
-            match act {
+        let mut effects = VecDeque::from(step(control, now));
+        while let Some(effect) = effects.pop_front() {
+            match effect {
                 Effect::Send(to, word) if to == node => {
-                    acts.extend(
+                    effects.extend(
                         self.live.get_mut(&node).map(|c| c.step(now, node, word)).unwrap_or_default(),
                     );
                 }
@@ -414,7 +414,7 @@
                 Effect::Store(record, then) => self.store(node, record, then),
                 Effect::Learned(register) => {
                     self.tell(|fleet| fleet.learned_line(node, register));
-                    acts.extend(
+                    effects.extend(
                         self.live.get_mut(&node).map(|c| c.broadcast_heartbeat(now)).unwrap_or_default(),
                     );
                 }
@@ -442,9 +442,9 @@
 
     /// Tells of each set that a gateway begins to go by.
     fn tell_epoch(&mut self, node: NodeId) {
-        let Some(muster) = self.live.get(&node).map(|control| control.voter_set().clone()) else { return };
-        if self.story.is_some() && self.epochs.insert(node, muster.epoch) != Some(muster.epoch) {
-            self.tell(|_| format!("{node} goes by {muster:?}"));
+        let Some(voter_set) = self.live.get(&node).map(|control| control.voter_set().clone()) else { return };
+        if self.story.is_some() && self.epochs.insert(node, voter_set.epoch) != Some(voter_set.epoch) {
+            self.tell(|_| format!("{node} goes by {voter_set:?}"));
         }
     }
 
@@ -455,14 +455,14 @@
         let pace = self.paces.get(&node).copied().unwrap_or(Pace { rate: 1.0, ahead: 0.0 });
         let of_clock = |at: f64| (at - pace.ahead) / pace.rate;
         let mut checked = self.checks.looked(self.now, node, self.lives[&node], control, of_clock);
-        for duty in archlink_messages::SINGLETON_ROLES {
-            if checked.is_ok() && control.leases.held_lease(self.clock(node), duty).is_some() {
+        for role in archlink_messages::SINGLETON_ROLES {
+            if checked.is_ok() && control.leases.held_lease(self.clock(node), role).is_some() {
                 let holds = |(n, c): &(&NodeId, &ControlNodeState)| {
-                    c.leases.held_lease(self.clock(**n), duty).is_some()
+                    c.leases.held_lease(self.clock(**n), role).is_some()
                 };
                 let holders: Vec<NodeId> = self.live.iter().filter(holds).map(|(n, _)| *n).collect();
                 if holders.len() > 1 {
-                    checked = Err(format!("{duty:?} is held by {holders:?}"));
+                    checked = Err(format!("{role:?} is held by {holders:?}"));
                 }
             }
         }
--- a/crates/simulation/src/orders.rs
+++ b/crates/simulation/src/orders.rs
@@ -2,9 +2,9 @@
 
 use crate::checks::Order;
 use crate::network::Fleet;
-use archlink_consensus::control::ControlNodeState;
 use archlink_consensus::proposer::Change;
 use archlink_consensus::{MembershipChange, Outcome};
+use archlink_control_node::node::ControlNodeState;
 use archlink_messages::{LeaseGrant, NodeId, SingletonRole};
 use bytes::Bytes;
 use std::collections::BTreeSet;
@@ -59,20 +59,20 @@
     }
 
     /// Who holds a duty now.
-    pub fn holder(&self, duty: SingletonRole) -> Option<NodeId> {
+    pub fn holder(&self, role: SingletonRole) -> Option<NodeId> {
         let holds =
-            |(n, c): &(&NodeId, &ControlNodeState)| c.leases.held_lease(self.clock(**n), duty).is_some();
+            |(n, c): &(&NodeId, &ControlNodeState)| c.leases.held_lease(self.clock(**n), role).is_some();
         self.live.iter().find(holds).map(|(node, _)| *node)
     }
 
     /// A duty's holder as all know it alike.
-    pub fn agreed(&self, duty: SingletonRole) -> Option<NodeId> {
+    pub fn agreed(&self, role: SingletonRole) -> Option<NodeId> {
         let known = |(node, control): (&NodeId, &ControlNodeState)| {
-            control.leases.holders(self.clock(*node)).into_iter().find(|post| post.role == duty)
+            control.leases.holders(self.clock(*node)).into_iter().find(|grant| grant.role == role)
         };
-        let mut posts: Vec<Option<LeaseGrant>> = self.live.iter().map(known).collect();
-        posts.dedup();
-        if posts.len() == 1 { posts[0].map(|post| post.holder) } else { None }
+        let mut grants: Vec<Option<LeaseGrant>> = self.live.iter().map(known).collect();
+        grants.dedup();
+        if grants.len() == 1 { grants[0].map(|grant| grant.holder) } else { None }
     }
 
     /// The sets of voters that gateways go by.
--- a/crates/simulation/src/runner.rs
+++ b/crates/simulation/src/runner.rs
@@ -4,8 +4,8 @@
 use crate::checks::Order;
 use crate::network::{Fleet, Net};
 use crate::scenario::{Loss, Plan, Size, Step};
-use archlink_consensus::control::ControlNodeState;
 use archlink_consensus::{MembershipChange, Outcome};
+use archlink_control_node::node::ControlNodeState;
 use archlink_messages::{NodeId, Register, SINGLETON_ROLES, decode_evacuated_zones};
 use std::collections::BTreeMap;
 
@@ -530,18 +530,18 @@
                     return Err(format!("{node} has {register:?} not confirmed lately"));
                 }
             }
-            let muster = control.voter_set();
-            if *muster != known || muster.is_joint() {
-                return Err(format!("{node} goes by {muster:?}, another by {known:?}"));
+            let voter_set = control.voter_set();
+            if *voter_set != known || voter_set.is_joint() {
+                return Err(format!("{node} goes by {voter_set:?}, another by {known:?}"));
             }
-            if muster.contains(*node) && !control.acceptor.is_recovered() {
+            if voter_set.contains(*node) && !control.acceptor.is_recovered() {
                 return Err(format!("{node} votes and is not whole"));
             }
         }
-        for duty in SINGLETON_ROLES {
-            let agreed = fleet.agreed(duty);
-            if agreed.is_none() || agreed != fleet.holder(duty) {
-                return Err(format!("{duty:?} is held by {:?}, {agreed:?} is known", fleet.holder(duty)));
+        for role in SINGLETON_ROLES {
+            let agreed = fleet.agreed(role);
+            if agreed.is_none() || agreed != fleet.holder(role) {
+                return Err(format!("{role:?} is held by {:?}, {agreed:?} is known", fleet.holder(role)));
             }
         }
         self.zones()
--- a/crates/storage/src/format.rs
+++ b/crates/storage/src/format.rs
@@ -41,8 +41,8 @@
 
     pub fn enter_into(self, state: &mut DurableState) {
         state.enter(self.entered);
-        for (register, ballot) in self.promised {
-            state.acceptors.entry(register).or_default().promised = ballot;
+        for (register, proposal) in self.promised {
+            state.acceptors.entry(register).or_default().promised = proposal;
         }
     }
 }
--- a/crates/storage/src/legacy_format.rs
+++ b/crates/storage/src/legacy_format.rs
@@ -14,7 +14,7 @@
 
 #[derive(Serialize, Deserialize)]
 pub struct Held {
-    pub ballot: ProposalNumber,
+    pub proposal: ProposalNumber,
     pub stamp: u64,
     pub value: Bytes,
 }
@@ -29,25 +29,25 @@
 pub struct State {
     pub voters: Vec<NodeId>,
     pub slots: BTreeMap<Register, Slot>,
-    pub posts: BTreeMap<SingletonRole, LeaseGrant>,
+    pub grants: BTreeMap<SingletonRole, LeaseGrant>,
 }
 
 #[derive(Default, Serialize, Deserialize)]
 pub struct Entered {
     pub voters: Option<Vec<NodeId>>,
     pub slots: Vec<(Register, Slot)>,
-    pub posts: Vec<LeaseGrant>,
+    pub grants: Vec<LeaseGrant>,
 }
 
 /// The set was agreed on once, by the seeds, and stood for good: it is the first epoch's.
-fn muster(voters: &[NodeId]) -> Option<VoterSet> {
-    Some(VoterSet::initial(voters)).filter(|muster| !muster.voters.is_empty())
+fn voter_set(voters: &[NodeId]) -> Option<VoterSet> {
+    Some(VoterSet::initial(voters)).filter(|voter_set| !voter_set.voters.is_empty())
 }
 
 /// In the place of the register of today's musters the first set was voted on, which was on no disk.
 fn slot((register, slot): (Register, Slot)) -> Option<(Register, archlink_messages::AcceptorState)> {
-    let held = |Held { ballot, stamp, value }| archlink_messages::AcceptedValue {
-        proposal: ballot,
+    let held = |Held { proposal, stamp, value }| archlink_messages::AcceptedValue {
+        proposal,
         revision: stamp,
         value,
         recent_versions: Vec::new(),
@@ -57,24 +57,16 @@
 }
 
 impl From<State> for crate::DurableState {
-    fn from(State { voters, slots, posts }: State) -> Self {
+    fn from(State { voters, slots, grants }: State) -> Self {
         let slots = slots.into_iter().filter_map(slot).collect();
-        crate::DurableState {
-            voter_set: muster(&voters).unwrap_or_default(),
-            acceptors: slots,
-            grants: posts,
-        }
+        crate::DurableState { voter_set: voter_set(&voters).unwrap_or_default(), acceptors: slots, grants }
     }
 }
 
 impl From<Entered> for crate::StateChange {
-    fn from(Entered { voters, slots, posts }: Entered) -> Self {
-        let muster = voters.and_then(|voters| muster(&voters));
-        crate::StateChange {
-            voter_set: muster,
-            acceptors: slots.into_iter().filter_map(slot).collect(),
-            grants: posts,
-        }
+    fn from(Entered { voters, slots, grants }: Entered) -> Self {
+        let voter_set = voters.and_then(|voters| voter_set(&voters));
+        crate::StateChange { voter_set, acceptors: slots.into_iter().filter_map(slot).collect(), grants }
     }
 }
 
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -66,11 +66,11 @@
 
 impl DurableState {
     fn enter(&mut self, entered: StateChange) {
-        if let Some(muster) = entered.voter_set {
-            self.voter_set = muster;
+        if let Some(voter_set) = entered.voter_set {
+            self.voter_set = voter_set;
         }
         self.acceptors.extend(entered.acceptors);
-        self.grants.extend(entered.grants.into_iter().map(|post| (post.role, post)));
+        self.grants.extend(entered.grants.into_iter().map(|grant| (grant.role, grant)));
     }
 }
 
@@ -100,12 +100,12 @@
         folder: &Path,
         again: Duration,
     ) -> Result<(Storage, DurableState), Report<StorageError>> {
-        let keeper = Keeper::open(disk, folder, store::CHECKPOINT)?;
-        let found = keeper.state().clone();
+        let control_node = Keeper::open(disk, folder, store::CHECKPOINT)?;
+        let found = control_node.state().clone();
         let (jobs, queue) = sync_channel(QUEUE);
         thread::Builder::new()
             .name("logbook".into())
-            .spawn(move || keep(keeper, &queue, again))
+            .spawn(move || keep(control_node, &queue, again))
             .change_context(StorageError::Disk)?;
         Ok((Storage { jobs }, found))
     }
@@ -126,24 +126,24 @@
             all.acceptors.retain(|(r, _)| r != register);
             all.acceptors.push((*register, slot.clone()));
         }
-        for post in &job.entered.grants {
-            all.grants.retain(|p| p.role != post.role);
-            all.grants.push(*post);
+        for grant in &job.entered.grants {
+            all.grants.retain(|p| p.role != grant.role);
+            all.grants.push(*grant);
         }
     }
     all
 }
 
-fn keep<D: Disk>(mut keeper: Keeper<D>, queue: &Receiver<Job>, again: Duration) {
+fn keep<D: Disk>(mut control_node: Keeper<D>, queue: &Receiver<Job>, again: Duration) {
     while let Ok(job) = queue.recv() {
         let jobs: Vec<Job> = std::iter::once(job).chain(queue.try_iter().take(QUEUE)).collect();
         let all = together(&jobs);
         if all.voter_set.is_some() || !all.acceptors.is_empty() || !all.grants.is_empty() {
-            keeper.keep(all, again);
+            control_node.keep(all, again);
         }
         jobs.into_iter().for_each(|job| (job.kept)());
         // Nobody waits for this but what comes next.
-        keeper.tidy();
+        control_node.tidy();
     }
 }
 
--- a/crates/storage/src/simulated_disk.rs
+++ b/crates/storage/src/simulated_disk.rs
@@ -224,7 +224,7 @@
 struct Inner {
     platter: Platter,
     /// Done so far: writes, syncs, names.
-    acts: u64,
+    effects: u64,
     refused: Range<u64>,
     /// Draws what a refused act has done nevertheless.
     chance: Rand64,
@@ -241,7 +241,7 @@
 impl MadeUp {
     pub fn new(platter: Platter) -> MadeUp {
         let chance = Rand64::new(7);
-        let inner = Inner { platter, acts: 0, refused: 0..0, chance, idle: |_| false, watch: None };
+        let inner = Inner { platter, effects: 0, refused: 0..0, chance, idle: |_| false, watch: None };
         MadeUp { inner: Arc::new(Mutex::new(inner)) }
     }
 
@@ -253,8 +253,8 @@
         self.inner().platter.clone()
     }
 
-    pub fn acts(&self) -> u64 {
-        self.inner().acts
+    pub fn effects(&self) -> u64 {
+        self.inner().effects
     }
 
     /// Refuses all writes, syncs and names of these numbers.
@@ -272,15 +272,15 @@
         self.inner().watch = Some(Box::new(watch));
     }
 
-    fn act(&self, act: impl FnOnce(&mut Platter) -> io::Result<()>) -> io::Result<()> {
+    fn effect(&self, effect: impl FnOnce(&mut Platter) -> io::Result<()>) -> io::Result<()> {
         let mut inner = self.inner();
-        let number = inner.acts;
-        inner.acts += 1;
+        let number = inner.effects;
+        inner.effects += 1;
         let refused = inner.refused.contains(&number);
         // A refused act may have been done all the same.
         let mut result = Ok(());
         if !refused || inner.chance.rand_range(0..2) == 0 {
-            result = act(&mut inner.platter);
+            result = effect(&mut inner.platter);
         }
         let Inner { platter, watch, .. } = &mut *inner;
         if let Some(watch) = watch {
@@ -292,16 +292,16 @@
     fn sync_as(&self, path: &Path) -> io::Result<()> {
         let (refused, idle) = {
             let inner = self.inner();
-            (inner.refused.contains(&inner.acts), (inner.idle)(path))
+            (inner.refused.contains(&inner.effects), (inner.idle)(path))
         };
         match (refused, idle) {
-            (_, true) => self.act(|_| Ok(())),
+            (_, true) => self.effect(|_| Ok(())),
             // Where it is refused, what waited may be there for the eye alone.
             (true, _) => {
                 let truly = self.inner().chance.rand_range(0..2) == 0;
-                self.act(|platter| platter.sync(path, truly))
+                self.effect(|platter| platter.sync(path, truly))
             }
-            _ => self.act(|platter| platter.sync(path, true)),
+            _ => self.effect(|platter| platter.sync(path, true)),
         }
     }
 }
@@ -332,10 +332,10 @@
     }
 
     fn write(&self, file: &Path, bytes: &[u8]) -> io::Result<()> {
-        self.act(|platter| platter.write(file, Write::Cut))?;
+        self.effect(|platter| platter.write(file, Write::Cut))?;
         let (half, rest) = bytes.split_at(bytes.len() / 2);
-        self.act(|platter| platter.write(file, Write::At(0, half.to_vec())))?;
-        self.act(|platter| platter.write(file, Write::At(half.len(), rest.to_vec())))
+        self.effect(|platter| platter.write(file, Write::At(0, half.to_vec())))?;
+        self.effect(|platter| platter.write(file, Write::At(half.len(), rest.to_vec())))
     }
 
     fn sync(&self, path: &Path) -> io::Result<()> {
@@ -343,7 +343,7 @@
     }
 
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()> {
-        self.act(|platter| platter.rename(from, to))
+        self.effect(|platter| platter.rename(from, to))
     }
 
     fn remove(&self, path: &Path) -> io::Result<()> {
@@ -351,9 +351,9 @@
             return Ok(());
         }
         for name in self.list(path).unwrap_or_default() {
-            self.act(|platter| platter.remove(&path.join(&name)))?;
+            self.effect(|platter| platter.remove(&path.join(&name)))?;
         }
-        self.act(|platter| platter.remove(path))
+        self.effect(|platter| platter.remove(path))
     }
 
     fn begin_log(&self, folder: &Path) -> io::Result<MadeUpLog> {
@@ -361,7 +361,7 @@
         let scratch = SCRATCH.fetch_add(1, Ordering::Relaxed);
         let scratch = std::env::temp_dir().join(format!("logbook-scratch-{}-{scratch}", std::process::id()));
         fs::remove_dir_all(&scratch).ok();
-        self.act(|platter| platter.add(folder, Platter::folder()).map(drop))?;
+        self.effect(|platter| platter.add(folder, Platter::folder()).map(drop))?;
         let log = log_in(&scratch, SEGMENT)?;
         let mut log = MadeUpLog {
             disk: self.clone(),
@@ -393,7 +393,7 @@
         let last = new.iter().rposition(|&byte| byte != 0).map_or(0, |last| last + 1).max(first);
         let written = Write::At(first, new[first..last].to_vec());
         self.taken = new;
-        self.disk.act(|platter| platter.write(&self.file, written))
+        self.disk.effect(|platter| platter.write(&self.file, written))
     }
 }
 
--- a/crates/storage/src/store.rs
+++ b/crates/storage/src/store.rs
@@ -62,15 +62,15 @@
         let found = find(&disk, folder)?;
         let folder = folder.to_path_buf();
         let (number, state, next) = (found.number, found.state, found.next);
-        let mut keeper =
+        let mut control_node =
             Keeper { disk, folder, state, number, log: None, next, used: 0, room: 0, checkpoint };
-        if let Err(e) = keeper.checkpoint(number, &keeper.state.clone()) {
+        if let Err(e) = control_node.checkpoint(number, &control_node.state.clone()) {
             log::warn!("disk refused: {e}; goes on from what is there");
             // A disk that is full may still sync.
-            let synced = found.read.iter().try_for_each(|path| keeper.disk.sync(path));
+            let synced = found.read.iter().try_for_each(|path| control_node.disk.sync(path));
             synced.change_context(StorageError::Disk)?;
         }
-        Ok(keeper)
+        Ok(control_node)
     }
 
     pub fn state(&self) -> &DurableState {
--- a/crates/storage/src/tests.rs
+++ b/crates/storage/src/tests.rs
@@ -13,11 +13,11 @@
 use std::sync::mpsc::channel;
 
 fn slot(round: u64, size: usize) -> AcceptorState {
-    let ballot = ProposalNumber { round, node: 1, nonce: 2 };
+    let proposal = ProposalNumber { round, node: 1, nonce: 2 };
     AcceptorState {
-        promised: ballot,
+        promised: proposal,
         accepted: Some(AcceptedValue {
-            proposal: ballot,
+            proposal,
             revision: round,
             value: vec![round as u8; size].into(),
             recent_versions: Vec::new(),
--- a/crates/storage/src/tests/bounds.rs
+++ b/crates/storage/src/tests/bounds.rs
@@ -117,12 +117,12 @@
 fn disk_and_costs_stay_bounded() {
     for (size, changes) in [(1_000, 10_000), (200_000, 400), (1_000_000, 100)] {
         let disk = Counted::default();
-        let mut keeper = Keeper::open(disk.clone(), Path::new(FOLDER), CHECKPOINT).unwrap();
+        let mut control_node = Keeper::open(disk.clone(), Path::new(FOLDER), CHECKPOINT).unwrap();
         let mut keep = |entered| {
             let before = *disk.counts.lock().unwrap();
-            keeper.keep(entered, Duration::ZERO);
+            control_node.keep(entered, Duration::ZERO);
             let bytes = disk.counts.lock().unwrap().bytes - before.bytes;
-            keeper.tidy();
+            control_node.tidy();
             bytes
         };
         for n in 1..=changes {
--- a/crates/storage/src/tests/crashes.rs
+++ b/crates/storage/src/tests/crashes.rs
@@ -42,24 +42,24 @@
     loop {
         match Keeper::open(disk.clone(), Path::new(FOLDER), CHECKPOINT) {
             Err(e) if *e.current_context() == StorageError::Disk => {}
-            keeper => return keeper.unwrap(),
+            control_node => return control_node.unwrap(),
         }
     }
 }
 
-fn keep(keeper: &mut Keeper<MadeUp>, story: &Mutex<Story>, n: u64) {
-    let entered = change(keeper.state(), n);
+fn keep(control_node: &mut Keeper<MadeUp>, story: &Mutex<Story>, n: u64) {
+    let entered = change(control_node.state(), n);
     {
         let mut story = story.lock().unwrap();
         let next = after(story.entered.last().unwrap(), entered.clone());
         story.entered.push(next);
     }
-    keeper.keep(entered, Duration::ZERO);
+    control_node.keep(entered, Duration::ZERO);
     let mut story = story.lock().unwrap();
-    assert_eq!(keeper.state(), story.entered.last().unwrap());
+    assert_eq!(control_node.state(), story.entered.last().unwrap());
     story.kept = story.entered.len() - 1;
     drop(story);
-    keeper.tidy();
+    control_node.tidy();
 }
 
 /// Paths whose sync does nothing.
@@ -75,7 +75,7 @@
     let wrong = Arc::new(Mutex::new((None, 0)));
     let (told, seen) = (story.clone(), wrong.clone());
     let mut chance = Rand64::new(11);
-    disk.watch(move |platter, act| {
+    disk.watch(move |platter, effect| {
         let story = told.lock().unwrap().clone();
         let (wrong, looked) = &mut *seen.lock().unwrap();
         let mut look = |platter: &Platter, how| {
@@ -84,14 +84,14 @@
             }
             *looked += 1;
             if let Err(what) = story.place(platter) {
-                wrong.get_or_insert(format!("{how} after act {act}: {what}"));
+                wrong.get_or_insert(format!("{how} after act {effect}: {what}"));
             }
         };
         look(platter, "killed");
         each_loss(platter, LOSSES, &mut chance, |left| look(&left, "power lost"));
     });
-    let mut keeper = opened(&disk);
-    (1..=changes).for_each(|n| keep(&mut keeper, &story, n));
+    let mut control_node = opened(&disk);
+    (1..=changes).for_each(|n| keep(&mut control_node, &story, n));
     wrong.lock().unwrap().clone()
 }
 
@@ -135,11 +135,11 @@
     for refused in 1..9 {
         let disk = MadeUp::new(Platter::empty());
         let story = Mutex::new(Story::begin());
-        let mut keeper = opened(&disk);
-        (1..3).for_each(|n| keep(&mut keeper, &story, n));
-        let at = disk.acts();
+        let mut control_node = opened(&disk);
+        (1..3).for_each(|n| keep(&mut control_node, &story, n));
+        let at = disk.effects();
         disk.refuse(at..at + refused, refused.into());
-        (3..30).for_each(|n| keep(&mut keeper, &story, n));
+        (3..30).for_each(|n| keep(&mut control_node, &story, n));
         let story = story.into_inner().unwrap();
         assert_eq!(story.place(&disk.platter()), Ok(29));
     }
@@ -164,25 +164,25 @@
         let shared = Arc::new(Mutex::new(story.clone()));
         let last = Arc::new(Mutex::new(None));
         let (told, left, crash) = (shared.clone(), last.clone(), chance.rand_range(1..120));
-        disk.watch(move |platter, act| {
-            if act == crash {
+        disk.watch(move |platter, effect| {
+            if effect == crash {
                 *left.lock().unwrap() = Some((platter.clone(), told.lock().unwrap().clone()));
             }
         });
         let from = chance.rand_range(0..160);
         disk.refuse(from..from + chance.rand_range(0..20), chance.rand_u64().into());
-        let mut keeper = opened(&disk);
+        let mut control_node = opened(&disk);
         {
             // What a start gives back is told to others: from here on it is kept.
             let mut story = shared.lock().unwrap();
-            let place = story.entered.iter().rposition(|state| state == keeper.state());
+            let place = story.entered.iter().rposition(|state| state == control_node.state());
             story.kept = place.unwrap_or_else(|| panic!("seed {seed}: a state that never was"));
             let here = story.kept;
             story.entered.truncate(here + 1);
         }
         while last.lock().unwrap().is_none() {
             n += 1;
-            keep(&mut keeper, &shared, n);
+            keep(&mut control_node, &shared, n);
         }
         let (at_crash, told) = last.lock().unwrap().take().unwrap();
         platter = match chance.rand_range(0..3) {
@@ -204,19 +204,19 @@
     let left = ends.clone();
     disk.watch(move |platter, _| left.lock().unwrap().push(platter.clone()));
     let story = Mutex::new(Story::begin());
-    let mut keeper = opened(&disk);
-    (1..12).for_each(|n| keep(&mut keeper, &story, n));
+    let mut control_node = opened(&disk);
+    (1..12).for_each(|n| keep(&mut control_node, &story, n));
     let mut chance = Rand64::new(5);
     for platter in ends.lock().unwrap().drain(..) {
         let disk = MadeUp::new(platter);
         // The cut of the file that is written aside.
         disk.refuse(0..1, 1);
-        let mut keeper = opened(&disk);
-        let story = Mutex::new(Story { entered: vec![keeper.state().clone()], kept: 0 });
+        let mut control_node = opened(&disk);
+        let story = Mutex::new(Story { entered: vec![control_node.state().clone()], kept: 0 });
         each_loss(&disk.platter(), LOSSES / 5, &mut chance, |lost| {
             assert_eq!(story.lock().unwrap().place(&lost), Ok(0));
         });
-        (12..15).for_each(|n| keep(&mut keeper, &story, n));
+        (12..15).for_each(|n| keep(&mut control_node, &story, n));
         assert_eq!(story.into_inner().unwrap().place(&disk.platter()), Ok(3));
     }
 }
--- a/crates/storage/src/tests/fixtures.rs
+++ b/crates/storage/src/tests/fixtures.rs
@@ -60,7 +60,7 @@
     copy
 }
 
-fn ballot(round: u64, node: u32, nonce: u32) -> ProposalNumber {
+fn proposal(round: u64, node: u32, nonce: u32) -> ProposalNumber {
     ProposalNumber { round, node, nonce }
 }
 
@@ -76,9 +76,9 @@
             (
                 Register::Configuration,
                 AcceptorState {
-                    promised: ballot(0x100_0000_0009, 0x0a00_0102, 0xdead_beef),
+                    promised: proposal(0x100_0000_0009, 0x0a00_0102, 0xdead_beef),
                     accepted: Some(AcceptedValue {
-                        proposal: ballot(0x100_0000_0008, 0x0a00_0001, 77),
+                        proposal: proposal(0x100_0000_0008, 0x0a00_0001, 77),
                         revision: 300,
                         value: "services: [one]\n".into(),
                         recent_versions: vec![
@@ -91,9 +91,9 @@
             (
                 Register::Evacuations,
                 AcceptorState {
-                    promised: ballot(0x100_0000_0002, 0x0a01_0203, 5),
+                    promised: proposal(0x100_0000_0002, 0x0a01_0203, 5),
                     accepted: Some(AcceptedValue {
-                        proposal: ballot(0x100_0000_0001, 0x0a00_0102, 6),
+                        proposal: proposal(0x100_0000_0001, 0x0a00_0102, 6),
                         revision: 2,
                         value: "zone-a\nzone-b".into(),
                         recent_versions: vec![],
@@ -102,7 +102,7 @@
             ),
             (
                 Register::VoterSet,
-                AcceptorState { promised: ballot(0x100_0000_0003, 0x0a00_0001, 8), accepted: None },
+                AcceptorState { promised: proposal(0x100_0000_0003, 0x0a00_0001, 8), accepted: None },
             ),
         ]),
         grants: BTreeMap::from([
@@ -126,7 +126,7 @@
         (register, AcceptorState { promised, accepted: snapshot.acceptors[&register].accepted.clone() })
     };
     let chart = AcceptedValue {
-        proposal: ballot(0x100_0000_000b, 0x0a01_0203, 78),
+        proposal: proposal(0x100_0000_000b, 0x0a01_0203, 78),
         revision: 301,
         value: "services: [one, two]\n".into(),
         recent_versions: vec![
@@ -135,13 +135,13 @@
         ],
     };
     let chart_slot =
-        AcceptorState { promised: ballot(0x100_0000_000b, 0x0a01_0203, 78), accepted: Some(chart.clone()) };
+        AcceptorState { promised: proposal(0x100_0000_000b, 0x0a01_0203, 78), accepted: Some(chart.clone()) };
     let chart_promise =
-        AcceptorState { promised: ballot(0x100_0000_000d, 0x0a00_0102, 81), accepted: Some(chart) };
+        AcceptorState { promised: proposal(0x100_0000_000d, 0x0a00_0102, 81), accepted: Some(chart) };
     let muster_slot = AcceptorState {
-        promised: ballot(0x100_0000_000c, 0x0a02_0304, 80),
+        promised: proposal(0x100_0000_000c, 0x0a02_0304, 80),
         accepted: Some(AcceptedValue {
-            proposal: ballot(0x100_0000_000c, 0x0a02_0304, 80),
+            proposal: proposal(0x100_0000_000c, 0x0a02_0304, 80),
             revision: 4,
             value: "voter set".into(),
             recent_versions: vec![],
@@ -158,11 +158,11 @@
         },
         StateChange { acceptors: vec![(Register::Configuration, chart_slot)], ..StateChange::default() },
         StateChange {
-            acceptors: vec![promise(Register::Evacuations, ballot(0x100_0000_0004, 0x0a00_0001, 79))],
+            acceptors: vec![promise(Register::Evacuations, proposal(0x100_0000_0004, 0x0a00_0001, 79))],
             ..StateChange::default()
         },
         StateChange {
-            acceptors: vec![promise(Register::VoterSet, ballot(0x100_0000_0005, 0x0a00_0001, 90))],
+            acceptors: vec![promise(Register::VoterSet, proposal(0x100_0000_0005, 0x0a00_0001, 90))],
             ..StateChange::default()
         },
         StateChange {
@@ -199,9 +199,9 @@
             (
                 Register::Configuration,
                 legacy_format::Slot {
-                    promised: ballot(300, 0x0a00_0001, 0xdead_beef),
+                    promised: proposal(300, 0x0a00_0001, 0xdead_beef),
                     held: Some(legacy_format::Held {
-                        ballot: ballot(299, 0x0a00_0102, 7),
+                        proposal: proposal(299, 0x0a00_0102, 7),
                         stamp: 150,
                         value: "services: [one]\n".into(),
                     }),
@@ -210,17 +210,17 @@
             (
                 Register::Evacuations,
                 legacy_format::Slot {
-                    promised: ballot(4, 0x0a00_0102, 9),
+                    promised: proposal(4, 0x0a00_0102, 9),
                     held: Some(legacy_format::Held {
-                        ballot: ballot(3, 0x0a00_0001, 10),
+                        proposal: proposal(3, 0x0a00_0001, 10),
                         stamp: 2,
                         value: "zone-a".into(),
                     }),
                 },
             ),
-            (Register::VoterSet, legacy_format::Slot { promised: ballot(1, 0x0a00_0001, 11), held: None }),
+            (Register::VoterSet, legacy_format::Slot { promised: proposal(1, 0x0a00_0001, 11), held: None }),
         ]),
-        posts: BTreeMap::from([
+        grants: BTreeMap::from([
             (
                 SingletonRole::HostDiscovery,
                 LeaseGrant { role: SingletonRole::HostDiscovery, holder: 0x0a00_0001, term: 12 },
@@ -236,22 +236,22 @@
 /// What the log of the fixture of before the versions adds: voters, slots with and without a value, and posts.
 fn before_versions_changes() -> [legacy_format::Entered; 4] {
     let chart = legacy_format::Slot {
-        promised: ballot(302, 0x0a00_0102, 12),
+        promised: proposal(302, 0x0a00_0102, 12),
         held: Some(legacy_format::Held {
-            ballot: ballot(301, 0x0a01_0203, 13),
+            proposal: proposal(301, 0x0a01_0203, 13),
             stamp: 151,
             value: "services: [one, two]\n".into(),
         }),
     };
     let first_voters = legacy_format::Slot {
-        promised: ballot(2, 0x0a00_0102, 14),
+        promised: proposal(2, 0x0a00_0102, 14),
         held: Some(legacy_format::Held {
-            ballot: ballot(2, 0x0a00_0102, 14),
+            proposal: proposal(2, 0x0a00_0102, 14),
             stamp: 1,
             value: "first voters".into(),
         }),
     };
-    let evacuations = legacy_format::Slot { promised: ballot(6, 0x0a01_0203, 15), held: None };
+    let evacuations = legacy_format::Slot { promised: proposal(6, 0x0a01_0203, 15), held: None };
     [
         legacy_format::Entered {
             voters: Some(vec![0x0a01_0203, 0x0a00_0102, 0x0a00_0001]),
@@ -266,7 +266,7 @@
             ..legacy_format::Entered::default()
         },
         legacy_format::Entered {
-            posts: vec![LeaseGrant { role: SingletonRole::QuotaCounter, holder: 0x0a01_0203, term: 1301 }],
+            grants: vec![LeaseGrant { role: SingletonRole::QuotaCounter, holder: 0x0a01_0203, term: 1301 }],
             ..legacy_format::Entered::default()
         },
     ]
@@ -300,9 +300,9 @@
             (
                 Register::Configuration,
                 AcceptorState {
-                    promised: ballot(0x100_0000_000d, 0x0a00_0102, 81),
+                    promised: proposal(0x100_0000_000d, 0x0a00_0102, 81),
                     accepted: Some(AcceptedValue {
-                        proposal: ballot(0x100_0000_000b, 0x0a01_0203, 78),
+                        proposal: proposal(0x100_0000_000b, 0x0a01_0203, 78),
                         revision: 301,
                         value: "services: [one, two]\n".into(),
                         recent_versions: vec![
@@ -315,9 +315,9 @@
             (
                 Register::Evacuations,
                 AcceptorState {
-                    promised: ballot(0x100_0000_0004, 0x0a00_0001, 79),
+                    promised: proposal(0x100_0000_0004, 0x0a00_0001, 79),
                     accepted: Some(AcceptedValue {
-                        proposal: ballot(0x100_0000_0001, 0x0a00_0102, 6),
+                        proposal: proposal(0x100_0000_0001, 0x0a00_0102, 6),
                         revision: 2,
                         value: "zone-a\nzone-b".into(),
                         recent_versions: vec![],
@@ -327,9 +327,9 @@
             (
                 Register::VoterSet,
                 AcceptorState {
-                    promised: ballot(0x100_0000_000c, 0x0a02_0304, 80),
+                    promised: proposal(0x100_0000_000c, 0x0a02_0304, 80),
                     accepted: Some(AcceptedValue {
-                        proposal: ballot(0x100_0000_000c, 0x0a02_0304, 80),
+                        proposal: proposal(0x100_0000_000c, 0x0a02_0304, 80),
                         revision: 4,
                         value: "voter set".into(),
                         recent_versions: vec![],
@@ -405,16 +405,16 @@
             (
                 Register::Configuration,
                 AcceptorState {
-                    promised: ballot(302, 0x0a00_0102, 12),
+                    promised: proposal(302, 0x0a00_0102, 12),
                     accepted: Some(AcceptedValue {
-                        proposal: ballot(301, 0x0a01_0203, 13),
+                        proposal: proposal(301, 0x0a01_0203, 13),
                         revision: 151,
                         value: "services: [one, two]\n".into(),
                         recent_versions: vec![],
                     }),
                 },
             ),
-            (Register::Evacuations, AcceptorState { promised: ballot(6, 0x0a01_0203, 15), accepted: None }),
+            (Register::Evacuations, AcceptorState { promised: proposal(6, 0x0a01_0203, 15), accepted: None }),
         ]),
         grants: BTreeMap::from([
             (
@@ -444,9 +444,9 @@
             (
                 Register::Configuration,
                 AcceptorState {
-                    promised: ballot(300, 0x0a00_0001, 0xdead_beef),
+                    promised: proposal(300, 0x0a00_0001, 0xdead_beef),
                     accepted: Some(AcceptedValue {
-                        proposal: ballot(299, 0x0a00_0102, 7),
+                        proposal: proposal(299, 0x0a00_0102, 7),
                         revision: 150,
                         value: "services: [one]\n".into(),
                         recent_versions: vec![],
@@ -456,9 +456,9 @@
             (
                 Register::Evacuations,
                 AcceptorState {
-                    promised: ballot(4, 0x0a00_0102, 9),
+                    promised: proposal(4, 0x0a00_0102, 9),
                     accepted: Some(AcceptedValue {
-                        proposal: ballot(3, 0x0a00_0001, 10),
+                        proposal: proposal(3, 0x0a00_0001, 10),
                         revision: 2,
                         value: "zone-a".into(),
                         recent_versions: vec![],
--- a/crates/storage/src/tests/folders.rs
+++ b/crates/storage/src/tests/folders.rs
@@ -178,7 +178,7 @@
     for round in 1..4 {
         let archlink_messages::AcceptorState { promised, accepted: held } = slot(round, 300);
         let held = held.map(|held| legacy_format::Held {
-            ballot: held.proposal,
+            proposal: held.proposal,
             stamp: held.revision,
             value: held.value,
         });
