--- a/crates/admission/src/admission.rs
+++ b/crates/admission/src/admission.rs
@@ -1,136 +1,156 @@
-//! One gateway's life: what it decides stands in `quota.rs`, `hosts.rs`, `hand_offs.rs` and `timing.rs`, what it holds
-//! in mind in `state.rs`. A front makes a `Gateway` with `start` and calls it with what happens, in order, with its clock.
-//! Each call acts through the `Outward` handed in. A gateway shares nothing; the same calls give the same actions. Each
-//! inquiry goes `arrived` -> `ask_quota` -> `send_on` -> `after_hand_off` -> an answer; closures hold what waits.
+//! The admission decisions of one gateway: whether a request is within its tenant's quota, which host gets it, when an
+//! attempt is retried, and what the client is told.
+//!
+//! A driver creates an [`Admission`] with [`Admission::start`] and calls it with each event, in order, with its own
+//! monotonic clock; each call acts through the [`Driver`] that it is given. An instance shares nothing, does no I/O and
+//! reads no clock: the same calls lead to the same actions.
+//!
+//! A request passes `request_arrived` -> `check_quota` -> `dispatch` -> `after_attempt` -> an answer. What waits for the
+//! counter, for a host or for a timer is kept as a continuation (see `state`).
+//!
+//! Decisions: `quota`, `tiers`, `windows`, `accounting` (quotas), `host_list`, `host_selection`, `host_health` (hosts),
+//! `attempts` (retries and answers), `timers`.
 
 use crate::backoff::Backoff;
 use crate::interface::*;
-use crate::quota::{Tier, WIDE, ceiling, tiers};
 use crate::state::*;
-use crate::timers::ROUND;
+use crate::tiers::{Tier, rate_limit, tiers};
+use crate::timers::SWEEP_INTERVAL;
+use crate::windows::SPREAD_OUT_FROM;
 use std::collections::BTreeMap;
 
-/// One row a lane: what may be done again, where, and for how long.
-pub(crate) struct Lane {
-    pub(crate) goal: f64,
-    pub(crate) of_use: f64,
-    pub(crate) repeats: bool,
-    pub(crate) fellows: DedupScope,
-    pub(crate) memory: f64,
-    pub(crate) refusable: bool,
+/// What a request class allows: whether an attempt may be retried, where, and for how long.
+pub(crate) struct ClassPolicy {
+    pub(crate) latency_target: f64,
+    pub(crate) useful_for: f64,
+    pub(crate) repeatable: bool,
+    pub(crate) dedup_scope: DedupScope,
+    pub(crate) dedup_window: f64,
+    pub(crate) rejectable: bool,
 }
 
-impl Lane {
-    pub(crate) fn of(terms: &RequestClass) -> Lane {
-        let (repeats, fellows, memory, refusable) = match terms.effect {
+impl ClassPolicy {
+    pub(crate) fn of(terms: &RequestClass) -> ClassPolicy {
+        let (repeatable, dedup_scope, dedup_window, rejectable) = match terms.effect {
             Effect::Pure => (true, DedupScope::All, f64::INFINITY, true),
             Effect::Receipted => {
                 (true, terms.dedup_scope, terms.dedup_window, terms.dedup_scope == DedupScope::All)
             }
             Effect::Effectful => (false, DedupScope::All, 0.0, false),
         };
-        let goal = terms.latency_target.max(0.001);
-        let of_use = if terms.late_value > 0.0 { f64::INFINITY } else { goal };
-        Lane { goal, of_use, repeats, fellows, memory, refusable }
+        let latency_target = terms.latency_target.max(0.001);
+        let useful_for = if terms.late_value > 0.0 { f64::INFINITY } else { latency_target };
+        ClassPolicy { latency_target, useful_for, repeatable, dedup_scope, dedup_window, rejectable }
     }
 }
-
+/// The admission decisions of one gateway; see the module's documentation.
 pub struct Admission {
-    pub(crate) terms: AdmissionSettings,
-    pub(crate) lanes: Vec<Lane>,
+    pub(crate) settings: AdmissionSettings,
+    pub(crate) classes: Vec<ClassPolicy>,
     pub(crate) tiers: Vec<Vec<Tier>>,
-    pub(crate) ceilings: Vec<(bool, f64, f64)>,
+    pub(crate) rate_limits: Vec<(bool, f64, f64)>,
     pub(crate) now: f64,
-    pub(crate) chance: oorandom::Rand64,
+    pub(crate) rng: oorandom::Rand64,
     pub(crate) hosts: BTreeMap<HostId, Host>,
-    /// All hosts as one, steered by every answer: what may be out at least, where a host's part is under one.
+    /// All hosts as one, adjusted by every answer: the lower bound of what may be in flight where one host's part is below one.
     pub(crate) fleet: Host,
-    /// Gateways that turn to one host, this one included.
-    pub(crate) sharing: f64,
-    pub(crate) open: BTreeMap<u32, Open>,
-    pub(crate) hands: BTreeMap<(u32, u16), (Due, usize, AfterHandOff)>,
+    /// Gateways that send to one host, this one included.
+    pub(crate) gateways_per_host: f64,
+    pub(crate) requests: BTreeMap<u32, OpenRequest>,
+    pub(crate) attempts: BTreeMap<(u32, u16), (TimerKey, usize, AttemptContinuation)>,
     pub(crate) customers: BTreeMap<u64, Customer>,
-    pub(crate) names: BTreeMap<u64, Tally>,
-    pub(crate) waits: BTreeMap<u64, (Due, AfterCount)>,
-    pub(crate) due: BTreeMap<Due, Step>,
-    pub(crate) serial: u64,
-    pub(crate) wake_at: f64,
-    pub(crate) ask_again: Backoff,
-    pub(crate) round_at: f64,
-    pub(crate) traced_at: f64,
-    pub(crate) ask_share: f64,
-    pub(crate) crowded: bool,
+    pub(crate) counters: BTreeMap<u64, CounterEntry>,
+    pub(crate) pending_calls: BTreeMap<u64, (TimerKey, CounterContinuation)>,
+    pub(crate) timers: BTreeMap<TimerKey, TimerAction>,
+    pub(crate) last_serial: u64,
+    pub(crate) timer_at: f64,
+    pub(crate) subscribe_backoff: Backoff,
+    pub(crate) next_sweep_at: f64,
+    pub(crate) ejections_logged_at: f64,
+    pub(crate) counter_call_fraction: f64,
+    pub(crate) counter_degraded: bool,
 }
 
 impl Admission {
-    pub fn start(terms: AdmissionSettings, seed: u64, now: f64, out: &mut dyn Driver) -> Admission {
+    /// Starts a gateway. `seed` of its random numbers; `now` in seconds on the driver's clock.
+    pub fn start(terms: AdmissionSettings, seed: u64, now: f64, driver: &mut dyn Driver) -> Admission {
         let mut gateway = Admission {
-            lanes: terms.classes.iter().map(Lane::of).collect(),
-            ceilings: terms.plans.iter().map(|p| ceiling(p, terms.may_count)).collect(),
+            classes: terms.classes.iter().map(ClassPolicy::of).collect(),
+            rate_limits: terms.plans.iter().map(|p| rate_limit(p, terms.may_count)).collect(),
             tiers: terms.plans.iter().map(|p| tiers(p, terms.max_units)).collect(),
             now,
-            chance: oorandom::Rand64::new(u128::from(seed)),
+            rng: oorandom::Rand64::new(u128::from(seed)),
             hosts: BTreeMap::new(),
             fleet: Host { limit: 3.0, ..Host::default() },
-            sharing: 1.0,
-            open: BTreeMap::new(),
-            hands: BTreeMap::new(),
+            gateways_per_host: 1.0,
+            requests: BTreeMap::new(),
+            attempts: BTreeMap::new(),
             customers: BTreeMap::new(),
-            names: BTreeMap::new(),
-            waits: BTreeMap::new(),
-            due: BTreeMap::new(),
-            serial: 0,
-            wake_at: f64::INFINITY,
-            ask_again: Backoff::default(),
-            round_at: now + ROUND,
-            traced_at: 0.0,
-            ask_share: 1.0,
-            crowded: false,
-            terms,
+            counters: BTreeMap::new(),
+            pending_calls: BTreeMap::new(),
+            timers: BTreeMap::new(),
+            last_serial: 0,
+            timer_at: f64::INFINITY,
+            subscribe_backoff: Backoff::default(),
+            next_sweep_at: now + SWEEP_INTERVAL,
+            ejections_logged_at: 0.0,
+            counter_call_fraction: 1.0,
+            counter_degraded: false,
+            settings: terms,
         };
-        if gateway.terms.must_subscribe {
-            out.subscribe();
+        if gateway.settings.must_subscribe {
+            driver.subscribe();
         }
-        gateway.rouse(out);
+        gateway.arm_timer(driver);
         gateway
     }
 
-    /// Other quotas from now on; plans keep their numbers, and customers what is known of their use.
+    /// Replaces the plans' limits. Plans keep their indexes, customers what is known of their use.
     pub fn set_plans(&mut self, plans: Vec<PlanLimits>) {
-        self.ceilings = plans.iter().map(|p| ceiling(p, self.terms.may_count)).collect();
-        self.tiers = plans.iter().map(|p| tiers(p, self.terms.max_units)).collect();
-        self.terms.plans = plans;
+        self.rate_limits = plans.iter().map(|p| rate_limit(p, self.settings.may_count)).collect();
+        self.tiers = plans.iter().map(|p| tiers(p, self.settings.max_units)).collect();
+        self.settings.plans = plans;
     }
 
-    pub(crate) fn about(&self, id: u32) -> (u64, usize, f64) {
-        let open = &self.open[&id];
+    pub(crate) fn quota_subject(&self, id: u32) -> (u64, usize, f64) {
+        let open = &self.requests[&id];
         (open.customer, open.plan, open.units)
     }
 
-    pub fn request_arrived(&mut self, now: f64, out: &mut dyn Driver, inquiry: Request) {
+    /// A client's request: leads to an attempt, or to a rejection, at once or when the counter replied.
+    pub fn request_arrived(&mut self, now: f64, driver: &mut dyn Driver, request: Request) {
         self.now = now;
-        let Request { id, class: lane, plan, customer, remaining: left, units, spread, .. } = inquiry;
-        let terms = &self.terms.plans[plan];
+        let Request { id, class, plan, customer, remaining: left, units, spread, .. } = request;
+        let terms = &self.settings.plans[plan];
         let share = 1.0 / f64::from(spread.max(1));
         let fresh = || Customer {
-            seen: now,
-            wide: spread > WIDE,
-            share,
-            even: share,
-            slides: [Slide { room: terms.burst, at: now, ..Slide::default() }; 3],
-            ceiling_at: now,
+            last_seen: now,
+            spread_out: spread > SPREAD_OUT_FROM,
+            local_share: share,
+            even_share: share,
+            windows: [SlidingWindow { room: terms.burst, updated_at: now, ..SlidingWindow::default() }; 3],
+            rate_limit_refilled_at: now,
             ..Customer::default()
         };
-        self.customers.entry(customer).or_insert_with(fresh).seen = now;
+        self.customers.entry(customer).or_insert_with(fresh).last_seen = now;
         let until = now + left;
-        let of_use = until.min(now + self.lanes[lane].of_use);
-        let count_by = (now + 2.0 * self.wait_bound()).min(until - 0.005);
-        let open = Open { lane, plan, customer, units, until, of_use, count_by, ..Open::default() };
-        self.open.insert(id, open);
-        match self.any_room(lane) {
-            true => self.ask_quota(out, id),
-            false => self.push_back_by_load(out, id),
+        let of_use = until.min(now + self.classes[class].useful_for);
+        let count_by = (now + 2.0 * self.counter_timeout()).min(until - 0.005);
+        let open = OpenRequest {
+            class,
+            plan,
+            customer,
+            units,
+            deadline: until,
+            useful_until: of_use,
+            counter_deadline: count_by,
+            ..OpenRequest::default()
+        };
+        self.requests.insert(id, open);
+        match self.has_capacity(class) {
+            true => self.check_quota(driver, id),
+            false => self.reject_overloaded(driver, id),
         }
-        self.rouse(out);
+        self.arm_timer(driver);
     }
 }
--- a/crates/admission/src/interface.rs
+++ b/crates/admission/src/interface.rs
@@ -1,169 +1,274 @@
-//! Plain types a front fills in, and the trait through which the decisions speak back.
-//! Times are seconds with fractions on the front's clock; ids stay as the front gives them.
+//! Types that a driver fills in, and the trait through which the decisions act on the outside world.
+//!
+//! Times are seconds on the driver's monotonic clock; identifiers are the driver's own.
 
+/// A host, as the driver numbers it.
 pub type HostId = u64;
 
+/// What running a request more than once means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
+    /// Reads only: may run any number of times.
     Pure,
+    /// Hosts drop repeats of one idempotency key, within [`DedupScope`] and for a limited time.
     Receipted,
+    /// Must not run twice.
     Effectful,
 }
 
-/// Which hosts drop a receipted inquiry's repeats.
+/// Which hosts drop the repeats of a receipted request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
+    /// All hosts share their memory of keys.
     All,
+    /// The hosts of one zone.
     Zone,
+    /// The hosts of one cell.
     Cell,
 }
 
+/// A class of requests, from the settings' `classes`.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
+    /// Latency target, in seconds.
     pub latency_target: f64,
+    /// Seconds that a client waits for one try.
     pub client_timeout: f64,
+    /// Value of an answer in time, relative to other classes.
     pub importance: f64,
-    /// Part of its importance that an answer after the goal time is still worth, 0 to 1.
+    /// Part of its importance that an answer after the latency target is still worth, 0 to 1.
     pub late_value: f64,
+    /// What running it more than once means.
     pub effect: Effect,
+    /// Which hosts drop its repeats, where it is receipted.
     pub dedup_scope: DedupScope,
+    /// Seconds for which they do.
     pub dedup_window: f64,
 }
 
-/// A plan's quota; 0 in `rate` or `ceiling_rate` means that there is no such limit.
+/// A plan's limits; 0 in `rate` or `rate_limit` means that there is no such limit.
 #[derive(Clone, Debug, Default)]
 pub struct PlanLimits {
+    /// Quota in units a second.
     pub rate: f64,
+    /// Units that may be used at once beyond the rate.
     pub burst: f64,
+    /// Revenue of one unit beyond the quota.
     pub overage_revenue: f64,
+    /// Cost of one unit beyond the quota.
     pub overage_cost: f64,
+    /// Price of one unit within the quota.
     pub price: f64,
+    /// Hard rate limit in units a second, above the quota.
     pub rate_limit: f64,
+    /// Burst of the hard rate limit, in units.
     pub rate_limit_burst: f64,
+    /// Units beyond the hard limit that are tolerated.
     pub rate_limit_slack: f64,
 }
 
-/// All that a gateway is told at its start.
+/// All that a gateway's decisions are configured with at its start.
 #[derive(Clone, Debug)]
 pub struct AdmissionSettings {
+    /// Request classes, by index.
     pub classes: Vec<RequestClass>,
+    /// Plans, by index.
     pub plans: Vec<PlanLimits>,
+    /// Gateways in the deployment.
     pub gateways: u32,
+    /// This gateway's number among them, from 0 on.
     pub gateway_number: u32,
+    /// This gateway's zone.
     pub zone: u8,
+    /// Whether there is a shared counter.
     pub may_count: bool,
+    /// Seconds after which a call to the counter has failed.
     pub count_timeout: f64,
+    /// Whether hosts report the units that a request really used.
     pub settles: bool,
+    /// Units of the largest request.
     pub max_units: f64,
+    /// Whether host lists come by subscription.
     pub must_subscribe: bool,
+    /// Longest wait between two attempts to subscribe, in seconds.
     pub ask_within: f64,
+    /// Whether hosts differ in capacity.
     pub sized: bool,
+    /// Most attempts for one request.
     pub max_attempts: u32,
+    /// Whether a second attempt may run beside the first (hedged request).
     pub may_hedge: bool,
+    /// Whether attempts may be cancelled.
     pub may_cancel: bool,
+    /// Whether hosts may be probed.
     pub may_probe: bool,
+    /// Whether gateways may send messages to each other.
     pub may_message_peers: bool,
+    /// Whether a rejection may carry a `Retry-After`.
     pub may_advise: bool,
+    /// Largest `Retry-After`, in seconds.
     pub max_retry_after: f64,
+    /// Seconds after which nothing may be sent to a draining host.
     pub drain_grace: f64,
+    /// Share of its capacity that a host has when it starts.
     pub cold_from: f64,
+    /// Seconds until a host that has started has its full capacity.
     pub warm_up: f64,
+    /// Load at which a host tips over, as a multiple of its capacity.
     pub tip_multiple: f64,
+    /// Seconds for which a host stays slow after that.
     pub tip_for: f64,
 }
 
+/// State of a host in the host list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum HostState {
+    /// Takes requests.
     #[default]
     Ready,
+    /// Finishes what it has; takes no new requests.
     Draining,
+    /// No longer listed.
     Removed,
 }
 
-/// One line of the list of hosts; `started` 0 means long ago.
+/// An entry of the host list.
 #[derive(Clone, Debug, Default)]
 pub struct HostEntry {
+    /// The host.
     pub host: HostId,
+    /// Its zone.
     pub zone: u8,
+    /// Its kind of machine.
     pub kind: u8,
+    /// Its cell, for [`DedupScope::Cell`].
     pub cell: u16,
+    /// Whether it takes requests.
     pub state: HostState,
+    /// Its capacity relative to others.
     pub size: f64,
+    /// When it started, in seconds; 0: long ago.
     pub started: f64,
 }
 
-/// How a piece of the list stands to the list in hand.
+/// How a received host list relates to the one in use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostListUpdate {
+    /// Changed entries only.
     Delta,
+    /// The complete list.
     Full,
+    /// The complete list as it was last known, from a cache.
     Cached,
+    /// There is none: the subscription failed.
     Failed,
 }
 
+/// A client's request.
 #[derive(Clone, Debug)]
 pub struct Request {
+    /// Unique among open requests.
     pub id: u32,
+    /// Index of its class.
     pub class: usize,
+    /// Index of its customer's plan.
     pub plan: usize,
+    /// Its customer.
     pub customer: u64,
     /// Seconds until the client abandons this try.
     pub remaining: f64,
+    /// Units that it is expected to use.
     pub units: f64,
+    /// How many gateways its customer uses.
     pub spread: u32,
+    /// The number of the first of them.
     pub first: u32,
 }
 
+/// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
+    /// A complete answer.
     Answered,
+    /// An answer that reports a failure of the host.
     Error,
+    /// The host had no capacity and did not run it.
     Full,
+    /// No answer in time.
     TimedOut,
+    /// No connection; it did not run.
     ConnectFailed,
+    /// The connection ended before the answer was complete.
     Reset,
+    /// Cancelled from here.
     Cancelled,
+    /// Nothing was sent.
     NeverSent,
 }
 
-/// A host's own figures, where it gave any.
+/// A host's own load report, as far as it gave one.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Load {
+    /// Utilization, 0 to 1.
     pub util: Option<f64>,
+    /// Service time, in seconds.
     pub service: Option<f64>,
 }
 
-/// How one hand-off ended.
+/// The end of one attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptResult {
+    /// The request.
     pub request: u32,
+    /// Number of the attempt, from 0 on.
     pub attempt: u16,
-    /// Nothing more is owed for the inquiry.
+    /// Whether the client has its answer: nothing more is owed for the request.
     pub final_attempt: bool,
+    /// How it ended.
     pub outcome: Outcome,
+    /// Seconds that it took.
     pub elapsed: f64,
+    /// Units that it really used; 0: not reported.
     pub true_units: f64,
+    /// The host.
     pub host: HostId,
+    /// The host's load report.
     pub load: Load,
 }
 
+/// A counter's reply to one add.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CounterReply {
+    /// Added; the total under the key after it.
     Total(f64),
+    /// Certainly not added.
     NotAdded,
+    /// No reply: it may have been added.
     Unknown,
 }
 
-/// What the decisions may do to the world outside.
+/// What the decisions may do. A driver implements it; an implementation must not call back into [`Admission`].
+///
+/// [`Admission`]: crate::admission::Admission
 pub trait Driver {
-    fn start_attempt(&mut self, inquiry: u32, host: HostId, until: f64);
-    fn cancel_attempt(&mut self, inquiry: u32, nth: u16);
-    fn reject(&mut self, inquiry: u32, come_back_in: f64);
-    fn abort(&mut self, inquiry: u32);
+    /// Sends the request to a host. `until`: when the attempt has to end, in seconds; 0: with the request.
+    fn start_attempt(&mut self, request: u32, host: HostId, until: f64);
+    /// Cancels an attempt in flight; its end is reported as any other.
+    fn cancel_attempt(&mut self, request: u32, attempt: u16);
+    /// Answers the client that nothing ran; it may retry after so many seconds (0: no advice).
+    fn reject(&mut self, request: u32, retry_after: f64);
+    /// Answers the client that the request failed and may have run.
+    fn abort(&mut self, request: u32);
+    /// Checks whether a host's process runs; answered by `probe_finished`.
     fn probe(&mut self, host: HostId);
-    fn add_to_counter(&mut self, name: u64, amount: f64, keep: f64);
-    fn send_to_peers(&mut self, gateway: Option<u32>, words: &[u8]);
+    /// Adds to a counter key, which lives for `lifetime` seconds from its first add on; answered by `counter_replied`.
+    fn add_to_counter(&mut self, key: u64, amount: f64, lifetime: f64);
+    /// Sends bytes to one gateway, or to all.
+    fn send_to_peers(&mut self, gateway: Option<u32>, payload: &[u8]);
+    /// Subscribes to host lists.
     fn subscribe(&mut self);
+    /// Sets the only timer: `timer_fired` is due after so many seconds; replaces an earlier one.
     fn set_timer(&mut self, after: f64);
+    /// A line for the log.
     fn log(&mut self, line: &str);
 }
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,12 +1,19 @@
-//! archlink: admission decisions for services sold by plan.
-#![forbid(unsafe_code)]
+//! Admission of requests against plans: quotas over all gateways, host selection, retries. The decision module of
+//! `archlink-gateway` and of the bench adapter; the quota package uses it as client of its counter. See [`admission`].
 
+mod accounting;
 pub mod admission;
 mod attempts;
 pub mod backoff;
+mod counter_health;
 mod counter_keys;
-mod hosts;
+mod host_health;
+mod host_list;
+mod host_selection;
 pub mod interface;
+mod marks;
 pub mod quota;
 mod state;
+mod tiers;
 mod timers;
+mod windows;
--- a/crates/admission/src/state.rs
+++ b/crates/admission/src/state.rs
@@ -1,83 +1,83 @@
-//! What a gateway holds in mind of customers, inquiries and hosts: plain state, and what waits for an ending. Owns no
-//! decision and no figure; the files that decide read and write it.
+//! State of one gateway: customers, open requests, hosts, counter entries, and the continuations that wait for an event.
+//! Plain data; the modules that decide read and write it.
 
 use crate::admission::Admission;
 use crate::interface::{AttemptResult, Driver, HostEntry, HostId};
 use std::collections::VecDeque;
 
-pub(crate) type Step = Box<dyn FnOnce(&mut Admission, &mut dyn Driver)>;
-pub(crate) type AfterCount = Box<dyn FnOnce(&mut Admission, &mut dyn Driver, Option<f64>)>;
-/// The inquiry that waits for a call's answer, and what it does then.
-pub(crate) type Asker = Option<(u32, AfterCount)>;
-/// When a step comes due, in bits that sort alike, and its serial number: by it a step is struck off again.
-pub(crate) type Due = (u64, u64);
-pub(crate) type AfterHandOff = Box<dyn FnOnce(&mut Admission, &mut dyn Driver, &AttemptResult)>;
+pub(crate) type TimerAction = Box<dyn FnOnce(&mut Admission, &mut dyn Driver)>;
+pub(crate) type CounterContinuation = Box<dyn FnOnce(&mut Admission, &mut dyn Driver, Option<f64>)>;
+/// The request that waits for a counter's reply, and how it continues.
+pub(crate) type PendingCaller = Option<(u32, CounterContinuation)>;
+/// When a timer fires (seconds as bits, which sort alike) and its serial number; by this key it is cancelled.
+pub(crate) type TimerKey = (u64, u64);
+pub(crate) type AttemptContinuation = Box<dyn FnOnce(&mut Admission, &mut dyn Driver, &AttemptResult)>;
 
-/// What this gateway holds of one name on the counter. `held` is what it wants to stand there as its own
-/// part, `claimed` what its calls, answered or not, amount to, `confirmed` the answered part of these.
+/// What this gateway has on the counter under one key. `wanted`: its own part as it should be; `claimed`: what its calls,
+/// answered or not, add up to; `confirmed`: the answered part of these.
 #[derive(Default)]
-pub(crate) struct Tally {
+pub(crate) struct CounterEntry {
     pub(crate) expires: f64,
-    pub(crate) held: f64,
+    pub(crate) wanted: f64,
     pub(crate) claimed: f64,
     pub(crate) confirmed: f64,
-    pub(crate) asked: VecDeque<(u64, f64, f64, bool)>,
+    pub(crate) outstanding: VecDeque<(u64, f64, f64, bool)>,
 }
 
-/// One tier's slide as seen from here: the window (0: none yet) and total last heard, and the room left then.
+/// One tier's sliding window as last seen here: the window's index (0: none yet), its total, and the room that was left.
 #[derive(Clone, Copy, Default)]
-pub(crate) struct Slide {
+pub(crate) struct SlidingWindow {
     pub(crate) index: u64,
     pub(crate) total: f64,
     pub(crate) room: f64,
-    pub(crate) at: f64,
-    /// Granted since without asking, others' part included.
-    pub(crate) ahead: f64,
+    pub(crate) updated_at: f64,
+    /// Units granted since without asking the counter, other gateways' estimated part included.
+    pub(crate) granted_unasked: f64,
     pub(crate) closed: Option<(u64, f64)>,
     /// Until when, and from how many units on, no room is expected.
-    pub(crate) full: (f64, f64),
+    pub(crate) exhausted_until: (f64, f64),
 }
 
 #[derive(Default)]
 pub(crate) struct Customer {
-    pub(crate) seen: f64,
-    /// Comes through too many gateways for any of them to see how it goes on.
-    pub(crate) wide: bool,
-    /// Share of the customer's use that comes through this gateway.
-    pub(crate) share: f64,
-    /// The share if its use were spread evenly.
-    pub(crate) even: f64,
-    pub(crate) slides: [Slide; 3],
-    /// Tier known to be in force, and until when.
-    pub(crate) entered: (usize, f64),
-    pub(crate) taken_until: [f64; 3],
-    pub(crate) ceiling: f64,
-    pub(crate) ceiling_at: f64,
+    pub(crate) last_seen: f64,
+    /// Uses so many gateways that none of them sees how its use goes on.
+    pub(crate) spread_out: bool,
+    /// Share of the customer's use that passes this gateway, 0 to 1.
+    pub(crate) local_share: f64,
+    /// The share if the use were spread evenly over the customer's gateways.
+    pub(crate) even_share: f64,
+    pub(crate) windows: [SlidingWindow; 3],
+    /// The tier known to be active, and until when.
+    pub(crate) active_tier: (usize, f64),
+    pub(crate) tier_taken_until: [f64; 3],
+    pub(crate) rate_limit_tokens: f64,
+    pub(crate) rate_limit_refilled_at: f64,
 }
 
 #[derive(Default)]
-pub(crate) struct Open {
-    pub(crate) lane: usize,
+pub(crate) struct OpenRequest {
+    pub(crate) class: usize,
     pub(crate) plan: usize,
     pub(crate) customer: u64,
     pub(crate) units: f64,
-    pub(crate) until: f64,
-    /// Until when an answer is worth anything.
-    pub(crate) of_use: f64,
-    pub(crate) count_by: f64,
-    pub(crate) sent: Vec<Sent>,
-    /// The window that took its units, for settling, and how many it took.
+    pub(crate) deadline: f64,
+    /// Until when an answer has any value.
+    pub(crate) useful_until: f64,
+    pub(crate) counter_deadline: f64,
+    pub(crate) attempts: Vec<Attempt>,
+    /// Counter key, lifetime and units of the add that charged this request, so that the true units can be settled.
     pub(crate) charged: Option<(u64, f64, f64)>,
 }
 
-impl Open {
-    /// A host is at work on it, or may have been.
+impl OpenRequest {
+    /// Whether a host runs it now, or may have run it.
     pub(crate) fn may_have_run(&self) -> bool {
-        self.sent.iter().any(|sent| sent.live || sent.may_have_run)
+        self.attempts.iter().any(|sent| sent.live || sent.may_have_run)
     }
 }
 
-pub(crate) struct Sent {
+pub(crate) struct Attempt {
     pub(crate) host: HostId,
     pub(crate) zone: u8,
     pub(crate) cell: u16,
@@ -86,24 +86,24 @@
     pub(crate) may_have_run: bool,
 }
 
-/// One lane of a host: hand-offs out, when last answered, failures not yet made up for, rest after them.
+/// One request class at one host: attempts in flight, when it last answered, and its ejection after failures.
 #[derive(Clone, Default)]
-pub(crate) struct InLane {
-    pub(crate) out: f64,
-    pub(crate) heard: f64,
-    pub(crate) rests: u32,
-    pub(crate) rest_until: f64,
+pub(crate) struct HostClassState {
+    pub(crate) in_flight: f64,
+    pub(crate) last_answered: f64,
+    pub(crate) ejections: u32,
+    pub(crate) ejected_until: f64,
 }
 
 #[derive(Default)]
 pub(crate) struct Host {
-    pub(crate) line: HostEntry,
-    pub(crate) out: f64,
+    pub(crate) entry: HostEntry,
+    pub(crate) in_flight: f64,
     pub(crate) limit: f64,
-    /// How it stands in each lane: a host may fail one and serve the others as usual.
-    pub(crate) lanes: Vec<InLane>,
+    /// By request class: a host may fail one class and serve the others as usual.
+    pub(crate) classes: Vec<HostClassState>,
     pub(crate) credit: f64,
-    /// Place in this gateway's own order of hosts, and whether it is among those it turns to.
-    pub(crate) place: u64,
-    pub(crate) near: bool,
+    /// Rank in this gateway's own order of hosts, and whether the host is in the subset that it sends to.
+    pub(crate) rank: u64,
+    pub(crate) in_subset: bool,
 }
