--- a/crates/admission-settings/tests/forms.rs
+++ b/crates/admission-settings/tests/forms.rs
@@ -4,7 +4,7 @@
 use serde_json::json;
 
 #[test]
-fn lines_and_json_give_the_same_terms() {
+fn lines_and_json_give_the_same_settings() {
     let lines = "classes.count=1\nclasses.0.name=look\nclasses.0.effect=token\nclasses.0.key-scope=cell\n\
         classes.0.on-time-us=800000\nclasses.0.deadline-us=3000000\nclasses.0.memory-span-us=15000000\n\
         contracts.count=2\ncontracts.0.name=team\ncontracts.0.rate=1.5\ncontracts.0.burst=8.0\n\
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_plan_with_a_cap_that_nothing_keeps_is_refused_by_its_key() {
-    let told = from_json(&json!({"contracts": [{"name": "team", "max-out": 3}]}));
-    assert!(told.unwrap_err().starts_with("contracts.0.max-out: "));
+fn plan_with_an_unsupported_cap_is_refused_by_its_key() {
+    let parsed = from_json(&json!({"contracts": [{"name": "team", "max-out": 3}]}));
+    assert!(parsed.unwrap_err().to_string().starts_with("contracts.0.max-out: "));
 }
--- a/crates/admission-settings/tests/keys.rs
+++ b/crates/admission-settings/tests/keys.rs
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn a_wrong_value_is_refused_with_its_key() {
+fn wrong_value_is_refused_with_its_key() {
     for (at, value, error) in [
         ("/classes/0/effect", json!("x"), "classes.0.effect: unknown"),
         ("/classes/0/key-scope", json!("x"), "classes.0.key-scope: unknown"),
@@ -119,6 +119,6 @@
     ] {
         let mut settings = whole();
         *settings.pointer_mut(at).unwrap() = value;
-        assert_eq!(from_json(&settings).unwrap_err(), error);
+        assert_eq!(from_json(&settings).unwrap_err().to_string(), error);
     }
 }
--- /dev/null
+++ b/crates/bench-adapter/src/instances.rs
@@ -0,0 +1,239 @@
+//! The instances of the admission module that one process hosts, and the events that reach them.
+
+use crate::driver::InstanceDriver;
+use crate::error::WireError;
+use crate::reader::{Frame, MICROSECONDS, Record};
+use crate::writer::Reply;
+use archlink_admission::admission::Admission;
+use archlink_admission::interface::{
+    AttemptResult, CounterReply, Driver, HostEntry, HostListUpdate, Load, Outcome, Request,
+};
+use archlink_admission_settings::{from_lines, set_load_field};
+use std::collections::BTreeMap;
+
+/// Codes of events.
+mod code {
+    pub const START: u8 = 0;
+    pub const HOST_LIST_UPDATE: u8 = 1;
+    pub const REQUEST: u8 = 2;
+    pub const ATTEMPT_STARTED: u8 = 3;
+    pub const ATTEMPT_ENDED: u8 = 4;
+    pub const CLIENT_DISCONNECTED: u8 = 5;
+    pub const TIMER: u8 = 6;
+    pub const PROBE_FINISHED: u8 = 7;
+    pub const PEER_MESSAGE: u8 = 8;
+    pub const STOP: u8 = 9;
+    pub const COUNTER_REPLY: u8 = 10;
+    pub const HOST_LIST: u8 = 11;
+}
+
+/// Most values in a load report.
+const MAX_REPORT: usize = 4;
+/// Where the load report stands in the records that have one, in bytes.
+const REPORT_IN_ATTEMPT_ENDED: usize = 26;
+const REPORT_IN_PROBE_FINISHED: usize = 15;
+/// Bounds of the numbers of gateways that a customer uses.
+const MAX_SPREAD: f64 = 1e6;
+
+struct Instance {
+    admission: Admission,
+    classes: usize,
+    plans: usize,
+    /// Names of the values in a load report.
+    load_report_fields: Vec<String>,
+}
+
+/// All instances, by the simulator's numbers, and the host lists that they share.
+#[derive(Default)]
+pub struct Instances {
+    instances: BTreeMap<u16, Instance>,
+    host_lists: BTreeMap<u8, Vec<HostEntry>>,
+}
+
+fn outcome(code: u16) -> Result<Outcome, WireError> {
+    use Outcome::*;
+    let all = [Answered, Error, Full, TimedOut, ConnectFailed, Reset, Cancelled, NeverSent];
+    let known = usize::from(code).checked_sub(1).and_then(|n| all.get(n)).copied();
+    known.ok_or(WireError::UnknownCode { field: "rc", code: code.into() })
+}
+
+impl Instances {
+    /// Handles the event at an index of a batch; actions go to `reply`.
+    pub fn handle(&mut self, now: f64, frame: &Frame, at: usize, reply: &mut Reply) -> Result<(), WireError> {
+        let mut record = frame.record(at);
+        let code = record.u8("event code")?;
+        if code == code::HOST_LIST {
+            return self.store_host_list(frame, &mut record);
+        }
+        if code > code::HOST_LIST {
+            return Err(WireError::UnknownCode { field: "event code", code: code.into() });
+        }
+        let number = record.u16("who")?;
+        match code {
+            code::START => return self.start(now, frame, &mut record, number, reply),
+            code::STOP => {
+                self.instances.remove(&number);
+                return Ok(());
+            }
+            _ => {}
+        }
+        let load = match code {
+            code::ATTEMPT_ENDED => self.load(number, &mut frame.record(at).skip(REPORT_IN_ATTEMPT_ENDED))?,
+            code::PROBE_FINISHED => {
+                self.load(number, &mut frame.record(at).skip(REPORT_IN_PROBE_FINISHED))?
+            }
+            _ => Load::default(),
+        };
+        let Some(instance) = self.instances.get_mut(&number) else { return Ok(()) };
+        let mut driver = InstanceDriver { instance: number, now, reply };
+        match code {
+            code::HOST_LIST_UPDATE => {
+                update_host_list(&self.host_lists, &mut instance.admission, now, &mut record, &mut driver)
+            }
+            code::PEER_MESSAGE => {
+                // The module takes no messages from other gateways; the record is checked all the same.
+                let _from = record.u16("src")?;
+                frame.bytes(&mut record, "raw").map(drop)
+            }
+            _ => instance.handle(now, code, &mut record, load, &mut driver),
+        }
+    }
+
+    fn store_host_list(&mut self, frame: &Frame, record: &mut Record) -> Result<(), WireError> {
+        let number = record.u8("list")?;
+        let (from, count) = (record.u32("nodes-list")?, record.u32("nodes-list")?);
+        self.host_lists.insert(number, frame.host_entries(from, count)?);
+        Ok(())
+    }
+
+    fn start(
+        &mut self,
+        now: f64,
+        frame: &Frame,
+        record: &mut Record,
+        number: u16,
+        reply: &mut Reply,
+    ) -> Result<(), WireError> {
+        let seed = record.u64("rng-seed")?;
+        let settings = from_lines(&frame.text(record, "facts")?)?;
+        let (classes, plans) = (settings.classes.len(), settings.plans.len());
+        let mut driver = InstanceDriver { instance: number, now, reply };
+        let admission = Admission::start(settings.admission, seed, now, &mut driver);
+        let load_report_fields = settings.load_report_fields;
+        self.instances.insert(number, Instance { admission, classes, plans, load_report_fields });
+        Ok(())
+    }
+
+    fn load(&self, number: u16, record: &mut Record) -> Result<Load, WireError> {
+        let count = usize::from(record.u8("report")?);
+        if count > MAX_REPORT {
+            return Err(WireError::LongReport);
+        }
+        let mut load = Load::default();
+        for n in 0..count {
+            let value = f64::from(record.f32("report")?);
+            let instance = self.instances.get(&number);
+            if let Some(name) = instance.and_then(|instance| instance.load_report_fields.get(n)) {
+                set_load_field(&mut load, name, value);
+            }
+        }
+        Ok(load)
+    }
+}
+
+fn update_host_list(
+    lists: &BTreeMap<u8, Vec<HostEntry>>,
+    admission: &mut Admission,
+    now: f64,
+    record: &mut Record,
+    driver: &mut dyn Driver,
+) -> Result<(), WireError> {
+    let _stamp = record.u64("stamp")?;
+    let update = match record.u8("how")? {
+        0 => HostListUpdate::Delta,
+        1 => HostListUpdate::Full,
+        2 => HostListUpdate::Cached,
+        3 => HostListUpdate::Failed,
+        code => return Err(WireError::UnknownCode { field: "how", code: code.into() }),
+    };
+    let list = record.u8("list")?;
+    let entries = match lists.get(&list) {
+        _ if update == HostListUpdate::Failed => &[][..],
+        Some(entries) => entries,
+        None => return Err(WireError::UnknownList { list }),
+    };
+    admission.host_list_updated(now, driver, update, entries);
+    Ok(())
+}
+
+impl Instance {
+    fn handle(
+        &mut self,
+        now: f64,
+        code: u8,
+        record: &mut Record,
+        load: Load,
+        driver: &mut dyn Driver,
+    ) -> Result<(), WireError> {
+        let admission = &mut self.admission;
+        match code {
+            code::REQUEST => {
+                let request = self.request(record)?;
+                self.admission.request_arrived(now, driver, request);
+            }
+            code::ATTEMPT_STARTED => {
+                let request = record.u32("ticket")?;
+                let _attempt = (record.u16("go")?, record.u32("took-us")?);
+                admission.attempt_started(now, request, record.host("host")?);
+            }
+            code::ATTEMPT_ENDED => {
+                let result = attempt_result(record, load)?;
+                admission.attempt_ended(now, driver, result);
+            }
+            code::CLIENT_DISCONNECTED => admission.client_disconnected(now, driver, record.u32("ticket")?),
+            code::TIMER => admission.timer_fired(now, driver),
+            code::PROBE_FINISHED => {
+                let host = record.host("host")?;
+                let well = record.u16("rc")? == 1;
+                admission.probe_finished(now, driver, host, well, load);
+            }
+            code::COUNTER_REPLY => {
+                let total = record.f32("now-at")?;
+                let reply = match record.u16("rc")? {
+                    1 => CounterReply::Total(f64::from(total)),
+                    3 | 5 => CounterReply::NotAdded,
+                    4 => CounterReply::Unknown,
+                    code => return Err(WireError::UnknownCode { field: "rc", code: code.into() }),
+                };
+                admission.counter_replied(now, driver, record.u64("entry-name")?, reply);
+            }
+            _ => {}
+        }
+        Ok(())
+    }
+
+    fn request(&self, record: &mut Record) -> Result<Request, WireError> {
+        Ok(Request {
+            id: record.u32("ticket")?,
+            class: record.index(self.classes, "grade")?,
+            plan: record.index(self.plans, "package")?,
+            customer: record.u64("holder")?,
+            remaining: record.seconds("budget-us")?,
+            units: record.number("cost-units")?,
+            spread: record.number("set-size")?.clamp(1.0, MAX_SPREAD) as u32,
+            first: record.number("first")?.clamp(0.0, MAX_SPREAD) as u32,
+        })
+    }
+}
+
+fn attempt_result(record: &mut Record, load: Load) -> Result<AttemptResult, WireError> {
+    let request = record.u32("ticket")?;
+    let final_attempt = record.u8("no-more")? & 1 != 0;
+    let attempt = record.u16("go")?;
+    let elapsed = f64::from(record.u32("took-us")?) / MICROSECONDS;
+    let outcome = outcome(record.u16("rc")?)?;
+    let true_units = f64::from(record.u16("true-units")?);
+    let _used = record.u16("used")?;
+    let host = record.host("host")?;
+    Ok(AttemptResult { request, attempt, final_attempt, outcome, elapsed, true_units, host, load })
+}
