--- a/crates/migrate/src/lib.rs
+++ b/crates/migrate/src/lib.rs
@@ -1,122 +1,111 @@
-//! A gateway's configuration turned into its counterpart for another shape of deployment. Owns what is carried over,
-//! what is not, and why; free of files. Must never start from a value that neither the old file nor the shape gives.
-#![forbid(unsafe_code)]
+//! A gateway's configuration turned into its counterpart for another shape of deployment. Free of files; starts from
+//! nothing but values that the old configuration or the shape gives.
 
+mod error;
+mod merge;
+
+pub use error::MigrationError;
+
+use merge::merge;
 use serde_json::{Map, Value};
 
-/// The counterpart, and what it could not carry over: a key and the reason.
+/// The counterpart, and what it could not carry over.
 #[derive(Debug)]
 pub struct Counterpart {
+    /// The new configuration.
     pub file: Value,
-    pub left: Vec<(String, String)>,
+    /// What the old one had and the new one has not.
+    pub dropped: Vec<Dropped>,
+}
+
+/// A key that was not carried over.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Dropped {
+    /// Its path.
+    pub key: String,
+    /// Why.
+    pub reason: String,
 }
 
 /// Keys beside `settings` that a gateway reads: its own name, addresses and limits, which no shape changes.
-const OWN: [&str; 10] =
+const GATEWAY_KEYS: [&str; 10] =
     ["name", "listen", "discovery", "counter", "peer_listen", "peers", "peers_all", "limits", "seed", "log"];
-const PEERS: [&str; 3] = ["peer_listen", "peers", "peers_all"];
-/// Lists whose entries are known by their names.
-const NAMED: [&str; 2] = ["classes", "contracts"];
+/// Keys about other gateways.
+const PEER_KEYS: [&str; 3] = ["peer_listen", "peers", "peers_all"];
+
+/// `old`: the gateway's whole configuration. `shape`: the settings of the new deployment, or those that differ; what it
+/// states replaces the old, key by key, lists as a whole. Classes and plans of one name take over what the shape does
+/// not mention.
+///
+/// # Errors
+/// Name the key: a part that is no object, or a counterpart that no gateway would start with.
+pub fn counterpart(old: &Value, shape: &Value) -> Result<Counterpart, MigrationError> {
+    let old = old.as_object().ok_or(MigrationError::ConfigurationNotAnObject)?;
+    let shape = shape.as_object().ok_or(MigrationError::ShapeNotAnObject)?;
+    let settings = old.get("settings").and_then(Value::as_object).ok_or(MigrationError::SettingsMissing)?;
+    let mut dropped = Vec::new();
+    let mut settings = merge(settings, shape, "settings", &mut dropped)?;
+    drop_caps(&mut settings, &mut dropped)?;
+    let parsed = archlink_admission_settings::from_json(&Value::Object(settings.clone()))
+        .map_err(MigrationError::Settings)?;
+    let mut file = gateway_keys(old, parsed.admission.may_message_peers, &mut dropped);
+    let (number, gateways) = (parsed.admission.gateway_number, parsed.admission.gateways);
+    if number >= gateways {
+        return Err(MigrationError::GatewayNumber { number, gateways });
+    }
+    if parsed.admission.may_count && file.get("counter").is_none_or(Value::is_null) {
+        return Err(MigrationError::CounterMissing);
+    }
+    file.insert("settings".into(), Value::Object(settings));
+    Ok(Counterpart { file: Value::Object(file), dropped })
+}
 
-/// `old`: the gateway's whole configuration. `shape`: the settings of the new deployment, or those that differ; what
-/// it states replaces the old, key by key, lists as a whole. Lanes and plans of one name take over what the shape
-/// says nothing of. Errors name the key: a part that is no object, or a counterpart that no gateway would start with.
-pub fn counterpart(old: &Value, shape: &Value) -> Result<Counterpart, String> {
-    let old = old.as_object().ok_or("the configuration is no JSON object")?;
-    let shape = shape.as_object().ok_or("the shape is no JSON object")?;
-    let settings = old.get("settings").and_then(Value::as_object).ok_or("settings: missing or no object")?;
-    let mut left = Vec::new();
-    let mut leave = |key: &str, why: &str| left.push((key.to_string(), why.to_string()));
-    let mut settings = merged(settings, shape, "settings", &mut leave)?;
+/// Removes caps on attempts open at once, which are no longer kept. A plan that had no other limit is an error: without its
+/// cap it would admit everything.
+fn drop_caps(settings: &mut Map<String, Value>, dropped: &mut Vec<Dropped>) -> Result<(), MigrationError> {
     let plans = settings.get_mut("contracts").and_then(Value::as_array_mut);
     for (n, plan) in plans.into_iter().flatten().enumerate() {
-        let capped = plan.get("max-out").and_then(Value::as_f64).is_some_and(|most| most > 0.0);
-        if let (true, Some(plan)) = (capped, plan.as_object_mut()) {
-            plan.remove("max-out");
-            // Without its cap such a plan would let everything on, which nobody asked for.
-            let limited = ["rate", "never-over-rate"].map(|key| plan.get(key).and_then(Value::as_f64));
-            if limited.iter().flatten().all(|rate| *rate <= 0.0) {
-                let at = format!("settings.contracts.{n}.rate");
-                return Err(format!(
-                    "{at}: missing; the cap was the plan's only limit: state a rate in the shape"
-                ));
-            }
-            let why = "no cap on hand-offs open at once is kept any more: the plan has its rate alone";
-            leave(&format!("settings.contracts.{n}.max-out"), why);
+        let capped = plan.get("max-out").and_then(Value::as_f64).is_some_and(|cap| cap > 0.0);
+        let (true, Some(plan)) = (capped, plan.as_object_mut()) else { continue };
+        plan.remove("max-out");
+        let limits = ["rate", "never-over-rate"].map(|key| plan.get(key).and_then(Value::as_f64));
+        if limits.iter().flatten().all(|rate| *rate <= 0.0) {
+            return Err(MigrationError::PlanWithoutLimit { key: format!("settings.contracts.{n}.rate") });
         }
+        let reason = "no cap on hand-offs open at once is kept any more: the plan has its rate alone";
+        dropped.push(Dropped { key: format!("settings.contracts.{n}.max-out"), reason: reason.into() });
     }
-    let told = archlink_admission_settings::from_json(&Value::Object(settings.clone()))
-        .map_err(|e| format!("settings.{e}"))?;
+    Ok(())
+}
+
+/// The keys beside `settings` that are carried over.
+fn gateway_keys(
+    old: &Map<String, Value>,
+    may_message_peers: bool,
+    dropped: &mut Vec<Dropped>,
+) -> Map<String, Value> {
+    let mut drop_key =
+        |key: &str, reason: &str| dropped.push(Dropped { key: key.into(), reason: reason.into() });
     let mut file = Map::new();
-    // By name: the order of a parsed object hangs on how the JSON library is built, a listing must not.
+    // By name: the order of a parsed object depends on how the JSON library is built, a listing must not.
     let mut keys: Vec<_> = old.iter().collect();
     keys.sort_by_key(|(key, _)| *key);
     for (key, value) in keys {
         match key.as_str() {
             "settings" => {}
             "known" => {
-                leave(key, "it names hosts of the old deployment; the first list is asked for instead")
+                drop_key(key, "it names hosts of the old deployment; the first list is asked for instead")
             }
-            key if PEERS.contains(&key) && !told.admission.may_message_peers => {
+            key if PEER_KEYS.contains(&key) && !may_message_peers => {
                 if value.as_array().is_none_or(|peers| !peers.is_empty()) {
-                    leave(key, "gateways of the new shape may not talk to each other");
+                    drop_key(key, "gateways of the new shape may not talk to each other");
                 }
             }
-            key if OWN.contains(&key) => drop(file.insert(key.to_string(), value.clone())),
-            key => leave(key, "no gateway reads this key"),
-        }
-    }
-    if told.admission.gateway_number >= told.admission.gateways {
-        let (number, all) = (told.admission.gateway_number, told.admission.gateways);
-        return Err(format!("settings.self-index: {number} is none of the {all} gateways of the new shape"));
-    }
-    if told.admission.may_count && file.get("counter").is_none_or(Value::is_null) {
-        return Err("counter: missing, though the new shape counts (settings.domain.may-count)".into());
-    }
-    file.insert("settings".into(), Value::Object(settings));
-    Ok(Counterpart { file: Value::Object(file), left })
-}
-
-type Leave<'a> = &'a mut dyn FnMut(&str, &str);
-
-fn merged(
-    old: &Map<String, Value>,
-    shape: &Map<String, Value>,
-    at: &str,
-    leave: Leave,
-) -> Result<Map<String, Value>, String> {
-    let mut all = old.clone();
-    for (key, new) in shape {
-        let path = format!("{at}.{key}");
-        let whole = match (old.get(key), new) {
-            (Some(Value::Array(was)), Value::Array(now)) if NAMED.contains(&key.as_str()) => {
-                named(was, now, &path, leave)?
-            }
-            (Some(Value::Object(was)), Value::Object(now)) => Value::Object(merged(was, now, &path, leave)?),
-            (Some(Value::Object(_)), _) => {
-                return Err(format!("{path}: an object in the old file, not in the shape"));
+            key if GATEWAY_KEYS.contains(&key) => {
+                file.insert(key.to_string(), value.clone());
             }
-            _ => new.clone(),
-        };
-        all.insert(key.clone(), whole);
-    }
-    Ok(all)
-}
-
-/// The shape's entries in its order, each over the old one of its name.
-fn named(was: &[Value], now: &[Value], path: &str, leave: Leave) -> Result<Value, String> {
-    let name = |entry: &Value| entry.get("name").and_then(Value::as_str).map(str::to_string);
-    let mut list = Vec::new();
-    for (n, entry) in now.iter().enumerate() {
-        let fields = entry.as_object().ok_or(format!("{path}.{n}: no object"))?;
-        let called = name(entry).ok_or(format!("{path}.{n}.name: missing"))?;
-        let before = was.iter().find(|w| name(w).as_ref() == Some(&called)).and_then(Value::as_object);
-        let none = Map::new();
-        list.push(Value::Object(merged(before.unwrap_or(&none), fields, &format!("{path}.{n}"), leave)?));
-    }
-    for (n, gone) in was.iter().enumerate().filter(|(_, w)| !now.iter().any(|e| name(e) == name(w))) {
-        let called = name(gone).unwrap_or_default();
-        leave(&format!("{path}.{n}"), &format!("{called:?} does not exist in the new shape"));
+            key => drop_key(key, "no gateway reads this key"),
+        }
     }
-    Ok(Value::Array(list))
+    file
 }
--- a/crates/migrate/src/main.rs
+++ b/crates/migrate/src/main.rs
@@ -1,11 +1,11 @@
 //! `archlink-migrate`: reads a gateway's configuration and the settings of the new shape, writes the counterpart, and
-//! lists what it could not carry over. Owns arguments and files. Must never change the file that it reads, nor write
-//! a file that a gateway would not start with.
-#![forbid(unsafe_code)]
+//! lists what it could not carry over. Never changes the file that it reads, nor writes a file that a gateway would not
+//! start with.
 
-use archlink_migrate::counterpart;
+use archlink_migrate::{MigrationError, counterpart};
 use serde_json::Value;
-use std::io::Write;
+use std::fmt;
+use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
@@ -22,24 +22,61 @@
 Ends with 0 where all was carried over, 2 where something was not (NEW is written all the same), 1 where there is
 no counterpart; nothing is written then.";
 
-struct Asked {
+/// Exit statuses; 0 where everything was carried over.
+const NO_COUNTERPART: u8 = 1;
+const NOT_ALL_CARRIED_OVER: u8 = 2;
+
+/// The command line.
+struct Arguments {
     old: PathBuf,
     shape: PathBuf,
     new: Option<PathBuf>,
-    dry: bool,
+    dry_run: bool,
     replace: bool,
 }
 
-fn arguments() -> Result<Option<Asked>, lexopt::Error> {
+/// Why the command ends without a counterpart.
+enum CommandError {
+    Read(PathBuf, io::Error),
+    Parse(PathBuf, serde_json::Error),
+    Migration(PathBuf, MigrationError),
+    /// The file to be written is the one that was read.
+    SameFile,
+    Exists(PathBuf),
+    Write(PathBuf, io::Error),
+    StandardOutput(io::Error),
+    Encode(serde_json::Error),
+}
+
+impl fmt::Display for CommandError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            CommandError::Read(path, error) | CommandError::Write(path, error) => {
+                write!(f, "{}: {error}", path.display())
+            }
+            CommandError::Parse(path, error) => write!(f, "{}: {error}", path.display()),
+            CommandError::Migration(path, error) => write!(f, "{}: {error}", path.display()),
+            CommandError::SameFile => {
+                f.write_str("--write: names OLD itself, which is the way back; name another file")
+            }
+            CommandError::Exists(path) => write!(f, "{}: exists; --replace writes over it", path.display()),
+            CommandError::StandardOutput(error) => write!(f, "standard output: {error}"),
+            CommandError::Encode(error) => error.fmt(f),
+        }
+    }
+}
+
+/// The command line; `None` where the usage is asked for.
+fn arguments() -> Result<Option<Arguments>, lexopt::Error> {
     use lexopt::prelude::*;
-    let (mut old, mut shape, mut new, mut dry, mut replace) = (None, None, None, false, false);
+    let (mut old, mut shape, mut new, mut dry_run, mut replace) = (None, None, None, false, false);
     let mut parser = lexopt::Parser::from_env();
     while let Some(next) = parser.next()? {
         match next {
             Value(path) if old.is_none() => old = Some(path.into()),
             Long("shape") => shape = Some(parser.value()?.into()),
             Long("write") => new = Some(parser.value()?.into()),
-            Long("dry-run") => dry = true,
+            Long("dry-run") => dry_run = true,
             Long("replace") => replace = true,
             Long("help") | Short('h') => return Ok(None),
             other => return Err(other.unexpected()),
@@ -47,71 +84,73 @@
     }
     let old = old.ok_or("OLD: missing")?;
     let shape = shape.ok_or("--shape: missing")?;
-    Ok(Some(Asked { old, shape, new, dry, replace }))
+    Ok(Some(Arguments { old, shape, new, dry_run, replace }))
 }
 
-fn json(path: &Path) -> Result<Value, String> {
-    let at = path.display();
-    let text = std::fs::read_to_string(path).map_err(|e| format!("{at}: {e}"))?;
-    serde_json::from_str(&text).map_err(|e| format!("{at}: {e}"))
+fn read_json(path: &Path) -> Result<Value, CommandError> {
+    let text = std::fs::read_to_string(path).map_err(|e| CommandError::Read(path.into(), e))?;
+    serde_json::from_str(&text).map_err(|e| CommandError::Parse(path.into(), e))
 }
 
-/// Whole or not at all: written beside its place and moved there.
-fn put(path: &Path, text: &str, replace: bool) -> Result<(), String> {
-    let at = path.display();
+/// Writes a file completely or not at all: beside its place, synced, and renamed.
+fn write_file(path: &Path, text: &str, replace: bool) -> Result<(), CommandError> {
     if path.exists() && !replace {
-        return Err(format!("{at}: exists; --replace writes over it"));
+        return Err(CommandError::Exists(path.into()));
     }
-    let mut beside = path.as_os_str().to_owned();
-    beside.push(".part");
-    let beside = PathBuf::from(beside);
-    let written = std::fs::File::create(&beside)
+    let mut temporary = path.as_os_str().to_owned();
+    temporary.push(".part");
+    let temporary = PathBuf::from(temporary);
+    let written = std::fs::File::create(&temporary)
         .and_then(|mut file| file.write_all(text.as_bytes()).and_then(|()| file.sync_all()))
-        .and_then(|()| std::fs::rename(&beside, path));
+        .and_then(|()| std::fs::rename(&temporary, path));
     written.map_err(|e| {
-        std::fs::remove_file(&beside).ok();
-        format!("{at}: {e}")
+        std::fs::remove_file(&temporary).ok();
+        CommandError::Write(path.into(), e)
     })
 }
 
-fn run(asked: &Asked) -> Result<bool, String> {
-    let old = json(&asked.old)?;
-    let found =
-        counterpart(&old, &json(&asked.shape)?).map_err(|e| format!("{}: {e}", asked.old.display()))?;
-    let same = |new: &PathBuf| new.canonicalize().ok() == asked.old.canonicalize().ok() && new.exists();
-    if asked.new.as_ref().is_some_and(same) {
-        return Err("--write: names OLD itself, which is the way back; name another file".into());
+fn is_same_file(new: &Path, old: &Path) -> bool {
+    new.exists() && new.canonicalize().ok() == old.canonicalize().ok()
+}
+
+/// True where everything was carried over.
+fn run(arguments: &Arguments) -> Result<bool, CommandError> {
+    let old = read_json(&arguments.old)?;
+    let shape = read_json(&arguments.shape)?;
+    let found = counterpart(&old, &shape).map_err(|e| CommandError::Migration(arguments.old.clone(), e))?;
+    if arguments.new.as_ref().is_some_and(|new| is_same_file(new, &arguments.old)) {
+        return Err(CommandError::SameFile);
     }
-    let text = serde_json::to_string_pretty(&found.file).map_err(|e| e.to_string())? + "\n";
-    match &asked.new {
-        _ if asked.dry => {}
-        Some(new) => put(new, &text, asked.replace)?,
-        None => std::io::stdout().write_all(text.as_bytes()).map_err(|e| format!("standard output: {e}"))?,
+    let text = serde_json::to_string_pretty(&found.file).map_err(CommandError::Encode)? + "\n";
+    match &arguments.new {
+        _ if arguments.dry_run => {}
+        Some(new) => write_file(new, &text, arguments.replace)?,
+        None => io::stdout().write_all(text.as_bytes()).map_err(CommandError::StandardOutput)?,
     }
-    for (key, why) in &found.left {
-        eprintln!("not carried over: {key}: {why}");
+    for dropped in &found.dropped {
+        eprintln!("not carried over: {}: {}", dropped.key, dropped.reason);
     }
-    Ok(found.left.is_empty())
+    Ok(found.dropped.is_empty())
 }
 
 fn main() -> ExitCode {
-    let asked = match arguments() {
-        Ok(Some(asked)) => asked,
+    let arguments = match arguments() {
+        Ok(Some(arguments)) => arguments,
         Ok(None) => {
             println!("{USAGE}");
             return ExitCode::SUCCESS;
         }
-        Err(e) => {
-            eprintln!("archlink-migrate: {e}\n\n{USAGE}");
-            return ExitCode::from(1);
+        Err(error) => {
+            eprintln!("archlink-migrate: {error}\n\n{USAGE}");
+            return ExitCode::from(NO_COUNTERPART);
         }
     };
-    match run(&asked) {
+    match run(&arguments) {
         Ok(true) => ExitCode::SUCCESS,
-        Ok(false) => ExitCode::from(2),
-        Err(e) => {
-            eprintln!("archlink-migrate: {e}");
-            ExitCode::from(1)
+        Ok(false) => ExitCode::from(NOT_ALL_CARRIED_OVER),
+        Err(error) => {
+            eprintln!("archlink-migrate: {error}");
+            ExitCode::from(NO_COUNTERPART)
         }
     }
 }
