--- /dev/null
+++ b/crates/control-plane/src/cli/arguments/tests.rs
@@ -0,0 +1,28 @@
+//! The command line's definition, and the earlier spellings that it still accepts.
+
+use super::command_line;
+
+#[test]
+fn command_line_definition_is_consistent() {
+    command_line().debug_assert();
+}
+
+/// Each earlier spelling is read as the command that has its place now, and the help names the new one alone.
+#[test]
+fn earlier_spellings_are_read_as_their_commands_and_hidden_in_the_help() {
+    for (earlier, current) in [("replace", "apply"), ("duties", "leases"), ("journal", "events")] {
+        let file = (earlier == "replace").then_some("file.json");
+        let words = ["archlink-control-plane", earlier].into_iter().chain(file);
+        let matches = command_line().try_get_matches_from(words).unwrap();
+        assert_eq!(matches.subcommand_name(), Some(current));
+        let help = command_line().render_long_help().to_string();
+        let lists = |word: &str| help.lines().any(|line| line.trim_start().starts_with(&format!("{word} ")));
+        assert!(lists(current) && !lists(earlier), "{help}");
+    }
+    let words = ["archlink-control-plane", "voters", "found-anew", "--epoch", "7"];
+    let matches = command_line().try_get_matches_from(words).unwrap();
+    let (_, voters) = matches.subcommand().unwrap();
+    let (name, arguments) = voters.subcommand().unwrap();
+    let epoch = arguments.get_one::<String>("epoch").map(String::as_str);
+    assert_eq!((name, epoch), ("force-new", Some("7")));
+}
--- /dev/null
+++ b/crates/control-plane/src/cli/client.rs
@@ -0,0 +1,185 @@
+//! Sends calls to control nodes over HTTP: one after another until one answers for good.
+
+use super::failure;
+use crate::admin::calls::Call;
+use crate::{ControlPlaneError, Outcome, read_settings};
+use archlink_http::codec::{ClientCodec, HostResponse, OutgoingRequest};
+use clap::ArgMatches;
+use error_stack::ResultExt;
+use futures_util::{SinkExt, StreamExt};
+use serde_json::Value;
+use std::cell::Cell;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use std::{fmt, io};
+use tokio::net::TcpStream;
+use tokio::time::timeout;
+use tokio_util::codec::Framed;
+
+/// Bytes of one answer.
+const MAX_BODY: usize = 64 << 20;
+/// Limit for one call at one control node, redirections included.
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
+/// Redirections that are followed.
+const MAX_REDIRECTS: usize = 2;
+/// Headers of replies, in the order of their fields.
+const HEADERS: &[&str] = &["location", "config-version", "config-digest", "confirmed-seconds-ago"];
+
+/// A header of a reply, by its place in [`HEADERS`].
+#[derive(Clone, Copy)]
+pub(super) enum Header {
+    /// Where a redirection leads.
+    Location = 0,
+    /// The version of a configuration.
+    ConfigVersion = 1,
+    /// The digest of a configuration's text.
+    ConfigDigest = 2,
+    /// The age of the quorum's confirmation in seconds.
+    ConfirmedSecondsAgo = 3,
+}
+
+impl Header {
+    /// The header's text, where the reply has exactly one.
+    pub(super) fn of(self, reply: &HostResponse) -> Option<&str> {
+        reply.fields.get(self as usize)?.once()
+    }
+}
+
+/// Why a control node did not answer a call.
+#[derive(Debug)]
+pub(super) enum CallError {
+    /// It can't be reached, or the connection failed.
+    Connection(io::Error),
+    /// No answer came in time.
+    Timeout,
+    /// A redirection without an address.
+    InvalidRedirect,
+    /// More redirections than [`MAX_REDIRECTS`].
+    TooManyRedirects,
+    /// The HTTP status, where only 200 will do.
+    Status(u16),
+    /// The body is no JSON.
+    Body(serde_json::Error),
+}
+
+impl fmt::Display for CallError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            CallError::Connection(e) => e.fmt(f),
+            CallError::Timeout => f.write_str("timed out"),
+            CallError::InvalidRedirect => f.write_str("a redirection to no address"),
+            CallError::TooManyRedirects => f.write_str("too many redirections"),
+            CallError::Status(status) => write!(f, "answered {status}"),
+            CallError::Body(e) => e.fmt(f),
+        }
+    }
+}
+
+impl std::error::Error for CallError {}
+
+impl From<io::Error> for CallError {
+    fn from(e: io::Error) -> CallError {
+        CallError::Connection(e)
+    }
+}
+
+/// One request on a connection of its own.
+async fn request(to: SocketAddr, method: &str, target: &str, body: &[u8]) -> Result<HostResponse, io::Error> {
+    let stream = TcpStream::connect(to).await?;
+    let codec = ClientCodec::new(HEADERS, MAX_BODY, Rc::new(Cell::new(MAX_BODY)));
+    let mut framed = Framed::new(stream, codec);
+    let lines = b"Content-Type: application/json\r\nConnection: close\r\n";
+    framed.send(OutgoingRequest { method, target, host: &to.to_string(), lines, body }).await?;
+    framed.next().await.unwrap_or(Err(io::ErrorKind::UnexpectedEof.into()))
+}
+
+async fn call_following_redirects(
+    mut to: SocketAddr,
+    call: Call,
+    names: &str,
+    body: &[u8],
+) -> Result<HostResponse, CallError> {
+    let mut target = format!("{}{names}", call.path());
+    for _ in 0..=MAX_REDIRECTS {
+        let reply = request(to, call.method(), &target, body).await?;
+        let location =
+            Header::Location.of(&reply).and_then(|text| text.strip_prefix("http://")?.split_once('/'));
+        match location {
+            Some((host, path)) if reply.status == 307 => {
+                to = host.parse().map_err(|_| CallError::InvalidRedirect)?;
+                target = format!("/{path}");
+            }
+            _ => return Ok(reply),
+        }
+    }
+    Err(CallError::TooManyRedirects)
+}
+
+/// Sends a call to one control node; `names` follow the call's path.
+pub(super) async fn call_one(
+    to: SocketAddr,
+    call: Call,
+    names: &str,
+    body: &[u8],
+) -> Result<HostResponse, CallError> {
+    let answered = timeout(CALL_TIMEOUT, call_following_redirects(to, call, names, body)).await;
+    answered.unwrap_or(Err(CallError::Timeout))
+}
+
+/// The address and port that an argument names.
+pub(super) fn parse_address(argument: &str, text: &str) -> Outcome<SocketAddr> {
+    let address = text.parse().change_context(ControlPlaneError::Call);
+    address.attach_with(|| format!("{argument}: {text:?} is no address with a port, as 10.0.0.1:8200"))
+}
+
+/// The control nodes that `--to` names, else the seeds of the settings file.
+pub(super) fn target_addresses(arguments: &ArgMatches) -> Outcome<Vec<SocketAddr>> {
+    match arguments.get_many::<String>("to") {
+        Some(texts) => texts.map(|text| parse_address("--to", text)).collect(),
+        None => Ok(read_settings()?.seeds.into_iter().map(SocketAddr::from).collect()),
+    }
+}
+
+/// Why a request was rejected, for the operator.
+fn rejection_text(from: SocketAddr, body: &[u8]) -> String {
+    let answer: Value = serde_json::from_slice(body).unwrap_or_default();
+    let field = |name: &str| answer[name].as_str().unwrap_or("");
+    let mut text = match field("Error") {
+        "" => format!("{from} refuses: {}", String::from_utf8_lossy(body)),
+        reason => format!("{from} refuses: {reason}"),
+    };
+    if !field("Digest").is_empty() {
+        let (version, theirs, yours) = (field("ConfigVersion"), field("Digest"), field("YourDigest"));
+        text += &format!("; under {version} stands the text of digest {theirs}, yours is of {yours}");
+    }
+    text
+}
+
+/// Sends a call to one control node after another until one gives a final answer: 200, 409, or another status below 500.
+pub(super) async fn call_any(
+    targets: &[SocketAddr],
+    call: Call,
+    names: &str,
+    body: &[u8],
+) -> Outcome<HostResponse> {
+    let mut last_failure = failure(ControlPlaneError::Call, "no control gateway is named".into());
+    for &to in targets {
+        match call_one(to, call, names, body).await {
+            Ok(reply) if reply.status == 200 => return Ok(reply),
+            Ok(reply) if reply.status == 409 => {
+                return Err(failure(ControlPlaneError::Refused, rejection_text(to, &reply.body)));
+            }
+            Ok(reply) => {
+                let text = String::from_utf8_lossy(&reply.body);
+                let reason = format!("{to} answered {}: {text}", reply.status);
+                last_failure = failure(ControlPlaneError::Call, reason);
+                if reply.status < 500 {
+                    return Err(last_failure);
+                }
+            }
+            Err(e) => last_failure = failure(ControlPlaneError::Call, format!("{to}: {e}")),
+        }
+    }
+    Err(last_failure)
+}
--- /dev/null
+++ b/crates/control-plane/src/cli/commands.rs
@@ -0,0 +1,101 @@
+//! The operators' commands: each is one call of the table in `admin::calls`, and what is printed of its answer.
+//!
+//! Invariant: no configuration is sent that does not pass the check.
+
+use super::client::{Header, call_any, target_addresses};
+use super::{failure, force_new_generation};
+use crate::admin::calls::Call;
+use crate::admin::configuration::{check, digest, hex};
+use crate::admin::voters::parse_node;
+use crate::{ControlPlaneError, Outcome};
+use clap::ArgMatches;
+use error_stack::ResultExt;
+use std::io::{self, Write};
+use std::net::Ipv4Addr;
+
+/// Runs a command by its name.
+pub(super) async fn run(name: &str, arguments: &ArgMatches) -> Outcome<()> {
+    match name {
+        "check" => read_checked_file(arguments).map(drop),
+        "apply" => {
+            let text = read_checked_file(arguments)?;
+            call_and_print(arguments, Call::ReplaceConfiguration, "", &text).await
+        }
+        "read" => read_configuration(arguments).await,
+        "voters" => run_voters(arguments).await,
+        "members" => call_and_print(arguments, Call::Members, "", b"").await,
+        "hosts" => call_and_print(arguments, Call::Hosts, "", b"").await,
+        "leases" => call_and_print(arguments, Call::Leases, "", b"").await,
+        "quota" => call_and_print(arguments, Call::Quota, "", b"").await,
+        "events" => call_and_print(arguments, Call::Events, "", b"").await,
+        _ => evacuate(arguments).await,
+    }
+}
+
+/// An argument's text; empty where it is absent.
+pub(super) fn argument<'a>(arguments: &'a ArgMatches, name: &str) -> &'a str {
+    arguments.get_one::<String>(name).map_or("", String::as_str)
+}
+
+async fn call_and_print(arguments: &ArgMatches, call: Call, names: &str, body: &[u8]) -> Outcome<()> {
+    let reply = call_any(&target_addresses(arguments)?, call, names, body).await?;
+    println!("{}", String::from_utf8_lossy(&reply.body));
+    Ok(())
+}
+
+async fn evacuate(arguments: &ArgMatches) -> Outcome<()> {
+    let (direction, arguments) = arguments.subcommand().unwrap_or(("", arguments));
+    let call = if direction == "begin" { Call::BeginEvacuation } else { Call::FinishEvacuation };
+    call_and_print(arguments, call, argument(arguments, "ZONE"), b"").await
+}
+
+/// Prints the configuration in force, once its digest is as announced.
+async fn read_configuration(arguments: &ArgMatches) -> Outcome<()> {
+    let reply = call_any(&target_addresses(arguments)?, Call::ReadConfiguration, "", b"").await?;
+    let field = |header: Header| header.of(&reply).unwrap_or("?");
+    let (version, announced) = (field(Header::ConfigVersion), field(Header::ConfigDigest));
+    let age = field(Header::ConfirmedSecondsAgo);
+    let computed = hex(&digest(&reply.body));
+    if announced != computed {
+        let reason = format!("the text that came has digest {computed}, told was {announced}");
+        return Err(failure(ControlPlaneError::Call, reason));
+    }
+    eprintln!("version {version}, digest {computed}, confirmed by a majority {age} s ago");
+    // Byte for byte: saved to a file it has the same digest.
+    io::stdout().write_all(&reply.body).change_context(ControlPlaneError::Call)
+}
+
+/// Reads `FILE`, checks it, and describes it to the operator.
+fn read_checked_file(arguments: &ArgMatches) -> Outcome<Vec<u8>> {
+    let file = argument(arguments, "FILE");
+    let text =
+        std::fs::read(file).change_context(ControlPlaneError::File).attach_with(|| file.to_string())?;
+    let configuration =
+        check(&text).map_err(|reason| failure(ControlPlaneError::File, format!("{file}: {reason}")))?;
+    let (routes, services, tenants) =
+        (configuration.routes.len(), configuration.services.len(), configuration.tenants.len());
+    let (version, digest) = (configuration.version, hex(&digest(&text)));
+    eprintln!(
+        "version {version:08x}, digest {digest}: {routes} routes, {services} services, {tenants} tenants"
+    );
+    Ok(text)
+}
+
+async fn run_voters(arguments: &ArgMatches) -> Outcome<()> {
+    match arguments.subcommand() {
+        Some(("replace", arguments)) => {
+            let names = [machine_address(arguments, "OLD")?, machine_address(arguments, "NEW")?].join("/");
+            call_and_print(arguments, Call::ReplaceVoter, &names, b"").await
+        }
+        Some((_, arguments)) => force_new_generation::run(arguments).await,
+        None => call_and_print(arguments, Call::Voters, "", b"").await,
+    }
+}
+
+/// The address of a machine that an argument names, without its port.
+fn machine_address(arguments: &ArgMatches, name: &str) -> Outcome<String> {
+    let text = argument(arguments, name);
+    let reason = || format!("{name}: {text:?} is no address of a machine, as 10.0.0.1");
+    let node = parse_node(text).ok_or_else(|| failure(ControlPlaneError::Call, reason()))?;
+    Ok(Ipv4Addr::from(node).to_string())
+}
--- /dev/null
+++ b/crates/control-plane/src/cli/force_new_generation.rs
@@ -0,0 +1,78 @@
+//! `voters force-new`: shows what is left of the voters, and forces a new generation where the operator repeats what was
+//! shown.
+//!
+//! Invariant: nothing is sent unless all three options are those that the survey shows now.
+
+use super::client::{CallError, call_any, call_one, parse_address, target_addresses};
+use super::commands::argument;
+use super::disaster_recovery::{Confirmation, SurveyedNode, survey};
+use super::failure;
+use crate::admin::calls::Call;
+use crate::{ControlPlaneError, Outcome};
+use clap::ArgMatches;
+use error_stack::ResultExt;
+use futures_util::future::join_all;
+use serde_json::{Value, json};
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+
+/// Control nodes that are asked at most.
+const MAX_SURVEYED: usize = 64;
+/// How often the nodes that answers name are asked as well: those named first, and two steps further.
+const SURVEY_ROUNDS: usize = 3;
+
+async fn voters_status(address: SocketAddr) -> Result<Value, CallError> {
+    let reply = call_one(address, Call::Voters, "", b"").await?;
+    match reply.status {
+        200 => serde_json::from_slice(&reply.body).map_err(CallError::Body),
+        status => Err(CallError::Status(status)),
+    }
+}
+
+/// The operators' addresses of the members that an answer names.
+fn named_members(status: &Value) -> impl Iterator<Item = SocketAddr> {
+    let members = status["Members"].as_array().into_iter().flatten();
+    members.filter_map(|member| member["Control"].as_str()?.parse::<SocketAddr>().ok())
+}
+
+/// The voters' status at all control nodes that are reached: those asked first, and those that answers name.
+async fn survey_nodes(first: Vec<SocketAddr>) -> Vec<SurveyedNode> {
+    let (mut answers, mut next) = (BTreeMap::new(), first);
+    for _ in 0..SURVEY_ROUNDS {
+        next.retain(|address| !answers.contains_key(address));
+        next.truncate(MAX_SURVEYED.saturating_sub(answers.len()));
+        let statuses = join_all(next.iter().map(|&address| voters_status(address))).await;
+        let named: Vec<SocketAddr> = statuses.iter().flatten().flat_map(named_members).collect();
+        answers.extend(next.into_iter().zip(statuses));
+        next = named;
+    }
+    let surveyed = answers.into_iter();
+    surveyed.map(|(address, status)| SurveyedNode { address: address.to_string(), status }).collect()
+}
+
+/// Shows the survey; with all three options, compares them and sends the call.
+pub(super) async fn run(arguments: &ArgMatches) -> Outcome<()> {
+    let (text, confirmation) = survey(&survey_nodes(target_addresses(arguments)?).await);
+    println!("{text}");
+    let given = ["at", "epoch", "lose"].map(|name| argument(arguments, name));
+    if given.iter().all(|text| text.is_empty()) {
+        return Ok(());
+    }
+    let Some(Confirmation { at, epoch, lose }) = confirmation else {
+        let reason = "there is nothing to found anew, as shown above".into();
+        return Err(failure(ControlPlaneError::Refused, reason));
+    };
+    for ((option, given), shown) in ["--at", "--epoch", "--lose"].iter().zip(given).zip([&at, &epoch, &lose])
+    {
+        if given != shown {
+            let reason = format!("{option}: found {given:?}, shown is {shown}");
+            return Err(failure(ControlPlaneError::Call, reason));
+        }
+    }
+    let number = epoch.parse::<u64>().change_context(ControlPlaneError::Call)?;
+    let body = json!({"Epoch": number, "Lose": lose.split(',').collect::<Vec<_>>()}).to_string();
+    let survivor = [parse_address("--at", &at)?];
+    let reply = call_any(&survivor, Call::ForceNewGeneration, "", body.as_bytes()).await?;
+    println!("{}", String::from_utf8_lossy(&reply.body));
+    Ok(())
+}
--- /dev/null
+++ b/crates/control-plane/src/cli/mod.rs
@@ -0,0 +1,72 @@
+//! The program's command line: serves as a control node, or sends one operator's command.
+//!
+//! Exit statuses: 0 done, 2 failed, 3 rejected because of what is in force.
+
+mod arguments;
+mod client;
+mod commands;
+mod disaster_recovery;
+mod force_new_generation;
+
+use crate::{ControlPlaneError, Outcome, read_settings, serve};
+use archlink_runtime::until_terminated;
+use clap::ArgMatches;
+use error_stack::{Report, ResultExt};
+use std::process::ExitCode;
+use tokio::runtime::LocalOptions;
+
+/// The exit status of a request that conflicts with what is in force: another text of that version, or other voters.
+const EXIT_REJECTED: u8 = 3;
+/// The exit status of every other failure; the same as for a wrong command line.
+const EXIT_FAILED: u8 = 2;
+
+/// Runs the program with the process's arguments.
+pub fn run() -> ExitCode {
+    match run_command(&arguments::command_line().get_matches()) {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(e) => {
+            eprintln!("archlink-control-plane: {}", archlink_runtime::report_line(&e));
+            let rejected = *e.current_context() == ControlPlaneError::Refused;
+            ExitCode::from(if rejected { EXIT_REJECTED } else { EXIT_FAILED })
+        }
+    }
+}
+
+fn run_command(matches: &ArgMatches) -> Outcome<()> {
+    match matches.subcommand() {
+        None | Some(("run", _)) => run_server(),
+        Some((name, arguments)) => on_runtime(commands::run(name, arguments)),
+    }
+}
+
+fn run_server() -> Outcome<()> {
+    let settings = read_settings()?;
+    let level = std::env::var("ARCHLINK_LOG").ok().and_then(|level| level.parse().ok());
+    archlink_runtime::log_to_stderr(&settings.name, level.unwrap_or(log::LevelFilter::Info));
+    on_runtime(async {
+        let terminated = until_terminated(check_settings_file).change_context(ControlPlaneError::Start)?;
+        serve(settings, terminated).await
+    })
+}
+
+/// On SIGHUP the settings file is checked; what is in use stays until the next start.
+fn check_settings_file() {
+    match read_settings() {
+        Ok(settings) => {
+            log::info!(seeds = settings.seeds.len(); "settings file valid; in use from the next start");
+        }
+        Err(e) => log::error!(error:% = archlink_runtime::report_line(&e); "settings file rejected"),
+    }
+}
+
+fn on_runtime<T>(work: impl Future<Output = Outcome<T>>) -> Outcome<T> {
+    let mut builder = tokio::runtime::Builder::new_current_thread();
+    let runtime =
+        builder.enable_all().build_local(LocalOptions::default()).change_context(ControlPlaneError::Start)?;
+    runtime.block_on(work)
+}
+
+/// An error with its reason attached.
+fn failure(kind: ControlPlaneError, reason: String) -> Report<ControlPlaneError> {
+    Report::new(kind).attach(reason)
+}
--- /dev/null
+++ b/crates/control-plane/src/serve.rs
@@ -0,0 +1,100 @@
+//! Starts and ends a control node: its listeners, its tasks, and its graceful shutdown.
+
+use crate::admin;
+use crate::server::node::Node;
+use crate::server::write_queue::StateWriter;
+use crate::server::{host_discovery, peer_links, startup};
+use crate::{ControlPlaneError, Outcome};
+use archlink_config::Settings;
+use archlink_control_node::node::ControlNodeState;
+use archlink_runtime::Clock;
+use error_stack::{Report, ResultExt};
+use std::net::{SocketAddr, SocketAddrV4};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::TcpListener;
+use tokio::sync::mpsc;
+use tokio::task::spawn_local;
+use tokio::time::sleep;
+
+/// Time between two ticks of the core: far shorter than anything it waits for.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// After SIGTERM: time for successors to be named and for answers to leave.
+const DRAIN_TIME: Duration = Duration::from_millis(500);
+/// A voter that shuts down waits for its seat to be handed over, for this part of `Grace` at most.
+const HANDOVER_PART_OF_GRACE: f64 = 0.85;
+/// The longest wait for the handover in seconds, also where the operators name no `Grace`.
+const MAX_HANDOVER: f64 = 5.0;
+
+async fn bind(address: Option<SocketAddr>, key: &'static str) -> Outcome<TcpListener> {
+    let address =
+        address.ok_or_else(|| Report::new(ControlPlaneError::Settings).attach(format!("{key}: missing")))?;
+    TcpListener::bind(address)
+        .await
+        .change_context(ControlPlaneError::Start)
+        .attach_with(|| format!("{key}: {address}"))
+}
+
+/// Serves as a control node on the runtime of this thread until `shutdown` completes; then hands its roles and its seat over.
+///
+/// # Errors
+/// Where the settings, the data folder or an address can't be used.
+pub async fn serve(settings: Settings, shutdown: impl Future<Output = ()>) -> Outcome<()> {
+    let clock = Clock::start();
+    let (state, storage) = startup::load(&settings, clock)?;
+    let (durable, mut durable_messages) = mpsc::unbounded_channel();
+    let admin_listeners = [
+        bind(settings.operator_address, "Listen.Control").await?,
+        bind(settings.directory_address, "Listen.Directory").await?,
+    ];
+    let peer_address = SocketAddrV4::new(settings.ip, settings.internal_port);
+    let peer_listener = bind(Some(peer_address.into()), "InternalPorts").await?;
+    let storage = storage.map(|storage| Box::new(storage) as Box<dyn StateWriter>);
+    let node = Node::new(settings, clock, state, storage, durable);
+    let writer = node.clone();
+    spawn_local(async move {
+        while let Some(messages) = durable_messages.recv().await {
+            writer.on_durable(messages);
+        }
+    });
+    spawn_tasks(&node, peer_listener, admin_listeners);
+    log::info!(name = node.settings.name.as_str(); "control node started");
+    shutdown.await;
+    shut_down(&node).await;
+    Ok(())
+}
+
+fn spawn_tasks(node: &Rc<Node>, peer_listener: TcpListener, admin_listeners: [TcpListener; 2]) {
+    spawn_local(peer_links::incoming::listen(node.clone(), peer_listener));
+    spawn_local(peer_links::outgoing::maintain(node.clone()));
+    spawn_local(peer_links::outgoing::reload_seeds(node.clone()));
+    for listener in admin_listeners {
+        spawn_local(admin::server::listen(node.clone(), listener));
+    }
+    spawn_local(host_discovery::run(node.clone()));
+    let node = node.clone();
+    spawn_local(async move {
+        loop {
+            node.tick();
+            sleep(TICK_INTERVAL).await;
+        }
+    });
+}
+
+async fn shut_down(node: &Rc<Node>) {
+    log::info!("control node draining");
+    node.draining.set(true);
+    node.step(|state, now| state.leave(now));
+    sleep(DRAIN_TIME).await;
+    let limit = (HANDOVER_PART_OF_GRACE * node.settings.timing_bounds.grace).min(MAX_HANDOVER);
+    let deadline = node.clock.now() + limit;
+    while !node.with_state(ControlNodeState::may_shut_down) {
+        if node.clock.now() >= deadline {
+            log::warn!("shutting down as a voter: seat not handed over in time");
+            return;
+        }
+        sleep(TICK_INTERVAL).await;
+    }
+    // The last messages are still to be sent.
+    sleep(TICK_INTERVAL).await;
+}
--- /dev/null
+++ b/crates/control-plane/src/server/host_discovery/tests.rs
@@ -0,0 +1,89 @@
+//! The platform's client against a platform that answers wrongly.
+
+use super::platform::{MAX_PAGES, PlatformClient};
+use std::net::SocketAddr;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpListener;
+
+fn page(id: &str, token: Option<&str>) -> String {
+    let body = serde_json::json!({"Instances": [{"InstanceId": id, "Service": "s", "Address": "127.0.0.1:1",
+        "Zone": "z", "Capacity": 1, "OperatingState": "available", "ColdLeft": null}], "NextToken": token});
+    let body = body.to_string();
+    format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
+}
+
+/// A platform that gives the next of these answers to each request, whichever connection it comes on; an empty one closes
+/// the exchange.
+async fn platform(answers: Vec<String>) -> SocketAddr {
+    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let address = listener.local_addr().unwrap();
+    tokio::task::spawn(async move {
+        let mut answers = answers.into_iter();
+        let mut open = Vec::new();
+        while let Ok((mut stream, _)) = listener.accept().await {
+            let mut request = [0; 4096];
+            while stream.read(&mut request).await.is_ok_and(|read| read > 0) {
+                let Some(answer) = answers.next() else { break };
+                if answer.is_empty() {
+                    break;
+                }
+                stream.write_all(answer.as_bytes()).await.unwrap();
+            }
+            // Whoever asks on another connection got no answer on this one: it stays open.
+            open.push(stream);
+        }
+    });
+    address
+}
+
+fn run<F: Future>(test: F) -> F::Output {
+    tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap().block_on(test)
+}
+
+async fn listed_ids(client: &mut PlatformClient) -> Option<String> {
+    let instances = client.list_instances().await.ok()?;
+    Some(instances.into_iter().map(|instance| instance.id).collect::<Vec<_>>().join(" "))
+}
+
+/// An answer that is sent twice does not answer the next request: each list would be one older than it seems for as long as
+/// the connection lasts, and a page of one list would end another.
+#[test]
+fn duplicate_answer_is_not_taken_for_the_next_requests() {
+    run(async {
+        let duplicate = format!("{}{}", page("old", None), page("old", None));
+        let mut client = PlatformClient::new(platform(vec![duplicate, page("new", None)]).await);
+        assert_eq!(listed_ids(&mut client).await, None);
+        assert_eq!(listed_ids(&mut client).await.as_deref(), Some("new"));
+        let duplicate = format!("{}{}", page("a", Some("2")), page("z", None));
+        let answers = vec![duplicate, page("a", Some("2")), page("b", None)];
+        let mut client = PlatformClient::new(platform(answers).await);
+        assert_eq!(listed_ids(&mut client).await, None);
+        assert_eq!(listed_ids(&mut client).await.as_deref(), Some("a b"));
+    });
+}
+
+#[test]
+fn instance_on_two_pages_is_listed_once() {
+    run(async {
+        let answers = vec![page("a", Some("2")), page("a", None)];
+        let mut client = PlatformClient::new(platform(answers).await);
+        assert_eq!(listed_ids(&mut client).await.as_deref(), Some("a"));
+    });
+}
+
+/// A request that is given up for the platform's silence takes its connection along, and a list without end is no list.
+#[test]
+fn abandoned_or_endless_list_leaves_no_result_and_no_connection_behind() {
+    run(async {
+        let mut client = PlatformClient::new(platform(vec![String::new(), page("new", None)]).await);
+        tokio::select! {
+            biased;
+            _ = client.list_instances() => panic!("nobody answered"),
+            _ = async { for _ in 0..100 { tokio::task::yield_now().await } } => {}
+        }
+        assert!(!client.is_connected());
+        let endless = (0..=MAX_PAGES).map(|_| page("a", Some("more"))).collect();
+        let mut client = PlatformClient::new(platform(endless).await);
+        assert_eq!(listed_ids(&mut client).await, None);
+    });
+}
--- /dev/null
+++ b/crates/control-plane/src/server/mod.rs
@@ -0,0 +1,11 @@
+//! The control node's drivers: what connects the core (`archlink_control_node`) with sockets, disk and clock.
+
+pub mod contact_limits;
+pub mod host_discovery;
+pub mod node;
+pub mod peer_identity;
+pub mod peer_links;
+pub mod seeds;
+pub mod startup;
+pub mod state_change_log;
+pub mod write_queue;
--- /dev/null
+++ b/crates/control-plane/src/server/node.rs
@@ -0,0 +1,165 @@
+//! The runtime of one control node: gives time, messages and requests to the core (`archlink_control_node`) and performs
+//! the effects that come back.
+//!
+//! One job a submodule: `effects` (I/O), `operator_requests` (proposals of operators), `quorum_contact` (waiting for a
+//! quorum), `counter` (quota counter), `sessions` (data nodes). Invariant: no decision is made here, and no message that
+//! depends on a write leaves before that write is durable.
+
+mod counter;
+mod effects;
+mod operator_requests;
+mod quorum_contact;
+mod sessions;
+
+pub use operator_requests::{NotStarted, OperatorRequest};
+pub use quorum_contact::CLIENT_TIMEOUT;
+
+use super::seeds::seed_nodes;
+use super::state_change_log::{Observation, StateChangeLog};
+use super::write_queue::{BlockedMessages, StateWriter, WriteQueue};
+use archlink_config::{Configuration, Settings};
+use archlink_consensus::Effect;
+use archlink_control_node::node::ControlNodeState;
+use archlink_control_node::update_delivery::UpdateDelivery;
+use archlink_messages::{Message, NodeId, SINGLETON_ROLES, StateUpdate, VersionVector};
+use archlink_quota::counter::Counter;
+use archlink_runtime::{Clock, MessageSender};
+use operator_requests::PendingProposals;
+use sessions::Sessions;
+use std::cell::{Cell, RefCell};
+use std::collections::HashMap;
+use std::rc::Rc;
+use tokio::sync::{Notify, mpsc};
+use tokio::task::yield_now;
+
+/// Seconds without a tick after which this process counts as stalled: several ticks are due in that time.
+const STALL_THRESHOLD: f64 = 0.25;
+
+/// One control node: its core, its connections, its disk and the requests that wait for an outcome.
+pub struct Node {
+    /// The settings as of the start.
+    pub settings: Settings,
+    /// Monotonic time of this process.
+    pub clock: Clock,
+    /// This node.
+    pub id: NodeId,
+    state: RefCell<ControlNodeState>,
+    counter: RefCell<Counter>,
+    write_queue: RefCell<WriteQueue>,
+    /// Control nodes that the settings file names; read again while no quorum answers.
+    pub seeds: RefCell<Vec<NodeId>>,
+    /// Outgoing links, one a peer.
+    pub links: RefCell<HashMap<NodeId, MessageSender>>,
+    /// Connections of data nodes.
+    pub sessions: Sessions,
+    pending: PendingProposals,
+    /// The configuration in force, parsed.
+    configuration: RefCell<Option<Rc<Configuration>>>,
+    update_delivery: RefCell<UpdateDelivery>,
+    state_change_log: RefCell<StateChangeLog>,
+    /// Seconds on `clock` at which this process started, and of its last tick.
+    started_at: f64,
+    ticked_at: Cell<f64>,
+    /// Set once the node shuts down: answers then close their connections.
+    pub draining: Cell<bool>,
+    /// Notified after each step: something may have been learned or confirmed.
+    pub progress: Notify,
+}
+
+impl Node {
+    /// A node over `state`. What waits for the disk comes back on `durable` and belongs to [`Node::on_durable`]; without
+    /// `storage` everything counts as durable at once.
+    pub fn new(
+        settings: Settings,
+        clock: Clock,
+        state: ControlNodeState,
+        storage: Option<Box<dyn StateWriter>>,
+        durable: mpsc::UnboundedSender<BlockedMessages>,
+    ) -> Rc<Node> {
+        Rc::new(Node {
+            id: archlink_runtime::node_id(settings.ip),
+            seeds: RefCell::new(seed_nodes(&settings)),
+            settings,
+            clock,
+            state: RefCell::new(state),
+            counter: RefCell::default(),
+            write_queue: RefCell::new(WriteQueue::new(storage, durable)),
+            links: RefCell::default(),
+            sessions: Sessions::default(),
+            pending: PendingProposals::default(),
+            configuration: RefCell::default(),
+            update_delivery: RefCell::default(),
+            state_change_log: RefCell::default(),
+            started_at: clock.now(),
+            ticked_at: Cell::new(clock.now()),
+            draining: Cell::new(false),
+            progress: Notify::new(),
+        })
+    }
+
+    /// Reads the core's state at the current time.
+    pub fn with_state<R>(&self, read: impl FnOnce(&ControlNodeState, f64) -> R) -> R {
+        read(&self.state.borrow(), self.clock.now())
+    }
+
+    /// One step of the core, and the effects that follow from it.
+    pub fn step(&self, step: impl FnOnce(&mut ControlNodeState, f64) -> Vec<Effect>) {
+        let now = self.clock.now();
+        let effects = step(&mut self.state.borrow_mut(), now);
+        self.perform(now, effects);
+    }
+
+    /// Takes a message of a peer.
+    pub fn receive(&self, from: NodeId, message: Message) {
+        self.step(|state, now| state.step(now, from, message));
+    }
+
+    /// Time passes: leases and timers expire, queued writes are retried, and state changes are logged.
+    pub fn tick(&self) {
+        self.ticked_at.set(self.clock.now());
+        self.step(|state, now| state.tick(now));
+        self.write_queue.borrow_mut().retry();
+        self.log_state_changes();
+    }
+
+    fn log_state_changes(&self) {
+        let contact_age = self.contact_age();
+        let events = self.with_state(|state, now| {
+            let held_term = |role| state.leases.held_lease(now, role).map(|lease| lease.term);
+            let observation = Observation {
+                contact_age,
+                voter_set: state.voter_set(),
+                held_terms: SINGLETON_ROLES.map(|role| (role, held_term(role))),
+            };
+            self.state_change_log.borrow_mut().observe(now, &observation)
+        });
+        events.iter().for_each(super::state_change_log::StateChangeEvent::log);
+    }
+
+    /// After a stall the state is stale: time passes first, and what arrived meanwhile, closed connections among it, is
+    /// processed before anything is answered or started.
+    pub async fn catch_up_after_stall(&self) {
+        let since_tick = self.clock.now() - self.ticked_at.get();
+        if self.clock.now() > self.ticked_at.get() + STALL_THRESHOLD {
+            log::warn!(seconds = since_tick; "process stalled");
+            self.tick();
+        }
+        yield_now().await;
+    }
+
+    /// The configuration in force as far as this node has learned, parsed.
+    pub fn configuration(&self) -> Option<Rc<Configuration>> {
+        self.configuration.borrow().clone()
+    }
+
+    /// The state updates that a data node with these versions lacks.
+    pub fn missing_updates(&self, versions: &VersionVector) -> Vec<StateUpdate> {
+        self.with_state(|state, now| self.update_delivery.borrow_mut().updates_for(now, state, versions))
+    }
+
+    /// Tells all data nodes in session the current versions, so that they request what they lack.
+    pub fn notify_sessions(&self) {
+        let heartbeat = self.with_state(|state, now| state.heartbeat(now, 0));
+        self.sessions.broadcast(&heartbeat);
+    }
+}
--- /dev/null
+++ b/crates/control-plane/src/server/seeds.rs
@@ -0,0 +1,9 @@
+//! The seed nodes of the settings file.
+
+use archlink_config::Settings;
+use archlink_messages::NodeId;
+
+/// The control nodes that the settings name.
+pub fn seed_nodes(settings: &Settings) -> Vec<NodeId> {
+    settings.seeds.iter().map(|seed| archlink_runtime::node_id(*seed.ip())).collect()
+}
--- /dev/null
+++ b/crates/control-plane/src/settings.rs
@@ -0,0 +1,14 @@
+//! The settings file of this process.
+
+use crate::{ControlPlaneError, Outcome};
+use archlink_config::Settings;
+use error_stack::ResultExt;
+
+/// Reads and checks the settings file that `ARCHLINK_CONFIG` names.
+///
+/// # Errors
+/// Where the file can't be read, or a key is wrong: the error names the key, what was found and what is allowed.
+pub fn read_settings() -> Outcome<Settings> {
+    let text = archlink_runtime::settings_text().change_context(ControlPlaneError::Settings)?;
+    Settings::read(&text).change_context(ControlPlaneError::Settings)
+}
--- /dev/null
+++ b/crates/control-plane/src/tests/callers.rs
@@ -0,0 +1,62 @@
+//! Callers that disconnect, and callers that send early.
+
+use super::serve_caller;
+use super::simulated_cluster::{NODES, SimulatedDisk, run, running_node};
+use crate::admin::server;
+use archlink_messages::{ConsensusMessage, Message};
+use std::io::Write;
+use std::time::Duration;
+use tokio::net::TcpListener;
+use tokio::sync::mpsc;
+
+/// A request that arrived during a stall, of a caller that has disconnected since: it may have sent another one elsewhere, so
+/// nothing of it is started. It was: a late `Begin` sent prepare messages before the end of its connection was noticed.
+#[test]
+fn request_of_a_disconnected_caller_is_not_started() {
+    run(async {
+        let node = running_node(NODES[0], SimulatedDisk::default());
+        let (sender, mut messages) = mpsc::channel(256);
+        node.links.borrow_mut().insert(NODES[1], sender);
+        let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        let address = listener.local_addr().unwrap();
+        for disconnects in [true, false] {
+            let mut caller = std::net::TcpStream::connect(address).unwrap();
+            caller.write_all(b"POST /archlink/Evacuation.Begin/east HTTP/1.1\r\n\r\n").unwrap();
+            let staying = (!disconnects).then_some(caller);
+            let (stream, _) = listener.accept().await.unwrap();
+            let serving = server::serve(node.clone(), stream, Default::default(), Default::default());
+            tokio::time::timeout(Duration::from_secs(3), serving).await.ok();
+            drop(staying);
+            let mut prepares = 0;
+            while let Ok(message) = messages.try_recv() {
+                prepares +=
+                    u32::from(matches!(message, Message::Consensus(_, ConsensusMessage::Prepare(..))));
+            }
+            assert_eq!(prepares == 0, disconnects, "{prepares} prepare messages were sent");
+        }
+    });
+}
+
+/// A read waits for a quorum's confirmation, for 0.9 s where none comes: not for a caller that has disconnected. It did.
+#[test]
+fn read_ends_when_its_caller_disconnects() {
+    run(async {
+        let read = b"GET /archlink/Configuration.Read HTTP/1.1\r\n\r\n";
+        let (took, _) = serve_caller(read, true, 3).await;
+        assert!(took < 0.1, "{took} s");
+        let (_, answers) = serve_caller(read, false, 3).await;
+        assert!(answers.starts_with("HTTP/1.1 503"), "{answers}");
+    });
+}
+
+/// A caller that sends its next request early gets both answers. It was taken for one that had disconnected.
+#[test]
+fn pipelined_request_is_answered() {
+    run(async {
+        let requests =
+            b"POST /archlink/Evacuation.Begin/east HTTP/1.1\r\n\r\nGET /archlink/members HTTP/1.1\r\n\r\n";
+        let (_, answers) = serve_caller(requests, false, 15).await;
+        let statuses: Vec<&str> = answers.split("HTTP/1.1 ").skip(1).map(|answer| &answer[..3]).collect();
+        assert_eq!(statuses, ["503", "200"], "{answers}");
+    });
+}
--- /dev/null
+++ b/crates/control-plane/src/tests/mod.rs
@@ -0,0 +1,45 @@
+//! Tests of the control node's drivers and of its HTTP interface, on a simulated cluster.
+
+mod answers;
+mod callers;
+mod durability;
+pub mod log_capture;
+mod partitions;
+mod simulated_cluster;
+mod versions;
+
+use crate::admin::server;
+use archlink_messages::DataNode;
+use simulated_cluster::{NODES, SimulatedDisk, running_node};
+use std::io::{Read, Write};
+use std::net::SocketAddrV4;
+use std::time::Duration;
+use tokio::net::TcpListener;
+
+/// A data node that is ready.
+fn data_node() -> DataNode {
+    DataNode {
+        node: 0x0a00_0101,
+        zone: "west".into(),
+        region: "coast".into(),
+        client_address: SocketAddrV4::new([10, 0, 1, 1].into(), 8206),
+        ready: true,
+    }
+}
+
+/// Serves one caller, which sends `requests` at once and then leaves or stays, for so many seconds at most; how long that
+/// took, and what was answered to a caller that stayed.
+async fn serve_caller(requests: &[u8], leaves: bool, seconds: u64) -> (f64, String) {
+    let node = running_node(NODES[0], SimulatedDisk::default());
+    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let mut caller = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+    caller.write_all(requests).unwrap();
+    let staying = (!leaves).then_some(caller);
+    let (stream, _) = listener.accept().await.unwrap();
+    let started_at = node.clock.now();
+    let serving = server::serve(node.clone(), stream, Default::default(), Default::default());
+    tokio::time::timeout(Duration::from_secs(seconds), serving).await.ok();
+    let mut answers = String::new();
+    staying.map(|mut caller| caller.read_to_string(&mut answers).unwrap());
+    (node.clock.now() - started_at, answers)
+}
--- /dev/null
+++ b/crates/control-plane/src/tests/partitions.rs
@@ -0,0 +1,185 @@
+//! What a node answers while no quorum answers it, and how the cluster gets out of that.
+
+use super::data_node;
+use super::simulated_cluster::{
+    NODES, SimulatedCluster, SimulatedDisk, advance, configuration, run, send_call, stalled_node,
+};
+use crate::admin::calls::{Basis, Call};
+use archlink_control_node::event_log::Event;
+use strum::IntoEnumIterator;
+
+/// Valid names and body of a call.
+fn valid_arguments(call: Call) -> (&'static str, String) {
+    match call {
+        Call::ReplaceConfiguration => ("", configuration(2, 7)),
+        Call::BeginEvacuation | Call::FinishEvacuation => ("east", String::new()),
+        Call::ReplaceVoter => ("10.0.0.3/10.0.0.4", String::new()),
+        Call::ForceNewGeneration => ("", r#"{"Epoch":1,"Lose":["10.0.0.2"]}"#.into()),
+        _ => ("", String::new()),
+    }
+}
+
+/// The table of calls, row by row, at a node that has been partitioned for longer than anybody waits: a request ends at once,
+/// was not started and says when to retry; a quorum's confirmation is not made up; what the node knows is answered with its
+/// age; sessions that nobody renews have expired. It guards against a request that waits for its whole time in a minority,
+/// and against a partitioned node's state that passes for the cluster's.
+#[test]
+fn partitioned_node_answers_each_call_by_its_basis() {
+    for call in Call::iter() {
+        run(async move {
+            let cluster = SimulatedCluster::new();
+            advance(1.0).await;
+            let text = configuration(1, 5);
+            assert_eq!(cluster.call(0, Call::ReplaceConfiguration, "", &text).await.0.status, 200);
+            let renewed = Event::SessionRenewed(data_node());
+            cluster.nodes[1].step(|state, now| state.record_event(now, renewed));
+            advance(1.0).await;
+            let (names, body) = valid_arguments(call);
+            let before = cluster.call(0, call, names, &body).await;
+            let is_local = call.basis() == Basis::LocalState;
+            assert_eq!(before.1["Contact"] == true, is_local, "{call:?}: {}", before.1);
+            advance(4.0).await;
+            cluster.partition(0, true);
+            advance(6.0).await;
+            let promised_rounds = |index: usize| {
+                let acceptors = cluster.disks[index].state().acceptors;
+                acceptors.values().map(|acceptor| acceptor.promised.round).sum::<u64>()
+            };
+            let (called_at, rounds) =
+                (cluster.nodes[0].clock.now(), [promised_rounds(0), promised_rounds(1)]);
+            let (answer, fields) = cluster.call(0, call, names, &body).await;
+            let took = cluster.nodes[0].clock.now() - called_at;
+            let retry_after = String::from_utf8_lossy(&answer.lines).contains("Retry-After");
+            match call.basis() {
+                Basis::QuorumContact => {
+                    assert!(
+                        answer.status == 503 && retry_after && took < 0.3,
+                        "{call:?}: {} after {took} s",
+                        answer.status
+                    );
+                    let reason = fields["Error"].as_str();
+                    assert!(reason.is_some_and(|reason| reason.contains("not begun")), "{fields}");
+                    let rounds_after = [promised_rounds(0), promised_rounds(1)];
+                    assert_eq!(rounds_after, rounds, "{call:?} was started");
+                }
+                Basis::ConfirmedRead => {
+                    assert!(answer.status == 503 && retry_after && took < 1.0, "{call:?}: {took} s")
+                }
+                Basis::Sessions => assert!(answer.status == 503 && retry_after, "{call:?}: {fields}"),
+                Basis::LocalState => {
+                    assert!(answer.status == 200 && fields["Contact"] == false, "{call:?}: {fields}");
+                    let age = fields["ConfirmedSecondsAgo"].as_f64();
+                    assert!(age.is_some_and(|age| age > 5.0), "{call:?}: {fields}");
+                }
+                // One of the two that it does not hear is named, and not the other.
+                Basis::OperatorDecision => {
+                    assert!(answer.status == 409 && fields.to_string().contains("10.0.0.3"), "{fields}")
+                }
+            }
+            // The first request after the partition is accepted: the answer of a quorum is not waited for.
+            cluster.partition(0, false);
+            if call == Call::BeginEvacuation {
+                assert_eq!(cluster.call(0, call, names, &body).await.0.status, 200);
+            }
+        });
+    }
+}
+
+/// While the system starts, and in the first moments of a partition, a request is started and waits: it is accepted as soon
+/// as a quorum answers. To reject such requests at once would cost their senders a pause that grows.
+#[test]
+fn request_at_the_start_waits_for_its_quorum() {
+    run(async {
+        let cluster = SimulatedCluster::new();
+        cluster.partition(1, true);
+        cluster.partition(2, true);
+        let heal = async {
+            advance(0.5).await;
+            cluster.partition(1, false);
+        };
+        let text = configuration(1, 5);
+        let request = cluster.call(0, Call::ReplaceConfiguration, "", &text);
+        let ((answer, fields), ()) = tokio::join!(request, heal);
+        let version = &fields["InForce"]["ConfigVersion"];
+        assert_eq!((answer.status, version), (200, &"00000001".into()), "{fields}");
+    });
+}
+
+/// A process that stalled knows of sessions that have long expired. It answered with their data nodes: answers in the 50 ms
+/// before its next tick were from before the stall.
+#[test]
+fn stalled_node_resolves_no_expired_session() {
+    run(async {
+        let node = stalled_node(NODES[0], SimulatedDisk::default());
+        node.step(|state, now| state.record_event(now, Event::SessionRenewed(data_node())));
+        assert_eq!(send_call(&node, Call::Resolve, "", "").await.0.status, 200);
+        advance(20.0).await;
+        assert_eq!(send_call(&node, Call::Resolve, "", "").await.0.status, 503);
+    });
+}
+
+/// A seat is given to another node by request; each rejection says what to do, and a request that is sent again is told that
+/// it was done.
+#[test]
+fn voter_is_replaced_once_and_rejections_name_their_reason() {
+    run(async {
+        let cluster = SimulatedCluster::new();
+        advance(2.0).await;
+        let replace = async |names| cluster.call(0, Call::ReplaceVoter, names, "").await;
+        assert_eq!(replace("10.0.0.3").await.0.status, 400);
+        assert_eq!(replace("10.0.0.3/control-4").await.0.status, 400);
+        for (names, reason) in [
+            ("10.0.0.9/10.0.0.4", "NoSeat"),
+            ("10.0.0.3/10.0.0.1", "Seated"),
+            ("10.0.0.3/10.0.0.9", "Absent"),
+        ] {
+            let (answer, fields) = replace(names).await;
+            assert_eq!((answer.status, &fields["Reason"]), (409, &reason.into()), "{fields}");
+        }
+        cluster.partition(2, true);
+        for _ in 0..2 {
+            let (answer, fields) = replace("10.0.0.3/10.0.0.4").await;
+            assert_eq!((answer.status, fields["Epoch"].as_u64()), (200, Some(3)), "{fields}");
+        }
+        advance(1.0).await;
+        assert_eq!(cluster.call(3, Call::Voters, "", "").await.1["Members"][3]["Seat"], true);
+    });
+}
+
+/// A new generation is rejected while a quorum answers, and where other voters are named than those that are not heard of;
+/// with these it is forced, on what the survivor holds, and requests are accepted again.
+#[test]
+fn new_generation_is_forced_by_naming_lost_voters_and_only_without_a_quorum() {
+    run(async {
+        let cluster = SimulatedCluster::new();
+        advance(1.0).await;
+        let text = configuration(1, 5);
+        assert_eq!(cluster.call(0, Call::ReplaceConfiguration, "", &text).await.0.status, 200);
+        advance(5.0).await;
+        let force = async |names: &str| {
+            let body = format!(r#"{{"Epoch":1,"Lose":[{names}]}}"#);
+            cluster.call(0, Call::ForceNewGeneration, "", &body).await
+        };
+        let assert_rejected = async |names, reason| {
+            let (answer, fields) = force(names).await;
+            let error = fields["Error"].as_str().unwrap();
+            assert!(answer.status == 409 && error.contains(reason), "{fields}");
+        };
+        assert_rejected(r#""10.0.0.2","10.0.0.3""#, "nothing is lost").await;
+        cluster.partition(1, true);
+        cluster.partition(2, true);
+        advance(3.0).await;
+        assert_rejected(r#""10.0.0.2","10.0.0.3""#, "name exactly these").await;
+        advance(4.0).await;
+        assert_rejected(r#""10.0.0.2""#, "10.0.0.2,10.0.0.3").await;
+        assert_eq!(force(r#""10.0.0.2","control-3""#).await.0.status, 400);
+        let next = configuration(2, 5);
+        assert_eq!(cluster.call(0, Call::ReplaceConfiguration, "", &next).await.0.status, 503);
+        let (answer, fields) = force(r#""10.0.0.2","10.0.0.3""#).await;
+        let is_beyond_counted_epochs = fields["Epoch"].as_u64() > Some(1 << 32);
+        assert!(answer.status == 200 && is_beyond_counted_epochs, "{} {fields}", answer.status);
+        let (read, _) = cluster.call(0, Call::ReadConfiguration, "", "").await;
+        assert_eq!(String::from_utf8_lossy(&read.body), text);
+        assert_eq!(cluster.call(0, Call::ReplaceConfiguration, "", &next).await.0.status, 200);
+    });
+}
