--- a/crates/control-plane/src/cli/arguments.rs
+++ b/crates/control-plane/src/cli/arguments.rs
@@ -1,6 +1,6 @@
 //! The words of the command line. Earlier spellings go on working as hidden aliases.
 
-use clap::{Arg, ArgAction, Command};
+use clap::{Arg, ArgAction, ArgMatches, Command};
 
 fn voters() -> Command {
     let option = |name: &'static str, help: &'static str| Arg::new(name).long(name).help(help);
@@ -61,5 +61,10 @@
         )
 }
 
+/// An argument's text; empty where it is absent.
+pub(super) fn argument<'a>(arguments: &'a ArgMatches, name: &str) -> &'a str {
+    arguments.get_one::<String>(name).map_or("", String::as_str)
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/control-plane/src/cli/client.rs
+++ b/crates/control-plane/src/cli/client.rs
@@ -1,7 +1,7 @@
 //! Sends calls to control nodes over HTTP: one after another until one answers for good.
 
-use super::failure;
 use crate::admin::calls::Call;
+use crate::error::failure;
 use crate::{ControlPlaneError, Outcome, read_settings};
 use archlink_http::codec::{ClientCodec, HostResponse, OutgoingRequest};
 use clap::ArgMatches;
--- a/crates/control-plane/src/cli/commands.rs
+++ b/crates/control-plane/src/cli/commands.rs
@@ -2,11 +2,13 @@
 //!
 //! Invariant: no configuration is sent that does not pass the check.
 
+use super::arguments::argument;
 use super::client::{Header, call_any, target_addresses};
-use super::{failure, force_new_generation};
+use super::force_new_generation;
 use crate::admin::calls::Call;
 use crate::admin::configuration::{check, digest, hex};
 use crate::admin::voters::parse_node;
+use crate::error::failure;
 use crate::{ControlPlaneError, Outcome};
 use clap::ArgMatches;
 use error_stack::ResultExt;
@@ -32,11 +34,6 @@
     }
 }
 
-/// An argument's text; empty where it is absent.
-pub(super) fn argument<'a>(arguments: &'a ArgMatches, name: &str) -> &'a str {
-    arguments.get_one::<String>(name).map_or("", String::as_str)
-}
-
 async fn call_and_print(arguments: &ArgMatches, call: Call, names: &str, body: &[u8]) -> Outcome<()> {
     let reply = call_any(&target_addresses(arguments)?, call, names, body).await?;
     println!("{}", String::from_utf8_lossy(&reply.body));
--- a/crates/control-plane/src/cli/force_new_generation.rs
+++ b/crates/control-plane/src/cli/force_new_generation.rs
@@ -3,11 +3,11 @@
 //!
 //! Invariant: nothing is sent unless all three options are those that the survey shows now.
 
+use super::arguments::argument;
 use super::client::{CallError, call_any, call_one, parse_address, target_addresses};
-use super::commands::argument;
 use super::disaster_recovery::{Confirmation, SurveyedNode, survey};
-use super::failure;
 use crate::admin::calls::Call;
+use crate::error::failure;
 use crate::{ControlPlaneError, Outcome};
 use clap::ArgMatches;
 use error_stack::ResultExt;
--- a/crates/control-plane/src/cli/mod.rs
+++ b/crates/control-plane/src/cli/mod.rs
@@ -11,7 +11,7 @@
 use crate::{ControlPlaneError, Outcome, read_settings, serve};
 use archlink_runtime::until_terminated;
 use clap::ArgMatches;
-use error_stack::{Report, ResultExt};
+use error_stack::ResultExt;
 use std::process::ExitCode;
 use tokio::runtime::LocalOptions;
 
@@ -65,8 +65,3 @@
         builder.enable_all().build_local(LocalOptions::default()).change_context(ControlPlaneError::Start)?;
     runtime.block_on(work)
 }
-
-/// An error with its reason attached.
-fn failure(kind: ControlPlaneError, reason: String) -> Report<ControlPlaneError> {
-    Report::new(kind).attach(reason)
-}
--- a/crates/control-plane/src/error.rs
+++ b/crates/control-plane/src/error.rs
@@ -37,3 +37,8 @@
 
 /// A result whose error names its causes.
 pub type Outcome<T> = Result<T, Report<ControlPlaneError>>;
+
+/// An error with its reason attached.
+pub(crate) fn failure(kind: ControlPlaneError, reason: String) -> Report<ControlPlaneError> {
+    Report::new(kind).attach(reason)
+}
--- a/crates/control-plane/src/server/node.rs
+++ b/crates/control-plane/src/server/node.rs
@@ -141,7 +141,7 @@
     pub async fn catch_up_after_stall(&self) {
         let since_tick = self.clock.now() - self.ticked_at.get();
         if self.clock.now() > self.ticked_at.get() + STALL_THRESHOLD {
-            log::warn!(seconds = since_tick; "process stalled");
+            log::warn!(stalled_s:% = format_args!("{since_tick:.1}"); "process stalled");
             self.tick();
         }
         yield_now().await;
--- a/crates/control-plane/src/tests/partitions.rs
+++ b/crates/control-plane/src/tests/partitions.rs
@@ -6,6 +6,8 @@
 };
 use crate::admin::calls::{Basis, Call};
 use archlink_control_node::event_log::Event;
+use archlink_http::codec::Response;
+use serde_json::Value;
 use strum::IntoEnumIterator;
 
 /// Valid names and body of a call.
@@ -19,6 +21,69 @@
     }
 }
 
+/// Sum of the rounds that a node's disk has promised: it grows with each proposal that reaches the node.
+fn promised_rounds(cluster: &SimulatedCluster, index: usize) -> u64 {
+    let acceptors = cluster.disks[index].state().acceptors;
+    acceptors.values().map(|acceptor| acceptor.promised.round).sum()
+}
+
+/// The answer of a node that has been partitioned for longer than anybody waits, after `took` seconds.
+fn assert_partitioned_answer(call: Call, answer: &Response, fields: &Value, took: f64) {
+    let retry_after = String::from_utf8_lossy(&answer.lines).contains("Retry-After");
+    match call.basis() {
+        Basis::QuorumContact => {
+            let status = answer.status;
+            assert!(status == 503 && retry_after && took < 0.3, "{call:?}: {status} after {took} s");
+            let reason = fields["Error"].as_str();
+            assert!(reason.is_some_and(|reason| reason.contains("not begun")), "{fields}");
+        }
+        Basis::ConfirmedRead => {
+            assert!(answer.status == 503 && retry_after && took < 1.0, "{call:?}: {took} s")
+        }
+        Basis::Sessions => assert!(answer.status == 503 && retry_after, "{call:?}: {fields}"),
+        Basis::LocalState => {
+            assert!(answer.status == 200 && fields["Contact"] == false, "{call:?}: {fields}");
+            let age = fields["ConfirmedSecondsAgo"].as_f64();
+            assert!(age.is_some_and(|age| age > 5.0), "{call:?}: {fields}");
+        }
+        // One of the two that it does not hear is named, and not the other.
+        Basis::OperatorDecision => {
+            assert!(answer.status == 409 && fields.to_string().contains("10.0.0.3"), "{fields}")
+        }
+    }
+}
+
+async fn check_call_in_a_partition(call: Call) {
+    let cluster = SimulatedCluster::new();
+    advance(1.0).await;
+    let text = configuration(1, 5);
+    assert_eq!(cluster.call(0, Call::ReplaceConfiguration, "", &text).await.0.status, 200);
+    let renewed = Event::SessionRenewed(data_node());
+    cluster.nodes[1].step(|state, now| state.record_event(now, renewed));
+    advance(1.0).await;
+    let (names, body) = valid_arguments(call);
+    let before = cluster.call(0, call, names, &body).await;
+    let is_local = call.basis() == Basis::LocalState;
+    assert_eq!(before.1["Contact"] == true, is_local, "{call:?}: {}", before.1);
+    advance(4.0).await;
+    cluster.partition(0, true);
+    advance(6.0).await;
+    let rounds = [0, 1].map(|index| promised_rounds(&cluster, index));
+    let called_at = cluster.nodes[0].clock.now();
+    let (answer, fields) = cluster.call(0, call, names, &body).await;
+    let took = cluster.nodes[0].clock.now() - called_at;
+    assert_partitioned_answer(call, &answer, &fields, took);
+    if call.basis() == Basis::QuorumContact {
+        let rounds_after = [0, 1].map(|index| promised_rounds(&cluster, index));
+        assert_eq!(rounds_after, rounds, "{call:?} was started");
+    }
+    // The first request after the partition is accepted: the answer of a quorum is not waited for.
+    cluster.partition(0, false);
+    if call == Call::BeginEvacuation {
+        assert_eq!(cluster.call(0, call, names, &body).await.0.status, 200);
+    }
+}
+
 /// The table of calls, row by row, at a node that has been partitioned for longer than anybody waits: a request ends at once,
 /// was not started and says when to retry; a quorum's confirmation is not made up; what the node knows is answered with its
 /// age; sessions that nobody renews have expired. It guards against a request that waits for its whole time in a minority,
@@ -26,62 +91,7 @@
 #[test]
 fn partitioned_node_answers_each_call_by_its_basis() {
     for call in Call::iter() {
-        run(async move {
-            let cluster = SimulatedCluster::new();
-            advance(1.0).await;
-            let text = configuration(1, 5);
-            assert_eq!(cluster.call(0, Call::ReplaceConfiguration, "", &text).await.0.status, 200);
-            let renewed = Event::SessionRenewed(data_node());
-            cluster.nodes[1].step(|state, now| state.record_event(now, renewed));
-            advance(1.0).await;
-            let (names, body) = valid_arguments(call);
-            let before = cluster.call(0, call, names, &body).await;
-            let is_local = call.basis() == Basis::LocalState;
-            assert_eq!(before.1["Contact"] == true, is_local, "{call:?}: {}", before.1);
-            advance(4.0).await;
-            cluster.partition(0, true);
-            advance(6.0).await;
-            let promised_rounds = |index: usize| {
-                let acceptors = cluster.disks[index].state().acceptors;
-                acceptors.values().map(|acceptor| acceptor.promised.round).sum::<u64>()
-            };
-            let (called_at, rounds) =
-                (cluster.nodes[0].clock.now(), [promised_rounds(0), promised_rounds(1)]);
-            let (answer, fields) = cluster.call(0, call, names, &body).await;
-            let took = cluster.nodes[0].clock.now() - called_at;
-            let retry_after = String::from_utf8_lossy(&answer.lines).contains("Retry-After");
-            match call.basis() {
-                Basis::QuorumContact => {
-                    assert!(
-                        answer.status == 503 && retry_after && took < 0.3,
-                        "{call:?}: {} after {took} s",
-                        answer.status
-                    );
-                    let reason = fields["Error"].as_str();
-                    assert!(reason.is_some_and(|reason| reason.contains("not begun")), "{fields}");
-                    let rounds_after = [promised_rounds(0), promised_rounds(1)];
-                    assert_eq!(rounds_after, rounds, "{call:?} was started");
-                }
-                Basis::ConfirmedRead => {
-                    assert!(answer.status == 503 && retry_after && took < 1.0, "{call:?}: {took} s")
-                }
-                Basis::Sessions => assert!(answer.status == 503 && retry_after, "{call:?}: {fields}"),
-                Basis::LocalState => {
-                    assert!(answer.status == 200 && fields["Contact"] == false, "{call:?}: {fields}");
-                    let age = fields["ConfirmedSecondsAgo"].as_f64();
-                    assert!(age.is_some_and(|age| age > 5.0), "{call:?}: {fields}");
-                }
-                // One of the two that it does not hear is named, and not the other.
-                Basis::OperatorDecision => {
-                    assert!(answer.status == 409 && fields.to_string().contains("10.0.0.3"), "{fields}")
-                }
-            }
-            // The first request after the partition is accepted: the answer of a quorum is not waited for.
-            cluster.partition(0, false);
-            if call == Call::BeginEvacuation {
-                assert_eq!(cluster.call(0, call, names, &body).await.0.status, 200);
-            }
-        });
+        run(check_call_in_a_partition(call));
     }
 }
 
--- a/crates/control-plane/src/tests/versions.rs
+++ b/crates/control-plane/src/tests/versions.rs
@@ -8,7 +8,7 @@
 /// it comes, at any node; another one of its version is rejected by each of them in the same words, also once a higher one is
 /// in force; a lower version changes nothing and is told what is in force. Both texts were acknowledged.
 #[test]
-fn answers_tell_which_text_has_a_version() {
+fn each_version_has_one_text_at_every_node() {
     run(async {
         let cluster = SimulatedCluster::new();
         advance(1.0).await;
