--- a/crates/messages/src/node_rank.rs
+++ b/crates/messages/src/node_rank.rs
@@ -1,62 +1,52 @@
-//! An order of all data gateways that each of them knows without a message: what doesn't divide evenly among them goes to
-//! those at its front. Another order for each subject, so that no gateway is always last. Must never hang on anything but
-//! the subject and who there is.
+//! An order of all data nodes per subject that each node computes without communication (rendezvous hashing: D. G. Thaler and
+//! C. V. Ravishankar, "Using name-based mappings to increase hit rates", 1998). What cannot be divided evenly goes to the
+//! nodes at the front; each subject has another order, so that no node is always last. Invariant: the order depends only on
+//! the subject and the set of nodes.
 
 use crate::NodeId;
 
-/// A gateway's place in the order of a subject.
+/// FNV-1a, 64 bits: offset basis and prime.
+const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+const FNV_PRIME: u64 = 0x0100_0000_01b3;
+
+/// A node's place in the order of a subject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NodeRank {
+    /// Number of nodes before this one.
     pub rank: usize,
-    /// 0: it isn't known yet who is there.
+    /// Number of nodes in the order; 0 while the nodes are unknown or this node is not one of them.
     pub nodes: usize,
 }
 
 impl NodeRank {
-    /// `gateways` are all that may be at work, `me` among them; one that they leave out has no place.
-    pub fn of(me: NodeId, subject: &str, gateways: &[NodeId]) -> NodeRank {
-        let key = subject.bytes().fold(0xcbf2_9ce4_8422_2325_u64, |sum, byte| {
-            (sum ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
-        });
-        // The last step of a well-mixed 64-bit generator: neighbouring numbers land far apart.
-        let drawn = |node: NodeId| {
-            let sum = (key ^ u64::from(node)).wrapping_add(0x9e37_79b9_7f4a_7c15);
-            let sum = (sum ^ (sum >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-            let sum = (sum ^ (sum >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-            (sum ^ (sum >> 31), node)
-        };
-        let mine = drawn(me);
-        let known = gateways.contains(&me);
-        let rank = gateways.iter().filter(|&&node| drawn(node) < mine).count();
-        NodeRank { rank, nodes: if known { gateways.len() } else { 0 } }
+    /// The rank of `node` for `subject` among `all_nodes`, the possibly active ones. A node that is not among them gets no
+    /// portion.
+    pub fn of(node: NodeId, subject: &str, all_nodes: &[NodeId]) -> NodeRank {
+        let subject_hash = fnv_1a(subject.as_bytes());
+        let weight = |node: NodeId| (mix(subject_hash ^ u64::from(node)), node);
+        let own_weight = weight(node);
+        let is_member = all_nodes.contains(&node);
+        let rank = all_nodes.iter().filter(|&&node| weight(node) < own_weight).count();
+        NodeRank { rank, nodes: if is_member { all_nodes.len() } else { 0 } }
     }
 
-    /// This gateway's part of `all` that are given out.
-    pub fn portion(&self, all: usize) -> usize {
+    /// This node's portion of `total` units. Invariant: the portions of all nodes of one set add up to `total`.
+    pub fn portion(&self, total: usize) -> usize {
         match self.nodes {
             0 => 0,
-            gateways => all / gateways + usize::from(self.rank < all % gateways),
+            nodes => total / nodes + usize::from(self.rank < total % nodes),
         }
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
+fn fnv_1a(bytes: &[u8]) -> u64 {
+    bytes.iter().fold(FNV_OFFSET_BASIS, |hash, &byte| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME))
+}
 
-    /// All parts together are what is given out, for any number, and nobody is favoured over many subjects.
-    #[test]
-    fn parts_add_up_and_every_gateway_has_its_turn() {
-        let gateways: Vec<NodeId> = (0..92).map(|n| 0x0a01_0020 + n * 7).collect();
-        let mut had = vec![0; gateways.len()];
-        for subject in 0..400 {
-            let subject = format!("t{subject}");
-            let parts: Vec<usize> =
-                gateways.iter().map(|&g| NodeRank::of(g, &subject, &gateways).portion(45)).collect();
-            assert_eq!(parts.iter().sum::<usize>(), 45);
-            had.iter_mut().zip(parts).for_each(|(had, part)| *had += part);
-        }
-        assert!(had.iter().all(|n| (120..280).contains(n)), "{had:?}");
-        assert_eq!(NodeRank::of(1, "t", &gateways).portion(45), 0);
-    }
+/// One step of SplitMix64 (G. L. Steele, D. Lea, C. H. Flood, 2014): neighbouring inputs give unrelated outputs.
+fn mix(input: u64) -> u64 {
+    let mixed = input.wrapping_add(0x9e37_79b9_7f4a_7c15);
+    let mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+    mixed ^ (mixed >> 31)
 }
--- a/crates/messages/src/patch.rs
+++ b/crates/messages/src/patch.rs
@@ -1,57 +1,101 @@
-//! Texts made small: by themselves, or against one that the reader holds already, so that a change costs what it changes.
-//! Must never give back anything but the text that was packed, whole, and never more than its reader allows.
+//! Compressed texts: alone, or against a base that the receiver already has, so that the size of a patch follows the size of
+//! the change.
+//!
+//! Format: the length of the text in bytes (four bytes, little-endian), then one zstd frame with the base as dictionary.
+//! Invariant: [`decompress`] gives back the complete text or an error, and never more than its limit.
 
-use std::io;
+use std::{fmt, io};
 use zstd::bulk::{Compressor, Decompressor};
 
-/// A quick level: a text is packed once and read by many, but the machine has little to spare.
-const LEVEL: i32 = 3;
-/// The largest text that is unpacked.
-const MOST: u32 = 64 << 20;
-const LENGTH: usize = 4;
+/// The zstd level. A low one: a text is compressed once and read by many, but processor time is scarce.
+const COMPRESSION_LEVEL: i32 = 3;
 
-/// The text's length, and the text packed against `base`; an empty base is none.
-pub fn compress(text: &[u8], base: &[u8]) -> io::Result<Vec<u8>> {
-    let length = u32::try_from(text.len()).ok().filter(|length| *length <= MOST);
-    let length = length.ok_or_else(|| io::Error::other("a text too long"))?;
-    let mut packed = length.to_le_bytes().to_vec();
-    packed.extend(Compressor::with_dictionary(LEVEL, base)?.compress(text)?);
-    Ok(packed)
+/// The longest text, in bytes. Bounds the memory that a damaged or hostile patch can claim.
+const MAX_TEXT_BYTES: u32 = 64 << 20;
+
+/// Bytes of the length before the zstd frame.
+const LENGTH_BYTES: usize = 4;
+
+/// Why a text could not be compressed or a patch not be decompressed. The functions return it inside an [`io::Error`], beside
+/// the errors of zstd. Operators see these texts.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum PatchError {
+    /// The text is longer than the limit of 64 MiB.
+    TextTooLong {
+        /// Its length in bytes.
+        length: usize,
+    },
+    /// The patch ends within its head.
+    Truncated {
+        /// Its length in bytes.
+        length: usize,
+    },
+    /// The patch names a length above the limit.
+    LengthAboveLimit {
+        /// The length that it names, in bytes.
+        length: u32,
+    },
+    /// The patch contains a text of another length than it names.
+    LengthMismatch {
+        /// The length that it names, in bytes.
+        expected: u32,
+        /// The length of the text in it, in bytes.
+        actual: usize,
+    },
 }
 
-pub fn decompress(packed: &[u8], base: &[u8]) -> io::Result<Vec<u8>> {
-    let damaged = || io::Error::new(io::ErrorKind::InvalidData, "a packed text that is damaged");
-    let (length, rest) = packed.split_first_chunk::<LENGTH>().ok_or_else(damaged)?;
-    let length = u32::from_le_bytes(*length);
-    if length > MOST {
-        return Err(damaged());
+impl fmt::Display for PatchError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            PatchError::TextTooLong { .. } => "a text too long",
+            PatchError::Truncated { .. }
+            | PatchError::LengthAboveLimit { .. }
+            | PatchError::LengthMismatch { .. } => "a packed text that is damaged",
+        })
     }
-    let text = Decompressor::with_dictionary(base)?.decompress(rest, length as usize)?;
-    if text.len() == length as usize { Ok(text) } else { Err(damaged()) }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// A change of one line in a long text costs little, and comes back whole; against another base it does not come back
-    /// as the text.
-    #[test]
-    fn a_change_costs_what_it_changes() {
-        let line = |n: u32| format!("route {} {:08x}\n", n, n.wrapping_mul(0x9e37_79b9));
-        let before: String = (0..4000).map(line).collect();
-        let after = before.replacen("route 2000 ", "route two ", 1);
-        let patch = compress(after.as_bytes(), before.as_bytes()).unwrap();
-        assert!(patch.len() < 300, "{}", patch.len());
-        assert_eq!(decompress(&patch, before.as_bytes()).unwrap(), after.as_bytes());
-        assert_ne!(decompress(&patch, &before.as_bytes()[..5000]).ok(), Some(after.clone().into_bytes()));
-        assert_eq!(decompress(&compress(after.as_bytes(), b"").unwrap(), b"").unwrap(), after.as_bytes());
+impl std::error::Error for PatchError {}
+
+impl From<PatchError> for io::Error {
+    fn from(error: PatchError) -> io::Error {
+        let kind = match error {
+            PatchError::TextTooLong { .. } => io::ErrorKind::Other,
+            _ => io::ErrorKind::InvalidData,
+        };
+        io::Error::new(kind, error)
     }
+}
 
-    #[test]
-    fn any_bytes_are_a_text_or_an_error() {
-        bolero::check!().with_iterations(2_000).for_each(|bytes: &[u8]| {
-            decompress(bytes, b"base").ok();
-        });
+/// Compresses `text` against `base`; an empty base is none.
+///
+/// # Errors
+/// [`PatchError::TextTooLong`], or an error of zstd.
+pub fn compress(text: &[u8], base: &[u8]) -> io::Result<Vec<u8>> {
+    let length = u32::try_from(text.len())
+        .ok()
+        .filter(|length| *length <= MAX_TEXT_BYTES)
+        .ok_or(PatchError::TextTooLong { length: text.len() })?;
+    let mut patch = length.to_le_bytes().to_vec();
+    patch.extend(Compressor::with_dictionary(COMPRESSION_LEVEL, base)?.compress(text)?);
+    Ok(patch)
+}
+
+/// The text that was compressed against `base`. With another base the result is an error or another text: callers compare
+/// versions first.
+///
+/// # Errors
+/// [`io::ErrorKind::InvalidData`] with a [`PatchError`] inside, or an error of zstd.
+pub fn decompress(patch: &[u8], base: &[u8]) -> io::Result<Vec<u8>> {
+    let (length, frame) =
+        patch.split_first_chunk::<LENGTH_BYTES>().ok_or(PatchError::Truncated { length: patch.len() })?;
+    let length = u32::from_le_bytes(*length);
+    if length > MAX_TEXT_BYTES {
+        return Err(PatchError::LengthAboveLimit { length }.into());
+    }
+    let text = Decompressor::with_dictionary(base)?.decompress(frame, length as usize)?;
+    if text.len() != length as usize {
+        return Err(PatchError::LengthMismatch { expected: length, actual: text.len() }.into());
     }
+    Ok(text)
 }
--- a/crates/messages/src/voter_set.rs
+++ b/crates/messages/src/voter_set.rs
@@ -1,27 +1,22 @@
-//! Who votes, in which epoch, and what counts as enough of them. Agreed on like everything else: each next muster is chosen
-//! by enough of the one before. Must never let two sets that don't overlap both be enough for one epoch or for neighbouring
-//! ones.
-
-use crate::{ConsensusMessage, Message, NodeId};
+//! The voter set of an epoch, its quorums, and how one set follows another.
+//!
+//! The set changes by joint consensus (D. Ongaro, "Consensus: Bridging Theory and Practice", 2014, section 4.3;
+//! `docs/control.md`, section 3): a joint epoch, in which both sets have to agree, lies between the old set and the new one,
+//! and each next voter set is chosen by a quorum of the one before. Invariant: two quorums of one epoch, or of neighbouring
+//! epochs, have a voter in common.
+
+use crate::{NodeId, generation};
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-/// The epochs of one founding: a person who founds anew goes beyond all of them.
-const FOUNDING_BITS: u32 = 32;
-/// Of these the changes take the lower half. The upper one is drawn: two survivors that are founded anew by mistake don't come
-/// to two sets under one epoch.
-const CHANGE_BITS: u32 = 16;
-/// Rounds of ballots of one founding: so many attempts are never made.
-pub(crate) const ROUND_BITS: u32 = 40;
-
-/// The set of voters of an epoch; while it changes, the set that comes as well.
+/// The voters of an epoch, and in a joint epoch the incoming voters as well.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct VoterSet {
-    /// 0: not known yet. 1: the seeds of the first start.
+    /// 0 while it is unknown; 1 for the seed nodes of the first start.
     pub epoch: u64,
-    /// In the order of their numbers.
+    /// In ascending order.
     pub voters: Vec<NodeId>,
-    /// The set that is to be; empty where no change is under way. Until it is, a majority of each is needed.
+    /// The voters of the set that follows, in ascending order; empty outside a joint epoch.
     pub incoming: Vec<NodeId>,
 }
 
@@ -32,69 +27,75 @@
 }
 
 impl VoterSet {
-    /// What all know at the very first start.
+    /// The voter set of the first start, known to all nodes from their settings.
     pub fn initial(seeds: &[NodeId]) -> VoterSet {
         VoterSet { epoch: 1, voters: sorted(seeds.to_vec()), incoming: Vec::new() }
     }
 
-    /// The next epoch, in which both sets vote.
-    pub fn enter_joint(&self, coming: Vec<NodeId>) -> VoterSet {
-        VoterSet { epoch: self.epoch + 1, voters: self.voters.clone(), incoming: sorted(coming) }
+    /// The next epoch, a joint one: both the current and the incoming voters vote.
+    pub fn enter_joint(&self, incoming: Vec<NodeId>) -> VoterSet {
+        VoterSet { epoch: self.epoch + 1, voters: self.voters.clone(), incoming: sorted(incoming) }
     }
 
-    /// The epoch after that, in which one of the two sets votes alone.
-    pub fn leave_joint(&self, seats: &[NodeId]) -> VoterSet {
-        VoterSet { epoch: self.epoch + 1, voters: seats.to_vec(), incoming: Vec::new() }
+    /// The epoch after a joint one: `voters`, one of its two sets, vote alone.
+    pub fn leave_joint(&self, voters: &[NodeId]) -> VoterSet {
+        VoterSet { epoch: self.epoch + 1, voters: voters.to_vec(), incoming: Vec::new() }
     }
 
-    /// A set that a person founds anew, beyond all epochs that those before may have come to; `lot` tells it from another one
-    /// that is founded elsewhere.
-    pub fn next_generation(&self, seats: Vec<NodeId>, lot: u16) -> VoterSet {
-        let founding = (self.epoch >> FOUNDING_BITS) + 1;
-        let epoch = (founding << FOUNDING_BITS) | (u64::from(lot) << CHANGE_BITS);
-        VoterSet { epoch, voters: sorted(seats), incoming: Vec::new() }
+    /// The voter set of a generation that an operator forces, beyond all epochs that this one can lead to; `nonce`
+    /// distinguishes it from one that is forced elsewhere at the same time.
+    pub fn next_generation(&self, voters: Vec<NodeId>, nonce: u16) -> VoterSet {
+        VoterSet {
+            epoch: generation::next_epoch(self.epoch, nonce),
+            voters: sorted(voters),
+            incoming: Vec::new(),
+        }
     }
 
-    /// Rounds of ballots of this founding are above this: whatever was held before it is older.
+    /// Proposal rounds of this generation are above this one; rounds of earlier generations are below it.
     pub fn first_round(&self) -> u64 {
-        (self.epoch >> FOUNDING_BITS) << ROUND_BITS
+        generation::first_round(generation::of_epoch(self.epoch))
     }
 
+    /// Whether any voter set is known.
     pub fn is_known(&self) -> bool {
         self.epoch > 0
     }
 
-    /// Is a change of the set under way?
+    /// Whether the epoch is a joint one.
     pub fn is_joint(&self) -> bool {
         !self.incoming.is_empty()
     }
 
+    /// Whether `node` votes, as a current or an incoming voter.
     pub fn contains(&self, node: NodeId) -> bool {
         self.voters.contains(&node) || self.incoming.contains(&node)
     }
 
-    /// All that vote, each once.
+    /// All nodes that vote, each once, in ascending order.
     pub fn all_voters(&self) -> Vec<NodeId> {
         sorted(self.voters.iter().chain(&self.incoming).copied().collect())
     }
 
-    /// Are those for which `yes` holds more than half of each set?
-    pub fn has_quorum(&self, yes: impl Fn(NodeId) -> bool) -> bool {
-        let half = |set: &[NodeId]| 2 * set.iter().filter(|&&node| yes(node)).count() > set.len();
-        self.is_known() && half(&self.voters) && (self.incoming.is_empty() || half(&self.incoming))
-    }
-
-    /// A word that counts in this epoch alone.
-    pub fn message(&self, poll: ConsensusMessage) -> Message {
-        Message::Consensus(self.epoch, poll)
+    /// Whether the voters that satisfy `has_agreed` are a quorum: a majority of the voters and, in a joint epoch, of the
+    /// incoming voters.
+    pub fn has_quorum(&self, has_agreed: impl Fn(NodeId) -> bool) -> bool {
+        let is_majority =
+            |voters: &[NodeId]| 2 * voters.iter().filter(|&&node| has_agreed(node)).count() > voters.len();
+        self.is_known()
+            && is_majority(&self.voters)
+            && (self.incoming.is_empty() || is_majority(&self.incoming))
     }
 
-    /// As the value of its register.
+    /// The value of [`Register::VoterSet`](crate::Register::VoterSet) for this set.
     pub fn to_bytes(&self) -> Bytes {
+        // Cannot fail: the vector grows as needed, and postcard rejects only sequences of unknown length, of which the set
+        // has none.
         postcard::to_stdvec(self).unwrap_or_default().into()
     }
 
-    /// None where the bytes are no muster.
+    /// Decodes a value of [`Register::VoterSet`](crate::Register::VoterSet); none where the bytes are not a known, non-empty
+    /// voter set.
     pub fn from_bytes(bytes: &[u8]) -> Option<VoterSet> {
         postcard::from_bytes(bytes)
             .ok()
