--- a/crates/storage/src/format.rs
+++ b/crates/storage/src/format.rs
@@ -1,165 +1,124 @@
-//! Bytes on disk: the snapshot, the entries, and okaywal's files around the entries. Must never take for whole what is not,
-//! nor guess at what a later version wrote.
+//! The bytes of snapshots and log entries, version 1.
 //!
-//! okaywal's own reader is not used: it writes to what it reads, refuses a file whose tail is torn, and follows a torn length
-//! to fill gigabytes with zeros.
+//! Both begin with a head of 16 bytes: magic (seven bytes), version (one), number of the last change (eight, little-endian).
+//! A snapshot goes on with a CRC-32C of head and body (four bytes, little-endian) and the [`DurableState`] in postcard; an
+//! entry with a [`ChangeRecord`] in postcard, whose checksum is `okaywal`'s.
+//!
+//! Invariant: decoding gives a complete value or an error. A later version is an error, never guessed at.
 
-use crate::{DurableState, StateChange, StorageError, legacy_format};
+use crate::{DurableState, StateChange, StorageError};
 use archlink_messages::{ProposalNumber, Register};
 use error_stack::{Report, ResultExt, bail, ensure};
 use serde::{Deserialize, Serialize};
 
-/// Begins a snapshot. None of before the versions does: it would name 76 voters, the first of them 0.0.0.79.
-const SNAPSHOT: &[u8; 7] = b"LOGBOOK";
+/// Begins a snapshot. No legacy snapshot begins with it: it would contain 76 voters, the first of them 0.0.0.79.
+const SNAPSHOT_MAGIC: &[u8; 7] = b"LOGBOOK";
+
 /// Begins an entry.
-const ENTRY: &[u8; 7] = b"LOGLINE";
-/// Of both: what this program writes, and the highest that it reads.
+pub const ENTRY_MAGIC: &[u8; 7] = b"LOGLINE";
+
+/// The version of both that is written, and the highest that is read.
 const VERSION: u8 = 1;
-/// Mark, version, number (eight bytes, the lowest first).
-const HEAD: usize = 16;
 
-/// One change as it is written. A slot whose value is the one that stands already is told by its promise alone: a promise
-/// costs some tens of bytes, however large the value is.
+/// Bytes of the head: magic, version, number.
+const HEAD_BYTES: usize = 16;
+
+/// Bytes of a snapshot's checksum.
+const CHECKSUM_BYTES: usize = 4;
+
+/// A change as it is written to the log. An acceptor state whose accepted value did not change is reduced to its promise: a
+/// promise then costs some tens of bytes, however large the value is. The order of the fields is the format.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Change {
-    entered: StateChange,
-    promised: Vec<(Register, ProposalNumber)>,
+pub struct ChangeRecord {
+    change: StateChange,
+    promises: Vec<(Register, ProposalNumber)>,
 }
 
-impl Change {
-    pub fn of(state: &DurableState, mut entered: StateChange) -> Change {
-        let mut promised = Vec::new();
-        entered.acceptors.retain(|(register, slot)| {
-            let stands = state.acceptors.get(register).is_some_and(|had| had.accepted == slot.accepted);
-            if stands {
-                promised.push((*register, slot.promised));
+impl ChangeRecord {
+    /// The record of a change on `state`.
+    pub fn new(state: &DurableState, mut change: StateChange) -> ChangeRecord {
+        let mut promises = Vec::new();
+        change.acceptors.retain(|(register, acceptor)| {
+            let is_promise =
+                state.acceptors.get(register).is_some_and(|current| current.accepted == acceptor.accepted);
+            if is_promise {
+                promises.push((*register, acceptor.promised));
             }
-            !stands
+            !is_promise
         });
-        Change { entered, promised }
+        ChangeRecord { change, promises }
     }
 
-    pub fn enter_into(self, state: &mut DurableState) {
-        state.enter(self.entered);
-        for (register, proposal) in self.promised {
+    /// Applies the change to the state that it was made on.
+    pub fn apply_to(self, state: &mut DurableState) {
+        state.apply(self.change);
+        for (register, proposal) in self.promises {
             state.acceptors.entry(register).or_default().promised = proposal;
         }
     }
 }
 
-fn head(mark: &[u8; 7], number: u64) -> Vec<u8> {
-    [mark.as_slice(), &[VERSION], &number.to_le_bytes()].concat()
-}
-
-/// Number and body, where the version is one that is known.
-fn open<'a>(mark: &[u8; 7], bytes: &'a [u8]) -> Result<(u64, &'a [u8]), Report<StorageError>> {
-    let Some((head, body)) = bytes.split_first_chunk::<HEAD>() else {
-        bail!(Report::new(StorageError::Damaged).attach("shorter than its head"));
-    };
-    ensure!(head.starts_with(mark), Report::new(StorageError::Damaged).attach("does not begin as it must"));
-    let version = head[mark.len()];
-    ensure!(
-        (1..=VERSION).contains(&version),
-        Report::new(StorageError::UnsupportedVersion)
-            .attach(format!("version {version}; known up to {VERSION}"))
-    );
-    let number = head.last_chunk::<8>().map_or(0, |bytes| u64::from_le_bytes(*bytes));
-    Ok((number, body))
+/// Whether the bytes begin as a snapshot of a version with a head.
+pub fn is_snapshot(bytes: &[u8]) -> bool {
+    bytes.starts_with(SNAPSHOT_MAGIC)
 }
 
-pub fn snapshot(number: u64, state: &DurableState) -> Result<Vec<u8>, postcard::Error> {
-    let mut bytes = head(SNAPSHOT, number);
+/// The snapshot of the state after the change of this number.
+pub fn encode_snapshot(number: u64, state: &DurableState) -> Result<Vec<u8>, postcard::Error> {
+    let mut bytes = encode_head(SNAPSHOT_MAGIC, number);
     let body = postcard::to_stdvec(state)?;
-    bytes.extend(crc32c::crc32c_append(crc32c::crc32c(&bytes), &body).to_le_bytes());
+    bytes.extend(snapshot_checksum(&bytes, &body).to_le_bytes());
     bytes.extend(body);
     Ok(bytes)
 }
 
-/// The state and the number of the last change in it; one of before the versions has the number 0.
-pub fn read_snapshot(bytes: &[u8]) -> Result<(u64, DurableState), Report<StorageError>> {
-    if !bytes.starts_with(SNAPSHOT) {
-        return Ok((0, legacy_format::read_snapshot(bytes)?));
-    }
-    let (number, rest) = open(SNAPSHOT, bytes)?;
-    let Some((sum, body)) = rest.split_first_chunk::<4>() else {
+/// The number of the last change in a snapshot, and its state.
+pub fn decode_snapshot(bytes: &[u8]) -> Result<(u64, DurableState), Report<StorageError>> {
+    let (number, rest) = decode_head(SNAPSHOT_MAGIC, bytes)?;
+    let Some((checksum, body)) = rest.split_first_chunk::<CHECKSUM_BYTES>() else {
         bail!(Report::new(StorageError::Damaged).attach("shorter than its head"));
     };
     ensure!(
-        crc32c::crc32c_append(crc32c::crc32c(&bytes[..HEAD]), body) == u32::from_le_bytes(*sum),
+        snapshot_checksum(&bytes[..HEAD_BYTES], body) == u32::from_le_bytes(*checksum),
         Report::new(StorageError::Damaged).attach("its checksum is another")
     );
     Ok((number, postcard::from_bytes(body).change_context(StorageError::Damaged)?))
 }
 
-pub fn entry(number: u64, change: &Change) -> Result<Vec<u8>, postcard::Error> {
-    postcard::to_extend(change, head(ENTRY, number))
+/// The log entry of the change of this number.
+pub fn encode_entry(number: u64, record: &ChangeRecord) -> Result<Vec<u8>, postcard::Error> {
+    postcard::to_extend(record, encode_head(ENTRY_MAGIC, number))
 }
 
-pub fn read_entry(bytes: &[u8]) -> Result<(u64, Change), Report<StorageError>> {
-    let (number, body) = open(ENTRY, bytes)?;
-    let change = postcard::from_bytes(body)
+/// The number of the change in a log entry, and the change.
+pub fn decode_entry(bytes: &[u8]) -> Result<(u64, ChangeRecord), Report<StorageError>> {
+    let (number, body) = decode_head(ENTRY_MAGIC, bytes)?;
+    let record = postcard::from_bytes(body)
         .change_context(StorageError::Damaged)
         .attach_with(|| format!("entry {number}"))?;
-    Ok((number, change))
-}
-
-/// The number of an entry that is whole somewhere in bytes that could not be read in order.
-pub fn whole_entry_within(bytes: &[u8]) -> impl Iterator<Item = u64> {
-    let marks = (5..bytes.len()).filter(|&at| bytes[at..].starts_with(ENTRY));
-    marks.filter_map(|at| chunk(bytes, at - 5)).filter_map(|(body, _)| read_entry(body).ok()).map(|(n, _)| n)
+    Ok((number, record))
 }
 
-const FILE: &[u8; 4] = b"okw\0";
-const NEW_ENTRY: u8 = 1;
-const CHUNK: u8 = 2;
-const END_OF_ENTRY: u8 = 3;
-
-/// A whole chunk of okaywal's at a place, and what comes behind it: mark, length, bytes, checksum.
-fn chunk(bytes: &[u8], at: usize) -> Option<(&[u8], usize)> {
-    let (head, rest) = bytes.get(at..)?.split_first_chunk::<5>()?;
-    let length = u32::from_le_bytes(*head.last_chunk()?) as usize;
-    let (body, rest) = rest.split_at_checked(length)?;
-    let sum = u32::from_le_bytes(*rest.first_chunk()?);
-    (head[0] == CHUNK && crc32c::crc32c(body) == sum).then_some((body, at + 5 + length + 4))
+fn encode_head(magic: &[u8; 7], number: u64) -> Vec<u8> {
+    [magic.as_slice(), &[VERSION], &number.to_le_bytes()].concat()
 }
 
-/// What a file of okaywal's holds.
-pub struct Segment<'a> {
-    /// Whole entries in their order; ours are of one chunk each.
-    pub entries: Vec<&'a [u8]>,
-    /// Where the last of them ends.
-    pub end: usize,
-    /// Whether a chunk that is not whole follows.
-    pub torn: bool,
+/// The number in the head, and the body, where the version is known.
+fn decode_head<'a>(magic: &[u8; 7], bytes: &'a [u8]) -> Result<(u64, &'a [u8]), Report<StorageError>> {
+    let Some((head, body)) = bytes.split_first_chunk::<HEAD_BYTES>() else {
+        bail!(Report::new(StorageError::Damaged).attach("shorter than its head"));
+    };
+    ensure!(head.starts_with(magic), Report::new(StorageError::Damaged).attach("does not begin as it must"));
+    let version = head[magic.len()];
+    ensure!(
+        (1..=VERSION).contains(&version),
+        Report::new(StorageError::UnsupportedVersion)
+            .attach(format!("version {version}; known up to {VERSION}"))
+    );
+    let number = head.last_chunk::<8>().map_or(0, |bytes| u64::from_le_bytes(*bytes));
+    Ok((number, body))
 }
 
-/// Reads as far as entries follow each other. The file of the id `first` has no entries of lower ids: those are from before
-/// it was used again.
-pub fn segment(bytes: &[u8], first: u64) -> Segment<'_> {
-    let mut found = Segment { entries: Vec::new(), end: 0, torn: false };
-    if !bytes.starts_with(FILE) || bytes.len() <= FILE.len() {
-        return found;
-    }
-    let mut at = FILE.len() + 1 + usize::from(bytes[FILE.len()]);
-    found.end = at;
-    while let Some([NEW_ENTRY, id @ ..]) = bytes.get(at..).and_then(<[u8]>::first_chunk::<9>)
-        && u64::from_le_bytes(*id) >= first
-    {
-        at += 9;
-        let mut chunks = Vec::new();
-        while bytes.get(at) == Some(&CHUNK) {
-            let Some((body, behind)) = chunk(bytes, at) else {
-                found.torn = true;
-                return found;
-            };
-            chunks.push(body);
-            at = behind;
-        }
-        if bytes.get(at) == Some(&END_OF_ENTRY) {
-            at += 1;
-            found.entries.extend(chunks);
-            found.end = at;
-        }
-    }
-    found
+fn snapshot_checksum(head: &[u8], body: &[u8]) -> u32 {
+    crc32c::crc32c_append(crc32c::crc32c(head), body)
 }
--- a/crates/storage/src/legacy_format.rs
+++ b/crates/storage/src/legacy_format.rs
@@ -1,100 +1,108 @@
-//! What folders hold from before there were numbers and versions: a snapshot without a head, and entries without one in
-//! several files of okaywal's. Read once, at the first start of this version; must stay as it was then, whatever becomes of
-//! the types of today.
+//! The bytes of data folders of versions without numbers and heads: a snapshot and log entries in postcard alone. They are
+//! read once, at the first start of this version.
+//!
+//! Invariant: these types keep the layout of then, whatever becomes of the present ones.
 
-use crate::disk::Disk;
-use crate::store::{Found, list, read, segments};
-use crate::{StorageError, format};
+use crate::StorageError;
 use archlink_messages::{LeaseGrant, NodeId, ProposalNumber, Register, SingletonRole, VoterSet};
 use bytes::Bytes;
-use error_stack::{Report, ResultExt, ensure};
+use error_stack::{Report, ResultExt};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
-use std::path::Path;
 
+/// An accepted value, without recent versions.
 #[derive(Serialize, Deserialize)]
-pub struct Held {
+pub struct AcceptedValue {
+    /// The proposal under which it was accepted.
     pub proposal: ProposalNumber,
-    pub stamp: u64,
+    /// The revision.
+    pub revision: u64,
+    /// The content.
     pub value: Bytes,
 }
 
+/// The state of one acceptor.
 #[derive(Serialize, Deserialize)]
-pub struct Slot {
+pub struct AcceptorState {
+    /// The highest proposal that was promised.
     pub promised: ProposalNumber,
-    pub held: Option<Held>,
+    /// The value accepted last.
+    pub accepted: Option<AcceptedValue>,
 }
 
+/// The snapshot.
 #[derive(Default, Serialize, Deserialize)]
-pub struct State {
+pub struct DurableState {
+    /// The voters.
     pub voters: Vec<NodeId>,
-    pub slots: BTreeMap<Register, Slot>,
+    /// The acceptor state of each register.
+    pub acceptors: BTreeMap<Register, AcceptorState>,
+    /// The latest grant of each role.
     pub grants: BTreeMap<SingletonRole, LeaseGrant>,
 }
 
+/// A log entry.
 #[derive(Default, Serialize, Deserialize)]
-pub struct Entered {
+pub struct StateChange {
+    /// The voters, if they were set.
     pub voters: Option<Vec<NodeId>>,
-    pub slots: Vec<(Register, Slot)>,
+    /// The acceptor states that changed.
+    pub acceptors: Vec<(Register, AcceptorState)>,
+    /// The new grants.
     pub grants: Vec<LeaseGrant>,
 }
 
-/// The set was agreed on once, by the seeds, and stood for good: it is the first epoch's.
-fn voter_set(voters: &[NodeId]) -> Option<VoterSet> {
-    Some(VoterSet::initial(voters)).filter(|voter_set| !voter_set.voters.is_empty())
+/// Decodes a snapshot.
+pub fn decode_snapshot(bytes: &[u8]) -> Result<crate::DurableState, Report<StorageError>> {
+    postcard::from_bytes::<DurableState>(bytes).map(Into::into).change_context(StorageError::Damaged)
 }
 
-/// In the place of the register of today's musters the first set was voted on, which was on no disk.
-fn slot((register, slot): (Register, Slot)) -> Option<(Register, archlink_messages::AcceptorState)> {
-    let held = |Held { proposal, stamp, value }| archlink_messages::AcceptedValue {
-        proposal,
-        revision: stamp,
-        value,
-        recent_versions: Vec::new(),
-    };
-    let slot = archlink_messages::AcceptorState { promised: slot.promised, accepted: slot.held.map(held) };
-    (register != Register::VoterSet).then_some((register, slot))
+/// Decodes a log entry.
+pub fn decode_entry(bytes: &[u8]) -> Result<crate::StateChange, Report<StorageError>> {
+    postcard::from_bytes::<StateChange>(bytes).map(Into::into).change_context(StorageError::Damaged)
 }
 
-impl From<State> for crate::DurableState {
-    fn from(State { voters, slots, grants }: State) -> Self {
-        let slots = slots.into_iter().filter_map(slot).collect();
-        crate::DurableState { voter_set: voter_set(&voters).unwrap_or_default(), acceptors: slots, grants }
+impl From<DurableState> for crate::DurableState {
+    fn from(legacy: DurableState) -> Self {
+        crate::DurableState {
+            voter_set: voter_set(&legacy.voters).unwrap_or_default(),
+            acceptors: legacy.acceptors.into_iter().filter_map(acceptor).collect(),
+            grants: legacy.grants,
+        }
     }
 }
 
-impl From<Entered> for crate::StateChange {
-    fn from(Entered { voters, slots, grants }: Entered) -> Self {
-        let voter_set = voters.and_then(|voters| voter_set(&voters));
-        crate::StateChange { voter_set, acceptors: slots.into_iter().filter_map(slot).collect(), grants }
+impl From<StateChange> for crate::StateChange {
+    fn from(legacy: StateChange) -> Self {
+        crate::StateChange {
+            voter_set: legacy.voters.and_then(|voters| voter_set(&voters)),
+            acceptors: legacy.acceptors.into_iter().filter_map(acceptor).collect(),
+            grants: legacy.grants,
+        }
     }
 }
 
-pub fn read_snapshot(bytes: &[u8]) -> Result<crate::DurableState, Report<StorageError>> {
-    postcard::from_bytes::<State>(bytes).map(Into::into).change_context(StorageError::Damaged)
+/// The voters were agreed on once, by the seed nodes, and never changed: they are the voter set of the first epoch.
+fn voter_set(voters: &[NodeId]) -> Option<VoterSet> {
+    Some(VoterSet::initial(voters)).filter(|voter_set| !voter_set.voters.is_empty())
 }
 
-/// Replays the log over the snapshot. Half an entry at the end was never said to be kept.
-pub fn replay<D: Disk>(disk: &D, log: &Path, found: &mut Found) -> Result<(), Report<StorageError>> {
-    let mut torn = false;
-    for (name, first) in segments(list(disk, log)?) {
-        let path = log.join(name);
-        let bytes = read(disk, &path)?.unwrap_or_default();
-        let segment = format::segment(&bytes, first);
-        ensure!(
-            !torn || segment.entries.is_empty(),
-            Report::new(StorageError::Damaged)
-                .attach(format!("{}: an entry before it can't be read", path.display()))
-        );
-        torn |= segment.torn;
-        for entry in segment.entries {
-            let entered: Entered = postcard::from_bytes(entry)
-                .change_context(StorageError::Damaged)
-                .attach_with(|| path.display().to_string())?;
-            found.state.enter(entered.into());
-        }
-        found.read.push(path);
+/// In the place of the present register of voter sets was a vote on the first set, which is of no use any more.
+fn acceptor(
+    (register, legacy): (Register, AcceptorState),
+) -> Option<(Register, archlink_messages::AcceptorState)> {
+    let acceptor = archlink_messages::AcceptorState {
+        promised: legacy.promised,
+        accepted: legacy.accepted.map(accepted_value),
+    };
+    (register != Register::VoterSet).then_some((register, acceptor))
+}
+
+fn accepted_value(legacy: AcceptedValue) -> archlink_messages::AcceptedValue {
+    archlink_messages::AcceptedValue {
+        proposal: legacy.proposal,
+        revision: legacy.revision,
+        value: legacy.value,
+        recent_versions: Vec::new(),
     }
-    found.read.push(log.to_path_buf());
-    Ok(())
 }
--- a/crates/storage/src/tests/crashes.rs
+++ b/crates/storage/src/tests/crashes.rs
@@ -1,222 +1,253 @@
 //! What a crash leaves, at every point of a run.
 
-use super::{after, change};
-use crate::simulated_disk::{FOLDER, MadeUp, Platter, each_loss};
-use crate::store::{Keeper, find};
+use super::simulated_disk::{DiskImage, FOLDER, SimulatedDisk, for_each_power_loss};
+use super::{nth_change, state_after};
+use crate::recovery::recover;
+use crate::store::Store;
 use crate::{DurableState, StorageError};
 use oorandom::Rand64;
+use std::ops::Range;
 use std::path::Path;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// So that a few changes make a checkpoint.
-const CHECKPOINT: usize = 700;
-/// Losses tried at one point of the run.
-const LOSSES: u64 = 300;
+/// So low that a few changes make a checkpoint due.
+const MIN_CHECKPOINT_BYTES: usize = 700;
+/// Power losses tried at one point of the run.
+const MAX_LOSSES: u64 = 300;
 
-/// All states that were entered, and how many of them were said to be kept.
+/// All states in their order, and the index of the last one that was reported as durable.
 #[derive(Clone, Default)]
-struct Story {
-    entered: Vec<DurableState>,
-    kept: usize,
+struct History {
+    states: Vec<DurableState>,
+    durable: usize,
 }
 
-impl Story {
-    fn begin() -> Story {
-        Story { entered: vec![DurableState::default()], kept: 0 }
+impl History {
+    fn new() -> History {
+        History::from(DurableState::default())
     }
 
-    /// The place of what is found: one moment's state, not from before the last that was said to be kept.
-    fn place(&self, platter: &Platter) -> Result<usize, String> {
-        let found = find(&MadeUp::new(platter.clone()), Path::new(FOLDER)).map_err(|e| format!("{e:#}"))?;
-        let place = self.entered.iter().rposition(|state| *state == found.state);
-        match place {
-            Some(place) if place >= self.kept => Ok(place),
-            Some(place) => Err(format!("{place} found, {} was kept", self.kept)),
+    fn from(state: DurableState) -> History {
+        History { states: vec![state], durable: 0 }
+    }
+
+    /// The index of the state that is recovered from a disk. It has to be the state of one moment, and not from before the
+    /// last one that was reported as durable.
+    fn recovered_index(&self, image: &DiskImage) -> Result<usize, String> {
+        let found = recover(&SimulatedDisk::new(image.clone()), Path::new(FOLDER))
+            .map_err(|error| format!("{error:#}"))?;
+        match self.states.iter().rposition(|state| *state == found.state) {
+            Some(index) if index >= self.durable => Ok(index),
+            Some(index) => Err(format!("state {index} recovered, {} was durable", self.durable)),
             None => Err(format!("a state that never was, number {}", found.number)),
         }
     }
 }
 
-fn opened(disk: &MadeUp) -> Keeper<MadeUp> {
+fn open(disk: &SimulatedDisk) -> Store<SimulatedDisk> {
     loop {
-        match Keeper::open(disk.clone(), Path::new(FOLDER), CHECKPOINT) {
-            Err(e) if *e.current_context() == StorageError::Disk => {}
-            control_node => return control_node.unwrap(),
+        match Store::open(disk.clone(), Path::new(FOLDER), MIN_CHECKPOINT_BYTES) {
+            Err(error) if *error.current_context() == StorageError::Disk => {}
+            store => return store.unwrap(),
         }
     }
 }
 
-fn keep(control_node: &mut Keeper<MadeUp>, story: &Mutex<Story>, n: u64) {
-    let entered = change(control_node.state(), n);
+fn persist(store: &mut Store<SimulatedDisk>, history: &Mutex<History>, n: u64) {
+    let change = nth_change(store.state(), n);
     {
-        let mut story = story.lock().unwrap();
-        let next = after(story.entered.last().unwrap(), entered.clone());
-        story.entered.push(next);
+        let mut history = history.lock().unwrap();
+        let next = state_after(history.states.last().unwrap(), change.clone());
+        history.states.push(next);
     }
-    control_node.keep(entered, Duration::ZERO);
-    let mut story = story.lock().unwrap();
-    assert_eq!(control_node.state(), story.entered.last().unwrap());
-    story.kept = story.entered.len() - 1;
-    drop(story);
-    control_node.tidy();
+    store.persist(change, Duration::ZERO);
+    let mut history = history.lock().unwrap();
+    assert_eq!(store.state(), history.states.last().unwrap());
+    history.durable = history.states.len() - 1;
+    drop(history);
+    store.checkpoint_if_due();
 }
 
-/// Paths whose sync does nothing.
-type Idle = fn(&Path) -> bool;
+/// Selects paths whose sync is omitted.
+type OmittedSyncs = fn(&Path) -> bool;
+
+#[derive(Clone, Default)]
+struct CrashReport {
+    first_violation: Option<String>,
+    images_checked: u64,
+}
 
-/// One run; after each write, sync and name the process ends or the power is lost in every way. The first wrong state, and
-/// how many were looked at.
-fn every_crash(changes: u64, refused: std::ops::Range<u64>, idle: Idle) -> (Option<String>, u64) {
-    let disk = MadeUp::new(Platter::empty());
-    disk.idle(idle);
+impl CrashReport {
+    fn check(&mut self, history: &History, image: &DiskImage, crash: &str, operation: u64) {
+        if self.first_violation.is_some() {
+            return;
+        }
+        self.images_checked += 1;
+        if let Err(violation) = history.recovered_index(image) {
+            self.first_violation = Some(format!("{crash} after operation {operation}: {violation}"));
+        }
+    }
+}
+
+/// One run; after each operation the process is killed, or the power is lost in every way.
+fn crash_everywhere(changes: u64, refused: Range<u64>, omitted_syncs: OmittedSyncs) -> CrashReport {
+    let disk = SimulatedDisk::new(DiskImage::empty());
+    disk.omit_syncs(omitted_syncs);
     disk.refuse(refused, 3);
-    let story = Arc::new(Mutex::new(Story::begin()));
-    let wrong = Arc::new(Mutex::new((None, 0)));
-    let (told, seen) = (story.clone(), wrong.clone());
-    let mut chance = Rand64::new(11);
-    disk.watch(move |platter, effect| {
-        let story = told.lock().unwrap().clone();
-        let (wrong, looked) = &mut *seen.lock().unwrap();
-        let mut look = |platter: &Platter, how| {
-            if wrong.is_some() {
-                return;
-            }
-            *looked += 1;
-            if let Err(what) = story.place(platter) {
-                wrong.get_or_insert(format!("{how} after act {effect}: {what}"));
-            }
-        };
-        look(platter, "killed");
-        each_loss(platter, LOSSES, &mut chance, |left| look(&left, "power lost"));
+    let history = Arc::new(Mutex::new(History::new()));
+    let report = Arc::new(Mutex::new(CrashReport::default()));
+    let (observed_history, shared_report) = (history.clone(), report.clone());
+    let mut rng = Rand64::new(11);
+    disk.observe(move |image, operation| {
+        let history = observed_history.lock().unwrap().clone();
+        let report = &mut *shared_report.lock().unwrap();
+        report.check(&history, image, "killed", operation);
+        for_each_power_loss(image, MAX_LOSSES, &mut rng, |image| {
+            report.check(&history, &image, "power lost", operation);
+        });
     });
-    let mut control_node = opened(&disk);
-    (1..=changes).for_each(|n| keep(&mut control_node, &story, n));
-    wrong.lock().unwrap().clone()
+    let mut store = open(&disk);
+    (1..=changes).for_each(|n| persist(&mut store, &history, n));
+    report.lock().unwrap().clone()
 }
 
-/// What was said to be kept is there whenever the process ends or the power goes, and what is found is one moment's state.
 #[test]
-fn a_crash_at_every_point_leaves_what_was_kept() {
-    let (wrong, looked) = every_crash(24, 0..0, |_| false);
-    assert_eq!(wrong, None);
-    assert!(looked > 1000, "{looked}");
+fn crash_at_every_point_leaves_every_durable_change() {
+    let report = crash_everywhere(24, 0..0, |_| false);
+    assert_eq!(report.first_violation, None);
+    assert!(report.images_checked > 1000, "{}", report.images_checked);
 }
 
-/// The same on a disk that refuses for a while, wherever that begins. What it refused may have been done all the same, and
-/// what it refused to sync may be there for the eye alone.
+/// The disk refuses for a while, wherever that begins. What it refused may have been done nevertheless, and what it refused
+/// to sync may be visible only.
 #[test]
-fn a_crash_while_the_disk_refuses_leaves_what_was_kept() {
-    for from in (0..90).step_by(4) {
-        let (wrong, _) = every_crash(12, from..from + 17, |_| false);
-        assert_eq!(wrong, None, "refused from {from}");
+fn crash_while_the_disk_refuses_leaves_every_durable_change() {
+    for start in (0..90).step_by(4) {
+        let report = crash_everywhere(12, start..start + 17, |_| false);
+        assert_eq!(report.first_violation, None, "refused from {start}");
     }
 }
 
-/// Each sync is needed: without it a crash is found that loses what was kept, or mixes it.
+/// Each sync is needed: without it the crash tests find a change that is lost, or a mixed state.
 #[test]
-fn every_sync_left_out_is_found() {
-    let planted: [(&str, Idle); 4] = [
+fn omitting_any_sync_is_detected() {
+    let omissions: [(&str, OmittedSyncs); 4] = [
         ("folder", |path| path == Path::new(FOLDER)),
         ("snapshot before its rename", |path| path.ends_with("snapshot.new")),
         ("folder of the log", |path| path.to_string_lossy().contains("log-") && !path.ends_with("wal-1")),
         ("entry", |path| path.ends_with("wal-1")),
     ];
-    for (what, idle) in planted {
-        let (wrong, _) = every_crash(24, 0..0, idle);
-        assert!(wrong.is_some(), "{what}");
+    for (what, omitted_syncs) in omissions {
+        let report = crash_everywhere(24, 0..0, omitted_syncs);
+        assert!(report.first_violation.is_some(), "{what}");
     }
 }
 
-/// The disk refused round 3, whose log holds round 2: memory stays at round 3 through the next snapshot and the next start.
-/// Before, the log was replayed over the state in memory, and the snapshot was the state of round 2.
+/// Regression: the disk refused round 3 while the log had round 2. The log was replayed over the state in memory, and the
+/// next snapshot had the state of round 2.
 #[test]
-fn memory_does_not_go_back_where_a_write_is_refused() {
-    for refused in 1..9 {
-        let disk = MadeUp::new(Platter::empty());
-        let story = Mutex::new(Story::begin());
-        let mut control_node = opened(&disk);
-        (1..3).for_each(|n| keep(&mut control_node, &story, n));
-        let at = disk.effects();
-        disk.refuse(at..at + refused, refused.into());
-        (3..30).for_each(|n| keep(&mut control_node, &story, n));
-        let story = story.into_inner().unwrap();
-        assert_eq!(story.place(&disk.platter()), Ok(29));
+fn refused_write_never_reverts_the_state_in_memory() {
+    for refusals in 1..9 {
+        let disk = SimulatedDisk::new(DiskImage::empty());
+        let history = Mutex::new(History::new());
+        let mut store = open(&disk);
+        (1..3).for_each(|n| persist(&mut store, &history, n));
+        let start = disk.operations();
+        disk.refuse(start..start + refusals, refusals.into());
+        (3..30).for_each(|n| persist(&mut store, &history, n));
+        let history = history.into_inner().unwrap();
+        assert_eq!(history.recovered_index(&disk.image()), Ok(29));
     }
 }
 
-/// Many lives on one disk: drawn changes, refusals and crashes, each start from what the crash before left. What was found
-/// once does not come back otherwise: a change that was lost stays lost.
+/// Random changes, refusals and crashes; each start goes on from what the crash before left. A change that was lost once
+/// stays lost.
 #[test]
-fn many_lives_on_one_disk() {
+fn repeated_crashes_and_restarts_preserve_durable_changes() {
     for seed in 0..40 {
-        lives(seed);
+        crash_and_restart(seed);
     }
 }
 
-fn lives(seed: u128) {
-    let mut chance = Rand64::new(seed);
-    let mut platter = Platter::empty();
-    let mut story = Story::begin();
-    let mut n = 0;
-    for _ in 0..8 {
-        let disk = MadeUp::new(platter.clone());
-        let shared = Arc::new(Mutex::new(story.clone()));
-        let last = Arc::new(Mutex::new(None));
-        let (told, left, crash) = (shared.clone(), last.clone(), chance.rand_range(1..120));
-        disk.watch(move |platter, effect| {
-            if effect == crash {
-                *left.lock().unwrap() = Some((platter.clone(), told.lock().unwrap().clone()));
-            }
-        });
-        let from = chance.rand_range(0..160);
-        disk.refuse(from..from + chance.rand_range(0..20), chance.rand_u64().into());
-        let mut control_node = opened(&disk);
-        {
-            // What a start gives back is told to others: from here on it is kept.
-            let mut story = shared.lock().unwrap();
-            let place = story.entered.iter().rposition(|state| state == control_node.state());
-            story.kept = place.unwrap_or_else(|| panic!("seed {seed}: a state that never was"));
-            let here = story.kept;
-            story.entered.truncate(here + 1);
-        }
-        while last.lock().unwrap().is_none() {
-            n += 1;
-            keep(&mut control_node, &shared, n);
-        }
-        let (at_crash, told) = last.lock().unwrap().take().unwrap();
-        platter = match chance.rand_range(0..3) {
-            0 => at_crash,
-            _ => at_crash.lose(&mut |n| chance.rand_range(0..n.into()) as u32),
+fn crash_and_restart(seed: u128) {
+    const INCARNATIONS: usize = 8;
+    let mut rng = Rand64::new(seed);
+    let mut image = DiskImage::empty();
+    let mut history = History::new();
+    let mut changes = 0;
+    for _ in 0..INCARNATIONS {
+        let (image_at_crash, history_at_crash) =
+            run_until_crash(seed, &mut rng, &image, &history, &mut changes);
+        image = match rng.rand_range(0..3) {
+            0 => image_at_crash,
+            _ => image_at_crash.after_power_loss(&mut |n| rng.rand_range(0..n.into()) as u32),
         };
-        story = told;
-        let place = story.place(&platter).unwrap_or_else(|what| panic!("seed {seed}: {what}"));
-        story.entered.truncate(place + 1);
+        history = history_at_crash;
+        let index =
+            history.recovered_index(&image).unwrap_or_else(|violation| panic!("seed {seed}: {violation}"));
+        history.states.truncate(index + 1);
+    }
+}
+
+/// Starts on a disk and makes changes until an operation that is drawn; the disk and the history at that moment.
+fn run_until_crash(
+    seed: u128,
+    rng: &mut Rand64,
+    image: &DiskImage,
+    history: &History,
+    changes: &mut u64,
+) -> (DiskImage, History) {
+    let disk = SimulatedDisk::new(image.clone());
+    let history = Arc::new(Mutex::new(history.clone()));
+    let at_crash = Arc::new(Mutex::new(None));
+    let (observed_history, captured) = (history.clone(), at_crash.clone());
+    let crash = rng.rand_range(1..120);
+    disk.observe(move |image, operation| {
+        if operation == crash {
+            *captured.lock().unwrap() = Some((image.clone(), observed_history.lock().unwrap().clone()));
+        }
+    });
+    let start = rng.rand_range(0..160);
+    disk.refuse(start..start + rng.rand_range(0..20), rng.rand_u64().into());
+    let mut store = open(&disk);
+    {
+        // What a start returns is sent to others: from here on it has to be durable.
+        let mut history = history.lock().unwrap();
+        let index = history.states.iter().rposition(|state| state == store.state());
+        history.durable = index.unwrap_or_else(|| panic!("seed {seed}: a state that never was"));
+        let durable = history.durable;
+        history.states.truncate(durable + 1);
+    }
+    while at_crash.lock().unwrap().is_none() {
+        *changes += 1;
+        persist(&mut store, &history, *changes);
     }
+    at_crash.lock().unwrap().take().unwrap()
 }
 
-/// A start on a disk that takes nothing more, but still syncs, gives back what is there, also where the process ended before
-/// it was synced: a loss of power right after the start leaves that. It goes on once there is room.
+/// A start on a disk that takes no more writes, but still syncs, returns what is there, also where the process ended before
+/// that was synced; a power loss right after the start leaves it. Changes go on once there is space.
 #[test]
-fn a_full_disk_is_no_reason_not_to_start() {
-    let disk = MadeUp::new(Platter::empty());
-    let ends = Arc::new(Mutex::new(Vec::new()));
-    let left = ends.clone();
-    disk.watch(move |platter, _| left.lock().unwrap().push(platter.clone()));
-    let story = Mutex::new(Story::begin());
-    let mut control_node = opened(&disk);
-    (1..12).for_each(|n| keep(&mut control_node, &story, n));
-    let mut chance = Rand64::new(5);
-    for platter in ends.lock().unwrap().drain(..) {
-        let disk = MadeUp::new(platter);
-        // The cut of the file that is written aside.
+fn full_disk_does_not_prevent_a_start() {
+    let disk = SimulatedDisk::new(DiskImage::empty());
+    let images = Arc::new(Mutex::new(Vec::new()));
+    let observed_images = images.clone();
+    disk.observe(move |image, _| observed_images.lock().unwrap().push(image.clone()));
+    let history = Mutex::new(History::new());
+    let mut store = open(&disk);
+    (1..12).for_each(|n| persist(&mut store, &history, n));
+    let mut rng = Rand64::new(5);
+    for image in images.lock().unwrap().drain(..) {
+        let disk = SimulatedDisk::new(image);
+        // The first write to the temporary snapshot.
         disk.refuse(0..1, 1);
-        let mut control_node = opened(&disk);
-        let story = Mutex::new(Story { entered: vec![control_node.state().clone()], kept: 0 });
-        each_loss(&disk.platter(), LOSSES / 5, &mut chance, |lost| {
-            assert_eq!(story.lock().unwrap().place(&lost), Ok(0));
+        let mut store = open(&disk);
+        let history = Mutex::new(History::from(store.state().clone()));
+        for_each_power_loss(&disk.image(), MAX_LOSSES / 5, &mut rng, |image| {
+            assert_eq!(history.lock().unwrap().recovered_index(&image), Ok(0));
         });
-        (12..15).for_each(|n| keep(&mut control_node, &story, n));
-        assert_eq!(story.into_inner().unwrap().place(&disk.platter()), Ok(3));
+        (12..15).for_each(|n| persist(&mut store, &history, n));
+        assert_eq!(history.into_inner().unwrap().recovered_index(&disk.image()), Ok(3));
     }
 }
