--- a/crates/control-plane/src/server/startup.rs
+++ b/crates/control-plane/src/server/startup.rs
@@ -41,7 +41,7 @@
     if let Some(storage) = storage {
         let (sender, durable) = std::sync::mpsc::channel();
         let change = StateChange { voter_set: Some(voter_set.clone()), ..StateChange::default() };
-        storage.enter(change, move || sender.send(()).unwrap_or_default());
+        storage.enqueue(change, move || sender.send(()).unwrap_or_default());
         durable.recv().change_context(ControlPlaneError::Disk)?;
     }
     Ok(voter_set)
--- a/crates/control-plane/src/server/write_queue.rs
+++ b/crates/control-plane/src/server/write_queue.rs
@@ -22,7 +22,7 @@
 
 impl StateWriter for Storage {
     fn enqueue(&self, change: StateChange, on_durable: Box<dyn FnOnce() + Send>) -> bool {
-        Storage::enter(self, change, on_durable)
+        Storage::enqueue(self, change, on_durable)
     }
 }
 
@@ -35,19 +35,6 @@
     backlog: Option<StateChange>,
 }
 
-fn merge(older: StateChange, newer: StateChange) -> StateChange {
-    let StateChange { voter_set, mut acceptors, mut grants } = older;
-    for (register, acceptor) in newer.acceptors {
-        acceptors.retain(|(known, _)| *known != register);
-        acceptors.push((register, acceptor));
-    }
-    for grant in newer.grants {
-        grants.retain(|known| known.role != grant.role);
-        grants.push(grant);
-    }
-    StateChange { voter_set: newer.voter_set.or(voter_set), acceptors, grants }
-}
-
 impl WriteQueue {
     /// An empty queue to `storage`; messages come back on `durable`, at once where there is no storage.
     pub fn new(
@@ -66,7 +53,10 @@
         };
         let had_backlog = self.backlog.is_some();
         let change = match self.backlog.take() {
-            Some(backlog) => merge(backlog, change),
+            Some(mut backlog) => {
+                backlog.merge(change);
+                backlog
+            }
             None => change,
         };
         let durable = self.durable.clone();
--- a/crates/storage/src/tests/bounds.rs
+++ b/crates/storage/src/tests/bounds.rs
@@ -96,7 +96,7 @@
     let (report_durable, durable) = channel();
     let enter = |n: u64| {
         let report_durable = report_durable.clone();
-        storage.enter(accept(n, 9), move || report_durable.send(n).unwrap_or_default())
+        storage.enqueue(accept(n, 9), move || report_durable.send(n).unwrap_or_default())
     };
     assert!(enter(0));
     hanging.recv().unwrap();
--- a/crates/storage/src/tests/mod.rs
+++ b/crates/storage/src/tests/mod.rs
@@ -68,7 +68,7 @@
 /// Returns once the change is durable.
 fn persist(storage: &Storage, change: StateChange) {
     let (sender, durable) = channel();
-    assert!(storage.enter(change, move || sender.send(()).unwrap_or_default()));
+    assert!(storage.enqueue(change, move || sender.send(()).unwrap_or_default()));
     durable.recv().unwrap();
 }
 
--- a/crates/storage/src/writer.rs
+++ b/crates/storage/src/writer.rs
@@ -55,7 +55,7 @@
 
     /// Persists a change. `on_durable` is called from the writing thread once the change is synced, in the order of the
     /// calls. Returns false, and drops the change, where 256 changes are waiting already.
-    pub fn enter(&self, change: StateChange, on_durable: impl FnOnce() + Send + 'static) -> bool {
+    pub fn enqueue(&self, change: StateChange, on_durable: impl FnOnce() + Send + 'static) -> bool {
         self.requests.try_send(WriteRequest { change, on_durable: Box::new(on_durable) }).is_ok()
     }
 }
