--- a/crates/data-plane/src/main.rs
+++ b/crates/data-plane/src/main.rs
@@ -1,46 +1,53 @@
-//! archlink-data-plane: the data plane's program. Owns the command line and the signals. Must never look into a request or take
-//! part in a decision.
-#![forbid(unsafe_code)]
+//! `archlink-data-plane`: the command line and the signals of the data plane's program.
 
-use archlink_data_plane::{DataPlaneError, Outcome, read_settings, serve};
+use archlink_data_plane::{DataPlaneError, DataPlaneResult, read_settings, serve};
 use archlink_runtime::until_terminated;
 use clap::{Arg, Command, value_parser};
 use error_stack::ResultExt;
 use tokio::runtime::LocalOptions;
 
-/// SIGHUP has the settings read and checked again; what is in use stays until the next start.
-fn read_again() {
+/// The exit status where the program does not start.
+const EXIT_NOT_STARTED: i32 = 2;
+
+/// On SIGHUP the settings file is read and validated; the settings in use stay until the next start.
+fn validate_settings() {
     match read_settings() {
-        Ok(read) => log::info!("settings read again: {} seeds; what is in use stays", read.seeds.len()),
-        Err(e) => log::error!("settings: {}; what is in use stays", archlink_runtime::report_line(&e)),
+        Ok(settings) => {
+            log::info!(seeds = settings.seeds.len(); "settings file validated: used from the next start on");
+        }
+        Err(e) => {
+            let error = archlink_runtime::report_line(&e);
+            log::error!(error = error.as_str(); "settings file rejected: the settings in use stay");
+        }
     }
 }
 
-fn begin(metrics: Option<u16>) -> Outcome<()> {
+fn run(metrics_port: Option<u16>) -> DataPlaneResult<()> {
     let settings = read_settings()?;
-    let level = std::env::var("ARCHLINK_LOG").ok().and_then(|l| l.parse().ok());
+    let level = std::env::var("ARCHLINK_LOG").ok().and_then(|level| level.parse().ok());
     archlink_runtime::log_to_stderr(&settings.name, level.unwrap_or(log::LevelFilter::Info));
     let mut builder = tokio::runtime::Builder::new_current_thread();
     let runtime =
         builder.enable_all().build_local(LocalOptions::default()).change_context(DataPlaneError::Start)?;
     runtime.block_on(async {
-        serve(settings, metrics, until_terminated(read_again).change_context(DataPlaneError::Start)?).await
+        let terminated = until_terminated(validate_settings).change_context(DataPlaneError::Start)?;
+        serve(settings, metrics_port, terminated).await
     })?;
     std::process::exit(0)
 }
 
 fn main() {
     let about = "The data plane of archlink: reads the file that ARCHLINK_CONFIG names and serves clients";
-    let metrics = Arg::new("metrics-port")
+    let metrics_port = Arg::new("metrics-port")
         .long("metrics-port")
         .value_name("PORT")
         .value_parser(value_parser!(u16).range(1..))
         .help("Tells own figures as OpenMetrics text at http://IpAddress:PORT/metrics");
     let command =
-        Command::new("archlink-data-plane").version(env!("CARGO_PKG_VERSION")).about(about).arg(metrics);
-    let given = command.get_matches();
-    if let Err(e) = begin(given.get_one("metrics-port").copied()) {
+        Command::new("archlink-data-plane").version(env!("CARGO_PKG_VERSION")).about(about).arg(metrics_port);
+    let arguments = command.get_matches();
+    if let Err(e) = run(arguments.get_one("metrics-port").copied()) {
         eprintln!("archlink-data-plane: {}", archlink_runtime::report_line(&e));
-        std::process::exit(2);
+        std::process::exit(EXIT_NOT_STARTED);
     }
 }
--- a/crates/data-plane/src/metrics.rs
+++ b/crates/data-plane/src/metrics.rs
@@ -1,5 +1,5 @@
-//! What a data gateway counts for its operators, and the text that tells it. Counters only grow and begin at zero with each
-//! process; names and units follow the OpenMetrics text format, by `prometheus-client`.
+//! The counters, gauges and histograms of a data node for its operators, as OpenMetrics text by `prometheus-client`.
+//! Counters begin at zero with each process.
 
 use prometheus_client::encoding::text::encode;
 use prometheus_client::encoding::{EncodeLabelSet, EncodeLabelValue, LabelValueEncoder};
@@ -14,12 +14,14 @@
 use std::time::Duration;
 use strum::IntoStaticStr;
 
-/// Services that are told apart in labels: names of configurations that come and go must not fill the memory.
-const MOST_SERVICES: usize = 4096;
-/// Stands for the services beyond.
+/// Services with labels of their own: configurations that add and remove names must not exhaust the memory.
+const MAX_SERVICE_LABELS: usize = 4096;
+/// The label of the services beyond.
 const OTHER_SERVICES: &str = "other";
-/// Upper bounds of the histogram's buckets in seconds: the first, the factor between two, and their number (1 ms to 8 s).
-const BUCKETS: (f64, f64, u16) = (0.001, 2.0, 14);
+/// The histogram's buckets, 1 ms to 8 s: the first upper bound in seconds, the factor between two, and their number.
+const FIRST_BUCKET: f64 = 0.001;
+const BUCKET_FACTOR: f64 = 2.0;
+const BUCKETS: u16 = 14;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct ServiceLabel {
@@ -31,19 +33,19 @@
     status: u16,
 }
 
-/// How a hand-off ended whose client had left.
+/// How an attempt ended whose client had disconnected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
-pub enum DepartedEnd {
+pub enum CancelledEnd {
     /// Nothing had been sent to the host, and nothing was.
     Withdrawn,
     /// Its connection to the host was closed.
     BrokenOff,
-    /// The host worked to its end.
+    /// The host executed it to its end.
     Finished,
 }
 
-impl EncodeLabelValue for DepartedEnd {
+impl EncodeLabelValue for CancelledEnd {
     fn encode(&self, encoder: &mut LabelValueEncoder<'_>) -> fmt::Result {
         let name: &'static str = self.into();
         name.encode(encoder)
@@ -51,132 +53,124 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct DepartedLabel {
+struct CancelledLabel {
     service: String,
-    end: DepartedEnd,
+    end: CancelledEnd,
 }
 
-/// What came of requests whose clients left, since the last line about it.
+/// What came of one service's requests whose clients disconnected, since the last summary.
 #[derive(Clone, Debug, Default, PartialEq)]
-struct Departures {
-    clients: u64,
-    withdrawn: u64,
-    broken_off: u64,
-    finished: u64,
-    /// The longest time from a departure to the end of a hand-off.
-    longest: Duration,
+pub struct DisconnectSummary {
+    /// Requests whose client disconnected.
+    pub clients: u64,
+    /// Their attempts that were never sent.
+    pub withdrawn: u64,
+    /// Their attempts that were cancelled at the host.
+    pub broken_off: u64,
+    /// Their attempts that were executed to their end.
+    pub finished: u64,
+    /// The longest time from a disconnect to the end of an attempt.
+    pub max_elapsed: Duration,
 }
 
-/// The figures of one process.
+/// The metrics of one process.
 pub struct Metrics {
     registry: Registry,
-    answers: Family<StatusLabel, Counter>,
+    responses: Family<StatusLabel, Counter>,
     connections: Gauge,
-    at_work: Gauge,
-    departures: Family<ServiceLabel, Counter>,
-    departed_hand_offs: Family<DepartedLabel, Counter>,
-    departed_seconds: Family<ServiceLabel, Histogram, fn() -> Histogram>,
-    services: RefCell<BTreeSet<String>>,
-    recent: RefCell<BTreeMap<String, Departures>>,
+    in_flight: Gauge,
+    disconnects: Family<ServiceLabel, Counter>,
+    cancelled_attempts: Family<CancelledLabel, Counter>,
+    cancelled_seconds: Family<ServiceLabel, Histogram, fn() -> Histogram>,
+    service_labels: RefCell<BTreeSet<String>>,
+    summaries: RefCell<BTreeMap<String, DisconnectSummary>>,
 }
 
 fn histogram() -> Histogram {
-    let (first, factor, count) = BUCKETS;
-    Histogram::new(exponential_buckets(first, factor, count))
+    Histogram::new(exponential_buckets(FIRST_BUCKET, BUCKET_FACTOR, BUCKETS))
 }
 
 impl Metrics {
-    /// All figures at zero.
+    /// All metrics at zero. Their names are scraped: they stay.
     pub fn new() -> Metrics {
         let mut registry = Registry::with_prefix("archlink");
-        let answers = Family::default();
-        registry.register("answers", "Answers to clients, by status", answers.clone());
+        let responses = Family::default();
+        registry.register("answers", "Answers to clients, by status", responses.clone());
         let connections = Gauge::default();
         registry.register("client_connections", "Open connections of clients", connections.clone());
-        let at_work = Gauge::default();
-        registry.register("requests_at_work", "Requests that are not answered yet", at_work.clone());
-        let departures = Family::default();
+        let in_flight = Gauge::default();
+        registry.register("requests_at_work", "Requests that are not answered yet", in_flight.clone());
+        let disconnects = Family::default();
         let help = "Requests whose client closed its connection before the answer";
-        registry.register("client_departures", help, departures.clone());
-        let departed_hand_offs = Family::default();
+        registry.register("client_departures", help, disconnects.clone());
+        let cancelled_attempts = Family::default();
         let help = "Hand-offs to hosts whose client had left, by how they ended";
-        registry.register("departed_hand_offs", help, departed_hand_offs.clone());
-        let departed_seconds = Family::new_with_constructor(histogram as fn() -> Histogram);
+        registry.register("departed_hand_offs", help, cancelled_attempts.clone());
+        let cancelled_seconds = Family::new_with_constructor(histogram as fn() -> Histogram);
         let help = "Time from a client's departure to the end of a hand-off for it";
-        registry.register_with_unit("departed_hand_off", help, Unit::Seconds, departed_seconds.clone());
+        registry.register_with_unit("departed_hand_off", help, Unit::Seconds, cancelled_seconds.clone());
         Metrics {
             registry,
-            answers,
+            responses,
             connections,
-            at_work,
-            departures,
-            departed_hand_offs,
-            departed_seconds,
-            services: RefCell::default(),
-            recent: RefCell::default(),
+            in_flight,
+            disconnects,
+            cancelled_attempts,
+            cancelled_seconds,
+            service_labels: RefCell::default(),
+            summaries: RefCell::default(),
         }
     }
 
-    /// The name under which a service is counted.
-    fn label(&self, service: &str) -> String {
-        let mut services = self.services.borrow_mut();
-        if !services.contains(service) && services.len() >= MOST_SERVICES {
+    /// The label under which a service is counted.
+    fn service_label(&self, service: &str) -> String {
+        let mut labels = self.service_labels.borrow_mut();
+        if !labels.contains(service) && labels.len() >= MAX_SERVICE_LABELS {
             return OTHER_SERVICES.to_string();
         }
-        services.insert(service.to_string());
+        labels.insert(service.to_string());
         service.to_string()
     }
 
-    /// An answer went to a client.
-    pub fn answered(&self, status: u16) {
-        self.answers.get_or_create(&StatusLabel { status }).inc();
+    /// A response goes to a client.
+    pub fn response_sent(&self, status: u16) {
+        self.responses.get_or_create(&StatusLabel { status }).inc();
     }
 
-    /// A request of that service lost its client.
-    pub fn client_departed(&self, service: &str) {
-        let service = self.label(service);
-        self.recent.borrow_mut().entry(service.clone()).or_default().clients += 1;
-        self.departures.get_or_create(&ServiceLabel { service }).inc();
+    /// The client of a request to that service disconnected.
+    pub fn client_disconnected(&self, service: &str) {
+        let service = self.service_label(service);
+        self.summaries.borrow_mut().entry(service.clone()).or_default().clients += 1;
+        self.disconnects.get_or_create(&ServiceLabel { service }).inc();
     }
 
-    /// A hand-off ended so long after its client had left.
-    pub fn departed_hand_off(&self, service: &str, end: DepartedEnd, after: Duration) {
-        let service = self.label(service);
-        let mut recent = self.recent.borrow_mut();
-        let counts = recent.entry(service.clone()).or_default();
+    /// An attempt ended so long after its client had disconnected.
+    pub fn attempt_ended_after_disconnect(&self, service: &str, end: CancelledEnd, elapsed: Duration) {
+        let service = self.service_label(service);
+        let mut summaries = self.summaries.borrow_mut();
+        let summary = summaries.entry(service.clone()).or_default();
         match end {
-            DepartedEnd::Withdrawn => counts.withdrawn += 1,
-            DepartedEnd::BrokenOff => counts.broken_off += 1,
-            DepartedEnd::Finished => counts.finished += 1,
+            CancelledEnd::Withdrawn => summary.withdrawn += 1,
+            CancelledEnd::BrokenOff => summary.broken_off += 1,
+            CancelledEnd::Finished => summary.finished += 1,
         }
-        counts.longest = counts.longest.max(after);
-        self.departed_hand_offs.get_or_create(&DepartedLabel { service: service.clone(), end }).inc();
-        self.departed_seconds.get_or_create(&ServiceLabel { service }).observe(after.as_secs_f64());
+        summary.max_elapsed = summary.max_elapsed.max(elapsed);
+        self.cancelled_attempts.get_or_create(&CancelledLabel { service: service.clone(), end }).inc();
+        self.cancelled_seconds.get_or_create(&ServiceLabel { service }).observe(elapsed.as_secs_f64());
     }
 
-    /// A line for each service whose requests lost clients since the last call.
-    pub fn departure_lines(&self) -> Vec<String> {
-        let recent = std::mem::take(&mut *self.recent.borrow_mut());
-        let line = |(service, counts): (String, Departures)| {
-            format!(
-                "{service}: {} clients left; of their hand-offs {} were never sent, {} broken off, {} let run, the last ended {:.2} s later",
-                counts.clients,
-                counts.withdrawn,
-                counts.broken_off,
-                counts.finished,
-                counts.longest.as_secs_f64()
-            )
-        };
-        recent.into_iter().map(line).collect()
+    /// The summary of each service with disconnects since the last call, by its label.
+    pub fn take_disconnect_summaries(&self) -> BTreeMap<String, DisconnectSummary> {
+        std::mem::take(&mut *self.summaries.borrow_mut())
     }
 
-    /// All figures as OpenMetrics text.
-    pub fn text(&self, connections: usize, at_work: usize) -> String {
+    /// All metrics as OpenMetrics text, with the gauges' values of this moment.
+    pub fn encode(&self, connections: usize, in_flight: usize) -> String {
         self.connections.set(connections as i64);
-        self.at_work.set(at_work as i64);
+        self.in_flight.set(in_flight as i64);
         let mut text = String::new();
         if let Err(e) = encode(&mut text, &self.registry) {
-            log::error!("metrics: {e}");
+            log::error!(error:% = e; "metrics not encoded");
         }
         text
     }
--- a/crates/data-plane/src/status.rs
+++ b/crates/data-plane/src/status.rs
@@ -1,7 +1,7 @@
-//! Small servers for those who look at a data gateway: the platform's question whether it is ready, and its figures for
-//! operators. Owns their sockets and bounds. Must never touch a client's request.
+//! Small servers beside the clients' one: readiness for the platform, metrics for operators.
 
-use crate::front::Front;
+use crate::client_server::ClientServer;
+use crate::protocol::CONTENT_TYPE;
 use archlink_http::codec::{Decoded, Response, ServerCodec};
 use futures_util::{SinkExt, StreamExt};
 use std::rc::Rc;
@@ -11,70 +11,74 @@
 use tokio::time::{sleep, timeout};
 use tokio_util::codec::Framed;
 
-const READINESS: &str = "/archlink/readiness";
-const METRICS: &str = "/metrics";
-const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
-/// A connection that asks nothing for so long is closed.
-const IDLE: Duration = Duration::from_secs(30);
-/// Connections at once; more are closed as they come.
-const MOST_CONNECTIONS: usize = 256;
+const READINESS_PATH: &str = "/archlink/readiness";
+const METRICS_PATH: &str = "/metrics";
+const METRICS_MEDIA_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
+/// A connection without a request for so long is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Open connections of one listener; more are closed as they come.
+const MAX_CONNECTIONS: usize = 256;
+/// The wait after a failed accept: most of them are descriptors that ran out, and clients need those first.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
-type Respond = fn(&Front, &str) -> Response;
+type RespondFn = fn(&ClientServer, &str) -> Response;
 
-/// `GET /archlink/readiness`: 200 while clients can be sent here.
-pub async fn readiness(front: Rc<Front>, listener: TcpListener) {
-    serve(front, listener, |front, path| match path {
-        READINESS => Response::plain(if front.gateway.ready() { 200 } else { 503 }),
+/// `GET /archlink/readiness`: 200 while clients can be sent here, 503 otherwise.
+pub async fn serve_readiness(server: Rc<ClientServer>, listener: TcpListener) {
+    serve(server, listener, "readiness", |server, path| match path {
+        READINESS_PATH => Response::plain(if server.data_plane.is_ready() { 200 } else { 503 }),
         _ => Response::plain(404),
     })
     .await;
 }
 
-/// `GET /metrics`: this process's figures as OpenMetrics text.
-pub async fn metrics(front: Rc<Front>, listener: TcpListener) {
-    serve(front, listener, |front, path| match path {
-        METRICS => {
-            let text = front.gateway.metrics.text(front.open.get(), front.at_work.get());
-            let answer = Response { status: 200, body: text.into(), ..Response::default() };
-            answer.with("Content-Type", METRICS_TYPE)
+/// `GET /metrics`: this process's metrics as OpenMetrics text.
+pub async fn serve_metrics(server: Rc<ClientServer>, listener: TcpListener) {
+    serve(server, listener, "metrics", |server, path| match path {
+        METRICS_PATH => {
+            let (connections, in_flight) = (server.open_connections.get(), server.requests_in_flight.get());
+            let text = server.data_plane.metrics.encode(connections, in_flight);
+            let response = Response { status: 200, body: text.into(), ..Response::default() };
+            response.with(CONTENT_TYPE, METRICS_MEDIA_TYPE)
         }
         _ => Response::plain(404),
     })
     .await;
 }
 
-async fn serve(front: Rc<Front>, listener: TcpListener, respond: Respond) {
+async fn serve(server: Rc<ClientServer>, listener: TcpListener, name: &'static str, respond: RespondFn) {
+    // Counted by its references: one here, and one for each open connection.
     let open = Rc::new(());
     loop {
         match listener.accept().await {
-            Ok((stream, _)) if Rc::strong_count(&open) <= MOST_CONNECTIONS => {
-                let (front, open) = (front.clone(), open.clone());
+            Ok((stream, _)) if Rc::strong_count(&open) <= MAX_CONNECTIONS => {
+                let (server, open) = (server.clone(), open.clone());
                 spawn_local(async move {
-                    converse(&front, stream, respond).await;
+                    serve_connection(&server, stream, respond).await;
                     drop(open);
                 });
             }
             Ok(_) => {}
             Err(e) => {
-                log::warn!("accept: {e}");
-                sleep(Duration::from_millis(50)).await;
+                log::warn!(listener = name, error:% = e; "accept failed");
+                sleep(ACCEPT_BACKOFF).await;
             }
         }
     }
 }
 
-async fn converse(front: &Front, stream: TcpStream, respond: Respond) {
-    let mut framed = Framed::new(stream, ServerCodec::new(&[], 0, front.room.clone()));
-    while let Ok(Some(Ok(asked))) = timeout(IDLE, framed.next()).await {
-        let (mut answer, close) = match asked {
+async fn serve_connection(server: &ClientServer, stream: TcpStream, respond: RespondFn) {
+    let mut framed = Framed::new(stream, ServerCodec::new(&[], 0, server.body_memory.clone()));
+    while let Ok(Some(Ok(decoded))) = timeout(IDLE_TIMEOUT, framed.next()).await {
+        let (mut response, close) = match decoded {
             Decoded::Request(request) => {
                 let path = request.target.split('?').next().unwrap_or("");
-                (respond(front, path), request.close)
+                (respond(server, path), request.close)
             }
             Decoded::Bad(status) => (Response::plain(status), true),
         };
-        answer.close = close;
-        if framed.send(answer).await.is_err() || close {
+        response.close = close;
+        if framed.send(response).await.is_err() || close {
             return;
         }
     }
--- /dev/null
+++ b/crates/data-plane/src/tests/control_session.rs
@@ -0,0 +1,110 @@
+//! The session with a control node and the fleet view together: what old messages may change.
+
+use archlink_control_client::fleet_view::FleetView;
+use archlink_control_client::session::{LocalNode, Session, SessionAction};
+use archlink_messages::{
+    AcceptedValue, DataNode, Heartbeat, HostList, LeaseGrant, Message, Register, SingletonRole, StateUpdate,
+    VersionVector, patch,
+};
+use std::net::{Ipv4Addr, SocketAddrV4};
+
+const LEASE: f64 = 3.0;
+
+fn data_node() -> DataNode {
+    let client_address = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 1);
+    DataNode { node: 1, zone: "z".into(), region: "r".into(), client_address, ready: true }
+}
+
+/// The serial of the heartbeat that is due.
+fn heartbeat_serial(session: &mut Session, fleet_view: &FleetView, now: f64) -> u64 {
+    let actions = session.tick(now, fleet_view, data_node);
+    let serial = actions.iter().find_map(|action| match action {
+        SessionAction::Send(Message::SessionHeartbeat { serial, .. }) => Some(*serial),
+        _ => None,
+    });
+    serial.unwrap_or_else(|| panic!("no heartbeat at {now}: {actions:?}"))
+}
+
+fn connect(session: &mut Session, fleet_view: &FleetView, now: f64) {
+    assert!(matches!(session.tick(now, fleet_view, data_node)[..], [SessionAction::Connect(2)]));
+    session.connected(now, Ok(()));
+}
+
+/// What a control node sends when the fleet is at the n-th version of everything.
+fn messages_at(n: u64, serial: u64) -> [Message; 2] {
+    let lease = LeaseGrant { role: SingletonRole::QuotaCounter, holder: 10 + n as u32, term: n };
+    let versions =
+        VersionVector { configuration: n, evacuations: n, hosts: (1, n), ..VersionVector::default() };
+    let heartbeat = Heartbeat {
+        serial,
+        cluster_clock: n as f64,
+        confirmed_age: Some(0.0),
+        versions,
+        leases: vec![lease],
+        voter_set: Default::default(),
+        recovered: true,
+        suspected: vec![],
+    };
+    let configuration = format!(
+        r#"{{"ConfigVersion": "{n:08x}", "RouteTable": {{"ColumnNames": [], "Records": []}},
+            "ServiceTable": {{"ColumnNames": [], "Records": []}}}}"#
+    );
+    let packed = patch::compress(configuration.as_bytes(), b"").unwrap().into();
+    let value = format!("zone-{n}").into();
+    let updates = vec![
+        StateUpdate::ConfigurationPatch { stamp: n, base: 0, packed },
+        StateUpdate::Chosen(
+            Register::Evacuations,
+            AcceptedValue { revision: n, value, ..AcceptedValue::default() },
+        ),
+        StateUpdate::HostList(HostList { term: 1, version: n, instances: Vec::new() }),
+    ];
+    [Message::StateUpdates(updates), Message::Heartbeat(heartbeat)]
+}
+
+fn state(fleet_view: &FleetView, now: f64) -> String {
+    let version = fleet_view.configuration().map(|configuration| configuration.version);
+    format!(
+        "{version:?} {:?} {:?} {}",
+        fleet_view.versions(),
+        fleet_view.counter_holder(),
+        fleet_view.cluster_clock(now)
+    )
+}
+
+/// Old heartbeats and updates, duplicated, in any order, on the session's own connection or on the next one: a heartbeat
+/// confirms once, for the session heartbeat whose serial it names, in the session that sent it.
+#[test]
+fn old_heartbeats_and_updates_revert_nothing_and_confirm_nothing() {
+    let local_node = LocalNode { node: 1, zone: "z".into(), region: "r".into(), seeds: vec![2] };
+    let (mut session, mut fleet_view) = (Session::new(local_node), FleetView::new(LEASE));
+    connect(&mut session, &fleet_view, 0.0);
+    let mut old = Vec::new();
+    for (n, at) in [(1, 0.0), (2, 0.5), (3, 1.0)] {
+        let serial = heartbeat_serial(&mut session, &fleet_view, at);
+        old.extend(messages_at(n, serial));
+        for message in messages_at(n, serial) {
+            session.step(at, message, &mut fleet_view);
+        }
+    }
+    let (late, before) = (1.0 + LEASE - 0.1, state(&fleet_view, 1.0));
+    assert!(fleet_view.is_confirmed(late) && !fleet_view.is_confirmed(1.0 + LEASE));
+    for round in 0..2 {
+        let now = 1.2 + 0.4 * f64::from(round);
+        if round == 1 {
+            session.connection_lost(now, "reset");
+            connect(&mut session, &fleet_view, now + 0.2);
+            heartbeat_serial(&mut session, &fleet_view, now + 0.2);
+        }
+        // Rotated and reversed: each message comes before and after each other one.
+        for from in 0..old.len() {
+            old.rotate_left(1);
+            old.reverse();
+            for message in &old {
+                session.step(now + 0.2 + 0.01 * from as f64, message.clone(), &mut fleet_view);
+                assert_eq!(state(&fleet_view, 1.0), before, "round {round}, {message:?}");
+            }
+        }
+        assert!(!fleet_view.is_confirmed(1.0 + LEASE), "round {round}");
+    }
+}
--- /dev/null
+++ b/crates/data-plane/src/tests/disconnects.rs
@@ -0,0 +1,232 @@
+//! Clients that disconnect while their requests are in flight: what is idempotent ends with its client, what is not is
+//! carried to its end, and no attempt is started for a client that is gone.
+
+use super::HostBehaviour::*;
+use super::*;
+use archlink_messages::CounterAdd;
+use archlink_quota::pending_calls::CallResult;
+
+/// A request's time in milliseconds: an attempt that ends sooner was ended for another reason.
+const REQUEST_MILLIS: u32 = 3000;
+
+/// Yields that give all tasks that are ready their turn, several times over.
+const READY_TASK_YIELDS: usize = 20;
+
+async fn run_ready_tasks() {
+    for _ in 0..READY_TASK_YIELDS {
+        yield_now().await;
+    }
+}
+
+fn request_text(target: &str, id: &str, more: &str) -> String {
+    format!(
+        "GET {target} HTTP/1.1\r\nHost: o\r\nTime-Remaining: {REQUEST_MILLIS}\r\n{more}Attempt-Id: {id}\r\n\r\n"
+    )
+}
+
+/// A client on a socket that has sent one request.
+async fn client(address: SocketAddr, target: &str, id: &str, more: &str) -> TcpStream {
+    let mut stream = TcpStream::connect(address).await.unwrap();
+    stream.write_all(request_text(target, id, more).as_bytes()).await.unwrap();
+    stream
+}
+
+#[test]
+fn idempotent_attempt_is_cancelled_when_its_client_disconnects() {
+    let scenario = async || {
+        let (hosts, data_plane) = setup(&[HoldUntilReleased]);
+        let (_server, address, _stage) = listen(data_plane.clone()).await;
+        let client = client(address, "/read", "one", "").await;
+        hosts.request_seen.notified().await;
+        let disconnected_at = data_plane.clock.now();
+        drop(client);
+        hosts.request_seen.notified().await;
+        let elapsed = data_plane.clock.now() - disconnected_at;
+        assert_eq!(*hosts.cancelled.borrow(), ["one"]);
+        assert!(elapsed < f64::from(REQUEST_MILLIS) / 1e3 / 2.0, "the host worked on for {elapsed} s");
+    };
+    run([scenario()], 1);
+}
+
+/// Whatever the first host does, the second one never sees a request whose client left when the first had read it.
+#[test]
+fn no_second_host_is_tried_for_a_disconnected_client() {
+    let scenario = async |behaviour: HostBehaviour, idempotent: bool| {
+        let (hosts, data_plane) = setup(&[behaviour]);
+        let client = ClientPresence::new();
+        hosts.disconnect_on_read.replace(Some(client.clone()));
+        let target = if idempotent { "/read" } else { "/write" };
+        respond_to(&data_plane, target, "one", 90, 10, &client).await;
+        run_ready_tasks().await;
+        let executed = hosts.executed.borrow();
+        let at: Vec<usize> = executed.iter().map(|(_, host)| *host).collect();
+        let max_executions = usize::from(behaviour.may_execute());
+        assert!(at.len() <= max_executions, "{behaviour:?}, {idempotent}: executed at {at:?}");
+    };
+    // A host that reads nothing sees nobody disconnect.
+    let behaviours = BEHAVIOURS.into_iter().filter(|behaviour| *behaviour != ResetBeforeRead);
+    run(behaviours.flat_map(|behaviour| [scenario(behaviour, false), scenario(behaviour, true)]), 32);
+}
+
+/// One tenant with a quota that counts, and a route that needs no key.
+const KEYED_CONFIGURATION: &str = r#"{"ConfigVersion": "00000001",
+    "RouteTable": {
+        "ColumnNames": ["Designation", "Origin", "PathPrefix", "Category", "MaxAttempts", "Service", "Public"],
+        "Records": [["r", "o", "/read", "idempotent", 2, "s", false], ["w", "o", "/write", "non_idempotent", 2, "s", false],
+            ["p", "o", "/open", "idempotent", 2, "s", true]]},
+    "ServiceTable": {"ColumnNames": ["Designation"], "Records": [["s"]]},
+    "Subscribers": {"ColumnNames": ["Designation", "Credentials", "RatePerS", "BurstSize"],
+        "Records": [["t", ["k"], 100, 100]]}}"#;
+
+/// What a test needs around a request that waits for the quota counter.
+struct WaitingForCounter {
+    hosts: Rc<ScriptedHosts>,
+    data_plane: Rc<DataPlane>,
+    server: Rc<ClientServer>,
+    client: TcpStream,
+    adds: Vec<CounterAdd>,
+    _stage: watch::Sender<ServingStage>,
+}
+
+/// A client whose request waits for the counter, with pooled connections to both hosts, so that a grant sends it at once.
+async fn waiting_for_counter(target: &str) -> WaitingForCounter {
+    let (hosts, data_plane) = setup_with(&[HoldUntilReleased, HoldUntilReleased], KEYED_CONFIGURATION);
+    let first = [
+        respond(&data_plane, "/open", "first", REQUEST_MILLIS, 1),
+        respond(&data_plane, "/open", "second", REQUEST_MILLIS, 1),
+    ];
+    let released = async {
+        while hosts.executed.borrow().len() < 2 {
+            hosts.request_seen.notified().await;
+        }
+        hosts.release.notify_waiters();
+    };
+    futures_util::future::join(futures_util::future::join_all(first), released).await;
+    hosts.executed.borrow_mut().clear();
+    data_plane.set_counter_reachable(true);
+    let (server, address, _stage) = listen(data_plane.clone()).await;
+    let client = client(address, target, "one", "Key: k\r\n").await;
+    let mut adds = Vec::new();
+    while adds.is_empty() {
+        yield_now().await;
+        adds = data_plane.quota.take_adds();
+    }
+    WaitingForCounter { hosts, data_plane, server, client, adds, _stage }
+}
+
+async fn wait_until(mut done: impl FnMut() -> bool) {
+    while !done() {
+        yield_now().await;
+    }
+}
+
+async fn wait_for_metric(data_plane: &DataPlane, line: &str) {
+    wait_until(|| data_plane.metrics.encode(0, 0).contains(line)).await;
+}
+
+/// The client disconnects and the counter's grant comes at one moment, as after a freeze of the machine: the grant may be
+/// looked at first.
+#[test]
+fn grant_that_arrives_with_the_disconnect_starts_no_attempt() {
+    let scenario = async |target: &'static str| {
+        let WaitingForCounter { hosts, data_plane, server, client, adds, _stage } =
+            waiting_for_counter(target).await;
+        drop(client);
+        let totals = vec![1.0; adds.len()];
+        data_plane.finish_counter_calls(vec![CallResult::Totals(adds, totals)]);
+        wait_until(|| server.requests_in_flight.get() == 0).await;
+        run_ready_tasks().await;
+        assert_eq!(*hosts.executed.borrow(), [], "{target}");
+    };
+    run([scenario("/read"), scenario("/write")], 1);
+}
+
+/// The tenant is not charged.
+#[test]
+fn disconnect_while_the_counter_is_asked_takes_the_add_back() {
+    let scenario = async |target: &'static str| {
+        let WaitingForCounter { hosts, data_plane, server, client, adds, _stage } =
+            waiting_for_counter(target).await;
+        drop(client);
+        wait_until(|| server.requests_in_flight.get() == 0).await;
+        let (key, added) = (adds[0].key, adds[0].amount);
+        data_plane.finish_counter_calls(vec![CallResult::Totals(adds, vec![1.0])]);
+        let later = data_plane.quota.take_adds();
+        let taken_back: f32 = later.iter().filter(|add| add.key == key).map(|add| add.amount).sum();
+        assert_eq!((added, taken_back), (1.0, -1.0), "{target}");
+        assert_eq!(*hosts.executed.borrow(), [], "{target}");
+    };
+    run([scenario("/read"), scenario("/write")], 1);
+}
+
+/// It is carried on, counts as in flight, and leaves its connection as good as before.
+#[test]
+fn non_idempotent_attempt_outlives_its_client() {
+    let scenario = async || {
+        let (hosts, data_plane) = setup(&[HoldUntilReleased]);
+        let (server, address, _stage) = listen(data_plane.clone()).await;
+        let client = client(address, "/write", "one", "").await;
+        hosts.request_seen.notified().await;
+        drop(client);
+        wait_for_metric(&data_plane, "client_departures_total{service=\"s\"} 1").await;
+        assert_eq!(server.requests_in_flight.get(), 1);
+        hosts.release.notify_waiters();
+        wait_until(|| server.requests_in_flight.get() == 0).await;
+        assert_eq!(*hosts.cancelled.borrow(), [""; 0]);
+        assert!(data_plane.metrics.encode(0, 0).contains("end=\"finished\"} 1"));
+        assert_eq!(respond(&data_plane, "/write", "two", REQUEST_MILLIS, 10).await.status, 200);
+    };
+    run([scenario()], 1);
+}
+
+/// A host whose new connections do not come up: the attempt ends with its client, and nothing arrives later.
+#[test]
+fn disconnect_while_connecting_sends_nothing() {
+    let scenario = async |target: &'static str| {
+        let socket = TcpSocket::new_v4().unwrap();
+        socket.bind(([127, 0, 0, 1], 0).into()).unwrap();
+        let listener = socket.listen(1).unwrap();
+        let address = listener.local_addr().unwrap();
+        // Takes up all places for connections that nobody has accepted.
+        let backlog: Vec<_> = (0..8).map(|_| spawn_local(TcpStream::connect(address))).collect();
+        run_ready_tasks().await;
+        let data_plane = data_plane(&[address], PUBLIC_CONFIGURATION);
+        let (started, client) = (data_plane.clock.now(), ClientPresence::new());
+        let disconnect = async {
+            run_ready_tasks().await;
+            client.set_disconnected();
+        };
+        let responded = respond_to(&data_plane, target, "one", REQUEST_MILLIS, 10, &client);
+        let (response, ()) = futures_util::future::join(responded, disconnect).await;
+        assert!(data_plane.clock.now() - started < f64::from(REQUEST_MILLIS) / 1e3 / 2.0, "{target}");
+        // For a client that only ended its sending: it was not executed.
+        assert_eq!(response.status, if target == "/read" { 502 } else { 503 });
+        wait_for_metric(&data_plane, "end=\"withdrawn\"} 1").await;
+        backlog.into_iter().for_each(|connecting| connecting.abort());
+    };
+    run([scenario("/read"), scenario("/write")], 1);
+}
+
+/// Nothing that such a client sent after this request is started.
+#[test]
+fn half_closed_client_is_answered_and_then_closed() {
+    let scenario =
+        async |target: &'static str, status: &'static str, executed: &'static [(&'static str, usize)]| {
+            let (hosts, data_plane) = setup(&[HoldUntilReleased]);
+            let (_server, address, _stage) = listen(data_plane.clone()).await;
+            let mut client = client(address, target, "one", "").await;
+            client.write_all(request_text(target, "two", "").as_bytes()).await.unwrap();
+            hosts.request_seen.notified().await;
+            client.shutdown().await.unwrap();
+            wait_for_metric(&data_plane, "client_departures_total{service=\"s\"} 1").await;
+            hosts.release.notify_waiters();
+            let mut received = String::new();
+            client.read_to_string(&mut received).await.unwrap();
+            let one_response = received.starts_with(status) && received.matches("HTTP/1.1").count() == 1;
+            assert!(one_response, "{received}");
+            let ids: Vec<String> = hosts.executed.borrow().iter().map(|(id, _)| id.clone()).collect();
+            assert_eq!(ids, executed.iter().map(|(id, _)| id.to_string()).collect::<Vec<_>>());
+        };
+    let executed = &[("one", 0)];
+    run([scenario("/read", "HTTP/1.1 502", executed), scenario("/write", "HTTP/1.1 200", executed)], 1);
+}
