--- a/crates/data-plane/src/dispatch.rs
+++ b/crates/data-plane/src/dispatch.rs
@@ -31,9 +31,9 @@
 /// How a request ends.
 type Outcome = Result<HostResponse, Rejection>;
 
-struct Dispatch<'a> {
-    data_plane: Rc<DataPlane>,
-    selection: HostSelection<'a>,
+struct Dispatch<'a, 'b> {
+    data_plane: &'a Rc<DataPlane>,
+    selection: &'a mut HostSelection<'b>,
     attempts: Attempts,
     outgoing: &'a Rc<UpstreamRequest>,
     /// The request has a key, which may be served only while the configuration is confirmed.
@@ -52,12 +52,12 @@
 /// How it ends without a host's response. A client that disconnects ends an idempotent request at once; one that is not
 /// idempotent and in flight goes on, and its response is still read.
 pub async fn dispatch(
-    selection: HostSelection<'_>,
+    selection: &mut HostSelection<'_>,
     attempts: Attempts,
     outgoing: &Rc<UpstreamRequest>,
     keyed: bool,
 ) -> Outcome {
-    let data_plane = selection.data_plane().clone();
+    let data_plane = selection.data_plane();
     let client = &outgoing.client;
     let (sender, mut results) = mpsc::channel(MAX_PENDING_RESULTS);
     let mut dispatch = Dispatch {
@@ -87,7 +87,7 @@
     }
 }
 
-impl Dispatch<'_> {
+impl Dispatch<'_, '_> {
     /// Starts the attempt that is due, unless the client has disconnected.
     async fn start_due_attempt(&mut self) -> Result<(), Rejection> {
         let Some(budget_use) = self.due else { return Ok(()) };
@@ -104,7 +104,7 @@
 
     /// Starts an attempt; false where no host has room, the retry budget has no retry, or the key is not confirmed.
     fn start_attempt(&mut self, budget_use: BudgetUse) -> bool {
-        let data_plane = self.data_plane.clone();
+        let data_plane = self.data_plane;
         // Asked anew after each wait: a freeze of the machine may be among them.
         let confirmed = !self.keyed || data_plane.is_confirmed();
         let selected = self.selection.select().filter(|_| confirmed);
@@ -124,7 +124,7 @@
         self.hedge_at = hedge_delay.map(|delay| data_plane.clock.instant_at(now + delay));
         self.selection.attempt_started(now, host.key);
         let attempt = Attempt { host, service, deadline: self.deadline, outgoing: self.outgoing.clone() };
-        spawn_local(run_attempt(data_plane, attempt, self.results.clone()));
+        spawn_local(run_attempt(data_plane.clone(), attempt, self.results.clone()));
         true
     }
 
--- a/crates/data-plane/src/request.rs
+++ b/crates/data-plane/src/request.rs
@@ -20,17 +20,24 @@
 use crate::routing::{self, RoutedRequest};
 use crate::upstream::UpstreamRequest;
 use archlink_http::codec::{HostResponse, Request, Response};
+use futures_util::FutureExt;
 use std::rc::Rc;
 
 /// Bytes that a response's header lines may need beside those that are passed on: the id and the seal.
 const OWN_HEADERS: usize = 96;
 
 /// The response to one request of `client`.
-pub async fn respond(data_plane: &Rc<DataPlane>, request: Request, client: &ClientPresence) -> Response {
-    match process(data_plane, request, client).await {
+///
+/// Mapped rather than awaited: a second future around the first would keep the request twice.
+pub fn respond(
+    data_plane: &Rc<DataPlane>,
+    request: Request,
+    client: &ClientPresence,
+) -> impl Future<Output = Response> {
+    process(data_plane, request, client).map(|outcome| match outcome {
         Ok(response) => relay(response),
         Err(rejection) => rejection.response(),
-    }
+    })
 }
 
 async fn process(
@@ -52,7 +59,7 @@
     admit(&selection, &routed, &attempts, client).await?;
     selection.set_admitted();
     let outgoing = Rc::new(upstream_request(request, parsed.id, &routed, client));
-    dispatch(selection, attempts, &outgoing, routed.tenant.is_some()).await
+    dispatch(&mut selection, attempts, &outgoing, routed.tenant.is_some()).await
 }
 
 /// What the headers of a request say for all routes.
