--- a/crates/quota/src/counter.rs
+++ b/crates/quota/src/counter.rs
@@ -1,67 +1,95 @@
-//! The counter: names that live for a while, and their totals. One control gateway holds it for a term; nothing of it is
-//! on disk or handed over. A new holder answers nothing until what its predecessor granted has left every tier's window.
-//! Must never answer outside its term.
+//! The quota counter: short-lived keys and their totals, in memory only.
+//!
+//! One control node serves it for the term of its lease; nothing is persisted or handed to the next holder. A new holder
+//! answers nothing for [`NEW_HOLDER_SILENCE`], until what its predecessor granted has left every burst tier's window.
+//!
+//! Invariant: an add of a term that is over is never answered.
 
 use archlink_messages::CounterAdd;
 use std::collections::HashMap;
 
-/// Most names at a time; an add to a further one gets no answer, which a gateway takes for a silent counter.
-const MOST_NAMES: usize = 200_000;
-/// Between two looks for names whose life is over.
-const SWEEP_EVERY: f64 = 1.0;
+/// Limit of the number of keys, which bounds memory at some 7 MB. Adds that would go beyond it get no answer,
+/// which a data node treats as an unavailable counter.
+const MAX_KEYS: usize = 200_000;
+/// Seconds between two removals of expired keys; a removal visits every key.
+const SWEEP_INTERVAL: f64 = 1.0;
+/// Longest lifetime of a key in seconds, whatever the add asks for: two of the longest windows of a burst tier (25 s) and
+/// a margin.
+const MAX_LIFETIME: f64 = 60.0;
 
-/// How long a new holder is silent. Its book is empty, and a fresh window beside one that was used up grants a burst twice.
-/// Data gateways that live on claim their own parts of the present windows again with their first adds; what is lost is the
-/// part of those that died as well. The predecessor's grant, which is over by then, and this make up for that: an eager
-/// tenant's burst comes back at its rate meanwhile.
+/// Seconds for which a new holder of the lease answers nothing.
+///
+/// Its counters are empty, and a new window beside one that was used up would grant a burst twice. Data nodes that live on
+/// claim their own parts of the current windows again with their first adds; the parts of those that died as well are lost.
+/// The predecessor's lease, which is over by then, and this wait make up for the loss: a busy tenant's burst refills at its
+/// rate meanwhile.
 pub const NEW_HOLDER_SILENCE: f64 = 0.4;
 
+/// The total of one key, which counts until `expires_at` (seconds, fleet clock).
+#[derive(Clone, Copy)]
+struct Entry {
+    total: f64,
+    expires_at: f64,
+}
+
+/// All counters of one term.
 #[derive(Default)]
 pub struct Counter {
     term: u64,
-    names: HashMap<u64, (f64, f64)>,
-    swept: f64,
+    entries: HashMap<u64, Entry>,
+    last_sweep: f64,
 }
 
 impl Counter {
-    /// Totals after these adds, in their order; none, and nothing added, where a name finds no room or the term is over. A
-    /// later term begins with nothing.
+    /// The totals after `adds`, in their order. A later `term` starts with no keys.
+    ///
+    /// `None`, with nothing added, if `term` is over or there is no room for the new keys: "not added" has to hold for all
+    /// adds of a call.
     pub fn add(&mut self, now: f64, term: u64, adds: &[CounterAdd]) -> Option<Vec<f32>> {
         if term < self.term {
             return None;
         }
         if self.term != term {
-            self.names.clear();
+            self.entries.clear();
             self.term = term;
         }
-        if now > self.swept + SWEEP_EVERY {
-            self.swept = now;
-            self.names.retain(|_, (_, until)| now < *until);
-        }
-        // "Not added" has to be true of all of them.
-        if self.names.len() + adds.len() > MOST_NAMES {
-            let fresh = adds.iter().filter(|add| !self.names.contains_key(&add.key)).count();
-            if self.names.len() + fresh > MOST_NAMES {
-                return None;
-            }
+        self.sweep(now);
+        if !self.has_room_for(adds) {
+            return None;
         }
-        Some(adds.iter().map(|add| self.one(now, add)).collect())
+        Some(adds.iter().map(|add| self.add_one(now, add)).collect())
+    }
+
+    /// Number of keys, expired ones that were not removed yet included.
+    pub fn key_count(&self) -> usize {
+        self.entries.len()
     }
 
-    fn one(&mut self, now: f64, add: &CounterAdd) -> f32 {
-        const MOST_KEEP: f64 = 60.0;
-        let fresh = (0.0, now + f64::from(add.lifetime).clamp(0.0, MOST_KEEP));
-        let entry = self.names.entry(add.key).or_insert(fresh);
-        if now >= entry.1 {
-            *entry = fresh;
+    fn sweep(&mut self, now: f64) {
+        if now > self.last_sweep + SWEEP_INTERVAL {
+            self.last_sweep = now;
+            self.entries.retain(|_, entry| now < entry.expires_at);
         }
-        if add.amount.is_finite() {
-            entry.0 += f64::from(add.amount);
+    }
+
+    fn has_room_for(&self, adds: &[CounterAdd]) -> bool {
+        if self.entries.len() + adds.len() <= MAX_KEYS {
+            return true;
         }
-        entry.0 as f32
+        let new_keys = adds.iter().filter(|add| !self.entries.contains_key(&add.key)).count();
+        self.entries.len() + new_keys <= MAX_KEYS
     }
 
-    pub fn key_count(&self) -> usize {
-        self.names.len()
+    fn add_one(&mut self, now: f64, add: &CounterAdd) -> f32 {
+        let lifetime = f64::from(add.lifetime).clamp(0.0, MAX_LIFETIME);
+        let new_entry = Entry { total: 0.0, expires_at: now + lifetime };
+        let entry = self.entries.entry(add.key).or_insert(new_entry);
+        if now >= entry.expires_at {
+            *entry = new_entry;
+        }
+        if add.amount.is_finite() {
+            entry.total += f64::from(add.amount);
+        }
+        entry.total as f32
     }
 }
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,8 +1,12 @@
-//! Counts of tenants' requests over all data gateways. `book` is the counter that one control gateway holds, `asker` the
-//! decision module at a data gateway that asks it, one add a request, `frames` which answer belongs to which question, and `share` what a data gateway may let on where the
-//! counter lets nothing on or says nothing. Together they stay inside the rule's bound, cut off or not (`share` has the
-//! sum). None does I/O or reads a clock.
-#![forbid(unsafe_code)]
+//! Tenant quotas over all data nodes.
+//!
+//! - [`counter`]: the counters that the control node with the quota counter's lease keeps in memory.
+//! - [`counter_client`]: the decision module at a data node, which sends one add a request to the counter.
+//! - [`pending_calls`]: matches the counter's replies to the calls of a data node.
+//! - [`local_share`]: what a data node admits by itself where the counter denies or does not reply.
+//!
+//! The counter and the local shares together keep the quota's bound, also through a partition;
+//! [`local_share`] has the formula. Nothing here does I/O or reads a clock.
 
 pub mod counter;
 pub mod counter_client;
--- a/crates/quota/src/pending_calls.rs
+++ b/crates/quota/src/pending_calls.rs
@@ -1,103 +1,115 @@
-//! Questions to the holder of the counts that have no answer yet, by number. Owns the numbers, and the rule which answer
-//! belongs to which question. Must never give one question's totals to another, nor settle a question twice or never.
+//! Calls to the quota counter that have no reply yet, by serial number.
 //!
-//! Numbers grow for as long as the process lives, over all its connections, and an answer comes on the connection that its
-//! question went out on; when that ends, all that is out on it is settled. So an answer that comes late, twice or to
-//! another life of this process finds no question.
+//! Serial numbers grow for as long as the process lives, over all its connections, and a reply comes on the connection that
+//! carried its call; when that connection ends, all calls pending on it are resolved. So a reply that is late, duplicated or
+//! meant for an earlier incarnation of this process matches no call.
+//!
+//! Invariants: a call is resolved exactly once, and never by the totals of another call.
 
 use archlink_messages::CounterAdd;
 use std::collections::VecDeque;
 
-/// Questions out at most: a holder that answers in time has a few. What finds no room is not sent.
-const MOST: usize = 256;
-/// Without any answer for so long while some are due, the connection is given up.
+/// Limit of pending calls. A counter that replies in time has a few; a call beyond the limit is not sent.
+const MAX_PENDING: usize = 256;
+/// Seconds without any reply, while calls are pending, after which the connection is to be closed: a few round trips to
+/// another region beside a busy counter.
 pub const REPLY_TIMEOUT: f64 = 0.4;
 
-/// What became of the adds of one question, in the order in which they were asked.
+/// The outcome of the adds of one call, in the order of the call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallResult {
     /// One total for each add.
     Totals(Vec<CounterAdd>, Vec<f32>),
-    /// Never sent, or the holder says that it does not count.
+    /// Never sent, or the node replied that it does not serve the counter: certainly not counted.
     NotAdded(Vec<CounterAdd>),
-    /// No answer, or none that fits: it may have been counted.
+    /// No reply, or a malformed one: the adds may have been counted.
     Unknown(Vec<CounterAdd>),
 }
 
-/// What an answer is to the questions that are out.
+/// How a reply relates to the pending calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplyMatch {
-    /// The answer to one of them; does the holder count?
-    Answer { counts: bool },
-    /// To none of them: overtaken by a later answer, told twice, or never asked.
+    /// The reply to a pending call.
+    Answer {
+        /// Whether the node serves the counter.
+        counts: bool,
+    },
+    /// The reply to none of them: overtaken by a later reply, duplicated, or never asked for.
     Unmatched,
-    /// To one of them, with another number of totals: nothing that comes from there can be relied on.
+    /// The reply to a pending call with the wrong number of totals: the connection can't be relied on.
     Malformed,
 }
 
-struct Frame {
+struct PendingCall {
     serial: u64,
     adds: Vec<CounterAdd>,
 }
 
+/// The pending calls of a data node, oldest first, by ascending serial number.
 #[derive(Default)]
 pub struct PendingCalls {
-    out: VecDeque<Frame>,
-    last: u64,
-    /// When the oldest question out was asked, or the last answer came, whichever is later.
-    since: f64,
+    calls: VecDeque<PendingCall>,
+    last_serial: u64,
+    /// When the oldest pending call was sent or the last reply was received, whichever is later (seconds).
+    waiting_since: f64,
 }
 
 impl PendingCalls {
-    /// A question goes out: its number, and the adds to be sent with it. The adds come back where there is no room.
+    /// Registers a call: its serial number, and the adds to be sent with it.
+    ///
+    /// # Errors
+    ///
+    /// [`CallResult::NotAdded`] with the adds if there is no room for another call.
     pub fn send(&mut self, now: f64, adds: Vec<CounterAdd>) -> Result<(u64, &[CounterAdd]), CallResult> {
-        if self.out.len() >= MOST {
+        if self.calls.len() >= MAX_PENDING {
             return Err(CallResult::NotAdded(adds));
         }
-        if self.out.is_empty() {
-            self.since = now;
+        if self.calls.is_empty() {
+            self.waiting_since = now;
         }
-        self.last += 1;
-        self.out.push_back(Frame { serial: self.last, adds });
-        Ok((self.last, self.out.back().map_or(&[], |frame| &frame.adds)))
+        self.last_serial += 1;
+        self.calls.push_back(PendingCall { serial: self.last_serial, adds });
+        Ok((self.last_serial, self.calls.back().map_or(&[], |call| &call.adds)))
     }
 
-    /// Totals came under that number; none is that the holder does not count. The holder answers in order: what an answer
-    /// has passed over gets none any more, and is settled before it.
+    /// Takes the reply to call `serial`; no `totals` means that the node does not serve the counter.
+    ///
+    /// The counter replies in order, so calls that a reply has overtaken get none any more: they are resolved before it.
     pub fn receive(
         &mut self,
         now: f64,
         serial: u64,
         totals: Option<Vec<f32>>,
     ) -> (ReplyMatch, Vec<CallResult>) {
-        let Ok(place) = self.out.binary_search_by_key(&serial, |frame| frame.serial) else {
+        let Ok(position) = self.calls.binary_search_by_key(&serial, |call| call.serial) else {
             return (ReplyMatch::Unmatched, Vec::new());
         };
-        self.since = now;
-        let mut settled: Vec<CallResult> =
-            self.out.drain(..place).map(|frame| CallResult::Unknown(frame.adds)).collect();
-        let adds = self.out.pop_front().map(|frame| frame.adds).unwrap_or_default();
+        self.waiting_since = now;
+        let mut results: Vec<CallResult> =
+            self.calls.drain(..position).map(|call| CallResult::Unknown(call.adds)).collect();
+        let adds = self.calls.pop_front().map(|call| call.adds).unwrap_or_default();
         let counts = totals.is_some();
-        let (heard, last) = match totals {
+        let (reply_match, result) = match totals {
             Some(totals) if totals.len() != adds.len() => (ReplyMatch::Malformed, CallResult::Unknown(adds)),
             Some(totals) => (ReplyMatch::Answer { counts }, CallResult::Totals(adds, totals)),
             None => (ReplyMatch::Answer { counts }, CallResult::NotAdded(adds)),
         };
-        settled.push(last);
-        (heard, settled)
+        results.push(result);
+        (reply_match, results)
     }
 
-    /// The connection ended: what is out gets no answer.
+    /// The connection ended: resolves all pending calls.
     pub fn disconnected(&mut self) -> Vec<CallResult> {
-        self.out.drain(..).map(|frame| CallResult::Unknown(frame.adds)).collect()
+        self.calls.drain(..).map(|call| CallResult::Unknown(call.adds)).collect()
     }
 
+    /// Whether no call is pending.
     pub fn is_empty(&self) -> bool {
-        self.out.is_empty()
+        self.calls.is_empty()
     }
 
-    /// When the connection is to be given up, if nothing comes before.
+    /// When the connection is to be closed if no reply comes before; `None` while no call is pending.
     pub fn times_out_at(&self) -> Option<f64> {
-        (!self.out.is_empty()).then_some(self.since + REPLY_TIMEOUT)
+        (!self.calls.is_empty()).then_some(self.waiting_since + REPLY_TIMEOUT)
     }
 }
