--- a/crates/balancer/src/retry_budget.rs
+++ b/crates/balancer/src/retry_budget.rs
@@ -1,49 +1,55 @@
-//! Further tries: what all gateways together may add to a service's arrivals. Each gateway earns by its own requests and
-//! holds a part of what is free, so that no message is needed for the sum to keep the rule. Must never give out more than
-//! this gateway's part.
+//! Retry budget: what all data nodes together may add to a service's requests by retries.
+//!
+//! The bound, in any window over all data nodes, is `ratio` of the requests and `slack`. Each data node earns by its own
+//! requests and holds at most its even part of the slack, so that the sum keeps the bound without a message.
+//!
+//! Invariant: no more retries are withdrawn than were deposited here.
 
 use std::collections::HashMap;
 
-/// Part of the rule's figures that is given out: requests that arrive late count in another window than they were sent in.
-const GIVEN: f64 = 0.75;
+/// Part of the bound's figures that is given out: requests that arrive late count in another window than they were sent in.
+const USABLE_FRACTION: f64 = 0.75;
 
-/// The rule: in any window, further arrivals stay below `ratio` of the requests, and `slack`.
+/// The figures of the bound, from the operators' `TimingBounds`.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBound {
+    /// Retries for each request.
     pub ratio: f64,
+    /// Retries on top of that, in any window.
     pub slack: f64,
 }
 
+/// The retries that this data node may make now, by service.
 #[derive(Default)]
 pub struct RetryBudget {
-    left: HashMap<String, f64>,
+    balances: HashMap<String, f64>,
 }
 
 impl RetryBudget {
-    /// A request of the service was taken on; `gateways` may be at work.
-    pub fn deposit(&mut self, rule: &RetryBound, service: &str, gateways: u32) {
-        let most = Self::most(rule, gateways);
-        match self.left.get_mut(service) {
-            Some(left) => *left = (*left + rule.ratio * GIVEN).min(most),
-            // A life before this one may have spent what it held.
-            None => drop(self.left.insert(service.to_string(), 0.0)),
+    /// A request of the service was accepted; `gateways` data nodes may be running, 0 where that is unknown.
+    pub fn deposit(&mut self, bound: &RetryBound, service: &str, gateways: u32) {
+        let max_balance = Self::max_balance(bound, gateways);
+        match self.balances.get_mut(service) {
+            Some(balance) => *balance = (*balance + bound.ratio * USABLE_FRACTION).min(max_balance),
+            // An earlier incarnation may have spent what it held.
+            None => drop(self.balances.insert(service.to_string(), 0.0)),
         }
     }
 
-    /// A window's requests earn on top of what is held: that alone is bounded here. Nothing while it isn't known how many
-    /// share.
-    fn most(rule: &RetryBound, gateways: u32) -> f64 {
-        if gateways == 0 { 0.0 } else { rule.slack * GIVEN / f64::from(gateways) }
-    }
-
-    /// Takes one further try, if there is one.
+    /// Takes one retry, if there is one.
     pub fn try_withdraw(&mut self, service: &str) -> bool {
-        match self.left.get_mut(service) {
-            Some(left) if *left >= 1.0 => {
-                *left -= 1.0;
+        match self.balances.get_mut(service) {
+            Some(balance) if *balance >= 1.0 => {
+                *balance -= 1.0;
                 true
             }
             _ => false,
         }
     }
+
+    /// What a window's requests earn comes on top of the balance, which alone is bounded here. Nothing while it is unknown
+    /// how many share the slack.
+    fn max_balance(bound: &RetryBound, gateways: u32) -> f64 {
+        if gateways == 0 { 0.0 } else { bound.slack * USABLE_FRACTION / f64::from(gateways) }
+    }
 }
--- /dev/null
+++ b/crates/balancer/tests/common/mod.rs
@@ -0,0 +1,46 @@
+//! A balancer of data node 1 of nine, in zone `a` of region `x`, and requests to its service `s`, in simulated time.
+
+use archlink_balancer::balancer::{Balancer, HostRequest, ServiceLimits, WarmUpBound};
+use archlink_messages::HostInstance;
+use std::collections::HashMap;
+
+/// A host of service `s` with two slots that is not warming up.
+pub fn instance(id: &str, zone: &str) -> HostInstance {
+    HostInstance {
+        id: id.into(),
+        service: "s".into(),
+        address: "10.0.0.1:80".parse().unwrap(),
+        zone: zone.into(),
+        capacity: 2,
+        draining: false,
+        warm_up_seconds: 0.0,
+    }
+}
+
+/// Zones `a` and `b` are in region `x`, zone `c` in region `y`.
+pub fn balancer() -> Balancer {
+    let regions =
+        [("a", "x"), ("b", "x"), ("c", "y")].map(|(zone, region)| (zone.to_string(), region.to_string()));
+    let warm_up = WarmUpBound { overrun: 1.5, slack: 5.0 };
+    let mut balancer = Balancer::new(1, "a".into(), "x".into(), HashMap::from(regions), warm_up, 7);
+    balancer.set_gateways(&[1, 2, 3, 4, 5, 6, 7, 8, 9]);
+    balancer.set_services([("s".into(), ServiceLimits { warm_up_rate: 10.0, warm_up_period: 3.0 })].into());
+    balancer
+}
+
+/// A request to service `s` that was admitted before and may go anywhere.
+pub fn request() -> HostRequest<'static> {
+    HostRequest {
+        service: "s",
+        home_regions: &[],
+        latency_target: 0.3,
+        remaining: 2.0,
+        tried: &[],
+        queue_ticket: None,
+    }
+}
+
+/// The id of the host selected for a request.
+pub fn selected_id(balancer: &mut Balancer, now: f64, request: &HostRequest) -> Option<String> {
+    balancer.select(now, request).map(|selected| selected.id)
+}
