--- /dev/null
+++ b/crates/http/src/codec/client.rs
@@ -0,0 +1,145 @@
+//! The client's codec: requests out, responses in.
+
+use super::body_reader::BodyReader;
+use super::head::{MAX_HEADERS, head_length};
+use super::{HeaderValue, HostResponse, OutgoingRequest};
+use crate::error::ProtocolError;
+use crate::frame::{BodyLength, FramingHeaders, framing_headers, header};
+use bytes::{Buf, BufMut, Bytes, BytesMut};
+use httparse::{EMPTY_HEADER, Header};
+use std::cell::Cell;
+use std::io::{self, Write};
+use std::rc::Rc;
+use tokio_util::codec::{Decoder, Encoder};
+
+/// Bytes for the request line without its target, and the framing headers.
+const USUAL_HEAD_BYTES: usize = 96;
+/// Least status of a final response; interim ones come before it and are dropped.
+const MIN_FINAL_STATUS: u16 = 200;
+
+/// Encodes the requests of one connection and decodes their responses.
+pub struct ClientCodec {
+    wanted_headers: &'static [&'static str],
+    body_reader: BodyReader,
+    /// A response whose body is not complete.
+    partial: Option<(HostResponse, BodyLength)>,
+    /// The last request was `HEAD`: its response has no body, whatever its headers say.
+    head_requested: bool,
+}
+
+impl ClientCodec {
+    /// `available`: bytes left for large bodies, of all connections together; `max_body`: limit of one body in bytes.
+    pub fn new(
+        wanted_headers: &'static [&'static str],
+        max_body: usize,
+        available: Rc<Cell<usize>>,
+    ) -> ClientCodec {
+        ClientCodec {
+            wanted_headers,
+            body_reader: BodyReader::new(max_body, available),
+            partial: None,
+            head_requested: false,
+        }
+    }
+
+    fn next_response(
+        &mut self,
+        from: &mut BytesMut,
+        ended: bool,
+    ) -> Result<Option<HostResponse>, ProtocolError> {
+        while self.partial.is_none() {
+            let Some((response, body)) = self.read_head(from)? else { return Ok(None) };
+            if response.status >= MIN_FINAL_STATUS {
+                self.partial = Some((response, body));
+            }
+        }
+        let Some((response, body)) = &mut self.partial else { return Ok(None) };
+        let Some(body) = self.body_reader.read(body, &mut response.held, from, ended)? else {
+            return Ok(None);
+        };
+        Ok(self.partial.take().map(|(response, _)| HostResponse { body, ..response }))
+    }
+
+    /// Reads the head of a response, once it is complete.
+    fn read_head(&self, from: &mut BytesMut) -> Result<Option<(HostResponse, BodyLength)>, ProtocolError> {
+        let mut headers = [EMPTY_HEADER; MAX_HEADERS];
+        let mut head = httparse::Response::new(&mut headers);
+        let parsed = head_length(head.parse(from), from.len());
+        let Some(length) = parsed.map_err(|_| ProtocolError::ResponseHead)? else { return Ok(None) };
+        let framing =
+            framing_headers(head.headers, self.wanted_headers).ok_or(ProtocolError::ResponseFraming)?;
+        let status = head.code.unwrap_or(0);
+        let is_http_1_0 = head.version == Some(0);
+        let body = self.body_length(status, &framing);
+        let closes = framing.close || (is_http_1_0 && !framing.keep) || matches!(body, BodyLength::ToEnd);
+        let response = HostResponse {
+            status,
+            fields: HeaderValue::find_all(head.headers, self.wanted_headers),
+            passed: framing.forwarded,
+            body: Bytes::new(),
+            keep: !closes,
+            idle: keep_alive_timeout(head.headers),
+            held: None,
+        };
+        from.advance(length);
+        Ok(Some((response, body)))
+    }
+
+    fn body_length(&self, status: u16, framing: &FramingHeaders) -> BodyLength {
+        match framing.length {
+            _ if status == 204 || status == 304 || self.head_requested => BodyLength::Sized(0),
+            _ if framing.chunked => BodyLength::chunked(),
+            Some(length) => BodyLength::Sized(length),
+            None => BodyLength::ToEnd,
+        }
+    }
+}
+
+/// Seconds for which the host keeps an idle connection.
+fn keep_alive_timeout(headers: &[Header]) -> Option<f64> {
+    let mut parameters = header(headers, "keep-alive")?.split(',');
+    let seconds = parameters.find_map(|parameter| parameter.trim().strip_prefix("timeout="))?;
+    seconds.parse::<u32>().ok().map(f64::from)
+}
+
+impl Decoder for ClientCodec {
+    type Item = HostResponse;
+    type Error = io::Error;
+
+    fn decode(&mut self, from: &mut BytesMut) -> io::Result<Option<HostResponse>> {
+        if from.is_empty() && self.partial.is_none() {
+            return Ok(None);
+        }
+        Ok(self.next_response(from, false)?)
+    }
+
+    fn decode_eof(&mut self, from: &mut BytesMut) -> io::Result<Option<HostResponse>> {
+        if from.is_empty() && self.partial.is_none() {
+            return Ok(None);
+        }
+        match self.next_response(from, true)? {
+            Some(response) => Ok(Some(response)),
+            None => Err(ProtocolError::Truncated.into()),
+        }
+    }
+}
+
+impl Encoder<OutgoingRequest<'_>> for ClientCodec {
+    type Error = io::Error;
+
+    fn encode(&mut self, request: OutgoingRequest, to: &mut BytesMut) -> io::Result<()> {
+        let OutgoingRequest { method, target, host, lines, body } = request;
+        self.head_requested = method == "HEAD";
+        to.reserve(USUAL_HEAD_BYTES + target.len() + lines.len() + body.len());
+        for part in [method, " ", target, " HTTP/1.1\r\nHost: ", host, "\r\n"] {
+            to.extend_from_slice(part.as_bytes());
+        }
+        to.extend_from_slice(lines);
+        if method != "GET" || !body.is_empty() {
+            write!(to.writer(), "Content-Length: {}\r\n", body.len())?;
+        }
+        to.extend_from_slice(b"\r\n");
+        to.extend_from_slice(body);
+        Ok(())
+    }
+}
--- /dev/null
+++ b/crates/http/src/codec/head.rs
@@ -0,0 +1,33 @@
+//! Heads of messages: their limits, and when one is complete.
+
+use httparse::Status;
+
+/// Limit of a head in bytes, as common servers have it.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// Limit of header lines in a head, as common servers have it.
+pub(super) const MAX_HEADERS: usize = 64;
+
+/// Why a head is not accepted.
+pub(super) enum HeadError {
+    TooLarge,
+    Malformed,
+}
+
+/// Bytes of the head, once it is complete, by what the parser says about `buffered` bytes.
+pub(super) fn head_length(
+    parsed: httparse::Result<usize>,
+    buffered: usize,
+) -> Result<Option<usize>, HeadError> {
+    match parsed {
+        Ok(Status::Complete(length)) if length <= MAX_HEAD_BYTES => Ok(Some(length)),
+        Ok(Status::Partial) if buffered < MAX_HEAD_BYTES => Ok(None),
+        Ok(_) | Err(httparse::Error::TooManyHeaders) => Err(HeadError::TooLarge),
+        Err(_) => Err(HeadError::Malformed),
+    }
+}
+
+/// Whether a line ends with LF alone, which ends it for one reader and not for the next.
+pub(super) fn has_bare_line_feed(head: &[u8]) -> bool {
+    let mut line_feeds = head.iter().enumerate().filter(|&(_, &byte)| byte == b'\n');
+    line_feeds.any(|(at, _)| at == 0 || head[at - 1] != b'\r')
+}
--- a/crates/http/src/connection_pool.rs
+++ b/crates/http/src/connection_pool.rs
@@ -1,8 +1,11 @@
-//! Connections to hosts and their bound, kept between hand-offs by host and not by address: a new host at an old address
-//! is another one. Must never try twice, choose another host or wait longer than it was told.
+//! Idle connections to hosts, and the limit of open ones.
+//!
+//! Connections are pooled by host instance and not by address: a new host at an old address is another one. The pool does
+//! not connect a second time, choose another host or wait longer than it was told.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
+use std::fmt::{self, Display, Formatter};
 use std::io;
 use std::mem::MaybeUninit;
 use std::net::SocketAddr;
@@ -12,126 +15,183 @@
 use tokio::time::{Instant, timeout};
 use tokio_util::codec::Framed;
 
-/// One place among the bounded sockets to hosts, given back when dropped.
-struct Place(Rc<Cell<usize>>);
+/// A connection is closed after this part of the time for which the host keeps it idle: the rest is far more than the way
+/// of a request that meets the close.
+const USABLE_IDLE_FRACTION: f64 = 0.8;
+/// Limit in seconds of times that are handed in, which may be any number.
+const MAX_SECONDS: f64 = 3600.0;
 
-impl Drop for Place {
+fn duration(seconds: f64) -> Duration {
+    Duration::from_secs_f64(seconds.clamp(0.0, MAX_SECONDS))
+}
+
+/// Why no connection could be opened, beside what the system says.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum PoolError {
+    /// As many connections are open and in use as there may be.
+    ConnectionsExhausted {
+        /// The limit of open connections.
+        limit: usize,
+    },
+}
+
+impl Display for PoolError {
+    fn fmt(&self, f: &mut Formatter) -> fmt::Result {
+        let PoolError::ConnectionsExhausted { limit } = self;
+        write!(f, "all {limit} connections to hosts are in use")
+    }
+}
+
+impl std::error::Error for PoolError {}
+
+/// One of the bounded number of open connections, returned when dropped.
+struct Permit(Rc<Cell<usize>>);
+
+impl Permit {
+    fn acquire(open: &Rc<Cell<usize>>, limit: usize) -> Result<Permit, PoolError> {
+        if open.get() >= limit {
+            return Err(PoolError::ConnectionsExhausted { limit });
+        }
+        open.set(open.get() + 1);
+        Ok(Permit(open.clone()))
+    }
+}
+
+impl Drop for Permit {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-/// A connection to a host, spoken over with the codec `C`.
+/// A connection to a host with the codec `C`.
 pub struct Connection<C> {
+    /// The stream and its codec.
     pub framed: Framed<TcpStream, C>,
-    to: SocketAddr,
-    since: Instant,
-    /// When the host may close it at the latest, where it said so.
-    until: Option<Instant>,
-    _place: Place,
+    address: SocketAddr,
+    idle_since: Instant,
+    /// Until when it may be used, by what the host said about idle connections.
+    expires_at: Option<Instant>,
+    _permit: Permit,
 }
 
-/// What a connection on which nothing was asked since the last reply has to say.
+/// The state of a connection on which no request is pending.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdleState {
+    /// It can be used.
     Quiet,
+    /// The other end closed or reset it.
     Ended,
-    /// Bytes that nobody asked for: they would be taken for the answer to the next question.
+    /// There are bytes that nobody asked for: they would be taken for the response to the next request.
     Spoke,
 }
 
-/// Asks the socket itself, and what was read of it.
+/// Checks a connection on which no request is pending: its read buffer, and its socket by one system call.
 pub fn idle_state<C>(framed: &Framed<TcpStream, C>) -> IdleState {
     let mut byte = [MaybeUninit::uninit()];
     match socket2::SockRef::from(framed.get_ref()).peek(&mut byte) {
         _ if !framed.read_buffer().is_empty() => IdleState::Spoke,
-        Err(e) if e.kind() == io::ErrorKind::WouldBlock => IdleState::Quiet,
+        Err(error) if error.kind() == io::ErrorKind::WouldBlock => IdleState::Quiet,
         Ok(0) | Err(_) => IdleState::Ended,
         Ok(_) => IdleState::Spoke,
     }
 }
 
+/// The connections of one thread. Hosts are named by keys of the user's.
 pub struct ConnectionPool<C> {
-    lines: RefCell<HashMap<u64, Vec<Connection<C>>>>,
-    used: Rc<Cell<usize>>,
-    most: usize,
-    idle: Duration,
-    connect: Duration,
-    codec: Box<dyn Fn() -> C>,
+    /// Idle connections of each host, the one used last at the end.
+    idle: RefCell<HashMap<u64, Vec<Connection<C>>>>,
+    /// Connections that are open, idle ones included.
+    open: Rc<Cell<usize>>,
+    max_open: usize,
+    idle_timeout: Duration,
+    connect_timeout: Duration,
+    new_codec: Box<dyn Fn() -> C>,
 }
 
 impl<C> ConnectionPool<C> {
-    /// Given up at this part of the time after which hosts close: far more than a message is under way.
-    const SAFE: f64 = 0.8;
-
-    /// `idle`: the time after which hosts close a connection at the latest; `codec` makes a new connection's.
+    /// A pool of `max_open` connections at most. `idle`: seconds after which hosts close an idle connection; `connect`:
+    /// longest wait for a new one in seconds; `codec` makes its codec.
     pub fn new(
-        most: usize,
+        max_open: usize,
         idle: f64,
         connect: f64,
         codec: impl Fn() -> C + 'static,
     ) -> Rc<ConnectionPool<C>> {
-        let seconds = |s: f64| Duration::from_secs_f64(s.clamp(0.0, 3600.0));
-        let (idle, connect) = (seconds(idle * Self::SAFE), seconds(connect));
-        let (lines, used, codec) = (RefCell::default(), Rc::default(), Box::new(codec));
-        Rc::new(ConnectionPool { lines, used, most, idle, connect, codec })
+        Rc::new(ConnectionPool {
+            idle: RefCell::default(),
+            open: Rc::default(),
+            max_open,
+            idle_timeout: duration(idle * USABLE_IDLE_FRACTION),
+            connect_timeout: duration(connect),
+            new_codec: Box::new(codec),
+        })
     }
 
     /// The longest wait for a new connection.
     pub fn connect(&self) -> Duration {
-        self.connect
-    }
-
-    fn fresh(&self, line: &Connection<C>) -> bool {
-        line.since.elapsed() < self.idle && line.until.is_none_or(|until| Instant::now() < until)
+        self.connect_timeout
     }
 
-    /// Closes what stood idle for long; called now and then.
+    /// Closes connections that were idle for too long; to be called now and then.
     pub fn close_idle(&self) {
-        let mut lines = self.lines.borrow_mut();
-        lines.values_mut().for_each(|kept| kept.retain(|line| self.fresh(line)));
-        lines.retain(|_, kept| !kept.is_empty());
+        let mut idle = self.idle.borrow_mut();
+        idle.values_mut().for_each(|connections| connections.retain(|connection| self.is_usable(connection)));
+        idle.retain(|_, connections| !connections.is_empty());
     }
 
+    /// An idle connection to a host, checked by [`idle_state`]. The one used last comes first, so that spare ones grow old
+    /// and are closed.
     pub fn take(&self, host: u64, address: SocketAddr) -> Option<Connection<C>> {
-        let mut lines = self.lines.borrow_mut();
-        let kept = lines.get_mut(&host)?;
-        // The one used last comes first, so that spare ones grow old and close.
-        let fit = |line: &Connection<C>| {
-            line.to == address && self.fresh(line) && idle_state(&line.framed) == IdleState::Quiet
+        let mut idle = self.idle.borrow_mut();
+        let connections = idle.get_mut(&host)?;
+        let can_be_used = |connection: &Connection<C>| {
+            connection.address == address
+                && self.is_usable(connection)
+                && idle_state(&connection.framed) == IdleState::Quiet
         };
-        std::iter::from_fn(|| kept.pop()).find(fit)
+        std::iter::from_fn(|| connections.pop()).find(can_be_used)
     }
 
-    /// A host that is gone, has moved, or is silent: nothing kept to it is of use.
+    /// Closes the idle connections to a host that was removed, has moved or does not answer.
     pub fn forget(&self, host: u64) {
-        self.lines.borrow_mut().remove(&host);
+        self.idle.borrow_mut().remove(&host);
     }
 
-    /// Keeps a connection for the next hand-off; `idle` is how long the host said that it keeps it.
-    pub fn put(&self, host: u64, line: Connection<C>, idle: Option<f64>) {
+    /// Keeps a connection after a response; `idle` is for how many seconds the host said that it keeps it.
+    pub fn put(&self, host: u64, connection: Connection<C>, idle: Option<f64>) {
         let now = Instant::now();
-        let until = idle.map(|s| now + Duration::from_secs_f64(s.clamp(0.0, 3600.0) * Self::SAFE));
-        self.lines.borrow_mut().entry(host).or_default().push(Connection { since: now, until, ..line });
+        let expires_at = idle.map(|seconds| now + usable_idle_time(seconds));
+        self.put_back(host, Connection { idle_since: now, expires_at, ..connection });
     }
 
-    /// Gives back a connection on which nothing was said: it is kept for no longer than before.
-    pub fn put_back(&self, host: u64, line: Connection<C>) {
-        self.lines.borrow_mut().entry(host).or_default().push(line);
+    /// Gives back a connection on which nothing was sent: it is kept for no longer than before.
+    pub fn put_back(&self, host: u64, connection: Connection<C>) {
+        self.idle.borrow_mut().entry(host).or_default().push(connection);
     }
 
+    /// Opens a connection. Where too many are open all idle ones are closed first.
+    ///
+    /// # Errors
+    ///
+    /// What the system says, a timeout, or [`PoolError`] as the inner error.
     pub async fn open(&self, address: SocketAddr) -> io::Result<Connection<C>> {
-        if self.used.get() >= self.most {
-            self.lines.borrow_mut().clear();
+        if self.open.get() >= self.max_open {
+            self.idle.borrow_mut().clear();
         }
-        if self.used.get() >= self.most {
-            return Err(io::Error::other("all sockets to hosts are in use"));
-        }
-        self.used.set(self.used.get() + 1);
-        let _place = Place(self.used.clone());
-        let stream = timeout(self.connect, TcpStream::connect(address)).await??;
+        let permit = Permit::acquire(&self.open, self.max_open).map_err(io::Error::other)?;
+        let stream = timeout(self.connect_timeout, TcpStream::connect(address)).await??;
         stream.set_nodelay(true)?;
-        let framed = Framed::new(stream, (self.codec)());
-        Ok(Connection { framed, to: address, since: Instant::now(), until: None, _place })
+        let framed = Framed::new(stream, (self.new_codec)());
+        Ok(Connection { framed, address, idle_since: Instant::now(), expires_at: None, _permit: permit })
+    }
+
+    fn is_usable(&self, connection: &Connection<C>) -> bool {
+        connection.idle_since.elapsed() < self.idle_timeout
+            && connection.expires_at.is_none_or(|expires_at| Instant::now() < expires_at)
     }
 }
+
+/// How long a connection is used of the time for which its host said that it keeps it.
+fn usable_idle_time(seconds: f64) -> Duration {
+    Duration::from_secs_f64(seconds.clamp(0.0, MAX_SECONDS) * USABLE_IDLE_FRACTION)
+}
--- /dev/null
+++ b/crates/http/tests/disconnect.rs
@@ -0,0 +1,103 @@
+//! Clients that disconnect while a request is processed, on loopback sockets: each way to disconnect is noticed, what was
+//! sent early is kept, and what is read ahead is bounded.
+
+use archlink_http::codec::{Decoded, ServerCodec};
+use archlink_http::disconnect::{Disconnect, wait_for_disconnect};
+use bytes::BytesMut;
+use futures_util::StreamExt;
+use std::cell::Cell;
+use std::rc::Rc;
+use tokio::io::AsyncWriteExt;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::task::yield_now;
+use tokio_util::codec::Framed;
+
+/// Bytes that are read ahead.
+const MAX_BUFFERED: usize = 4096;
+
+type Server = Framed<TcpStream, ServerCodec>;
+
+/// A client and the server's side of its connection, on which one request was read; the client has sent `early` since.
+async fn connected_pair(early: &[u8]) -> (TcpStream, Server) {
+    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let mut client = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
+    let (server, _) = listener.accept().await.unwrap();
+    let mut server = Framed::new(server, ServerCodec::new(&[], 1 << 20, Rc::new(Cell::new(1 << 20))));
+    client.write_all(b"GET /first HTTP/1.1\r\n\r\n").await.unwrap();
+    assert_eq!(next_target(&mut server).await.as_deref(), Some("/first"));
+    client.write_all(early).await.unwrap();
+    (client, server)
+}
+
+async fn next_target(server: &mut Server) -> Option<String> {
+    match server.next().await?.ok()? {
+        Decoded::Request(request) => Some(request.target),
+        Decoded::Bad(status) => Some(status.to_string()),
+    }
+}
+
+fn run(test: impl Future<Output = ()>) {
+    tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap().block_on(test);
+}
+
+/// Waits for a disconnect while the runtime is polled so many times; none while the client is connected.
+async fn disconnect_within(server: &mut Server, polls: usize) -> Option<Disconnect> {
+    tokio::select! {
+        biased;
+        disconnect = wait_for_disconnect(server, MAX_BUFFERED) => Some(disconnect),
+        _ = async { for _ in 0..polls { yield_now().await } } => None,
+    }
+}
+
+#[test]
+fn close_half_close_and_reset_are_noticed() {
+    run(async {
+        for early in [&b""[..], b"GET /second HTTP/1.1\r\n\r\n"] {
+            let (client, mut server) = connected_pair(early).await;
+            assert_eq!(disconnect_within(&mut server, 50).await, None);
+            drop(client);
+            assert_eq!(wait_for_disconnect(&mut server, MAX_BUFFERED).await, Disconnect::Closed);
+            let (mut client, mut server) = connected_pair(early).await;
+            client.shutdown().await.unwrap();
+            assert_eq!(wait_for_disconnect(&mut server, MAX_BUFFERED).await, Disconnect::Closed);
+            let (client, mut server) = connected_pair(early).await;
+            client.set_zero_linger().unwrap();
+            drop(client);
+            assert_eq!(wait_for_disconnect(&mut server, MAX_BUFFERED).await, Disconnect::Reset);
+        }
+    });
+}
+
+/// However often the wait is dropped and begun anew, requests that were sent early are decoded complete and in order.
+#[test]
+fn requests_sent_early_are_kept() {
+    run(async {
+        let (mut client, mut server) =
+            connected_pair(b"POST /second HTTP/1.1\r\nContent-Length: 4\r\n\r\nab").await;
+        for part in [&b"c"[..], b"d", b"GET /third HT", b"TP/1.1\r\n\r\n"] {
+            assert_eq!(disconnect_within(&mut server, 20).await, None);
+            client.write_all(part).await.unwrap();
+        }
+        assert_eq!(disconnect_within(&mut server, 20).await, None);
+        assert_eq!(next_target(&mut server).await.as_deref(), Some("/second"));
+        assert_eq!(disconnect_within(&mut server, 20).await, None);
+        assert_eq!(next_target(&mut server).await.as_deref(), Some("/third"));
+    });
+}
+
+/// A client that sends without end fills its own connection and no more; its disconnect is noticed behind what is unread.
+#[test]
+fn read_ahead_is_bounded() {
+    run(async {
+        let (mut client, mut server) = connected_pair(&[b'x'; 4 * MAX_BUFFERED]).await;
+        assert_eq!(disconnect_within(&mut server, 200).await, None);
+        let buffered = server.read_buffer().len();
+        assert!((MAX_BUFFERED..4 * MAX_BUFFERED).contains(&buffered), "{buffered} bytes read ahead");
+        client.shutdown().await.unwrap();
+        assert_eq!(wait_for_disconnect(&mut server, MAX_BUFFERED).await, Disconnect::Closed);
+        // What a later reader finds is all that was sent.
+        let mut rest = BytesMut::from(&server.read_buffer()[..]);
+        while server.get_ref().try_read_buf(&mut rest).is_ok_and(|read| read > 0) {}
+        assert_eq!(rest.len(), 4 * MAX_BUFFERED);
+    });
+}
