--- a/crates/http/src/codec/client.rs
+++ b/crates/http/src/codec/client.rs
@@ -42,15 +42,10 @@
         }
     }
 
-    fn next_response(
-        &mut self,
-        from: &mut BytesMut,
-        ended: bool,
-    ) -> Result<Option<HostResponse>, ProtocolError> {
+    fn next_response(&mut self, from: &mut BytesMut, ended: bool) -> io::Result<Option<HostResponse>> {
         while self.partial.is_none() {
-            let Some((response, body)) = self.read_head(from)? else { return Ok(None) };
-            if response.status >= MIN_FINAL_STATUS {
-                self.partial = Some((response, body));
+            if !self.read_head(from)? {
+                return Ok(None);
             }
         }
         let Some((response, body)) = &mut self.partial else { return Ok(None) };
@@ -60,29 +55,32 @@
         Ok(self.partial.take().map(|(response, _)| HostResponse { body, ..response }))
     }
 
-    /// Reads the head of a response, once it is complete.
-    fn read_head(&self, from: &mut BytesMut) -> Result<Option<(HostResponse, BodyLength)>, ProtocolError> {
+    /// Reads the head of a response into `partial`, unless it is an interim one; false while it is not complete.
+    fn read_head(&mut self, from: &mut BytesMut) -> Result<bool, ProtocolError> {
         let mut headers = [EMPTY_HEADER; MAX_HEADERS];
         let mut head = httparse::Response::new(&mut headers);
         let parsed = head_length(head.parse(from), from.len());
-        let Some(length) = parsed.map_err(|_| ProtocolError::ResponseHead)? else { return Ok(None) };
+        let Some(length) = parsed.map_err(|_| ProtocolError::ResponseHead)? else { return Ok(false) };
         let framing =
             framing_headers(head.headers, self.wanted_headers).ok_or(ProtocolError::ResponseFraming)?;
         let status = head.code.unwrap_or(0);
-        let is_http_1_0 = head.version == Some(0);
-        let body = self.body_length(status, &framing);
-        let closes = framing.close || (is_http_1_0 && !framing.keep) || matches!(body, BodyLength::ToEnd);
-        let response = HostResponse {
-            status,
-            fields: HeaderValue::find_all(head.headers, self.wanted_headers),
-            passed: framing.forwarded,
-            body: Bytes::new(),
-            keep: !closes,
-            idle: keep_alive_timeout(head.headers),
-            held: None,
-        };
+        if status >= MIN_FINAL_STATUS {
+            let is_http_1_0 = head.version == Some(0);
+            let body = self.body_length(status, &framing);
+            let closes = framing.close || (is_http_1_0 && !framing.keep) || matches!(body, BodyLength::ToEnd);
+            let response = HostResponse {
+                status,
+                fields: HeaderValue::find_all(head.headers, self.wanted_headers),
+                passed: framing.forwarded,
+                body: Bytes::new(),
+                keep: !closes,
+                idle: keep_alive_timeout(head.headers),
+                held: None,
+            };
+            self.partial = Some((response, body));
+        }
         from.advance(length);
-        Ok(Some((response, body)))
+        Ok(true)
     }
 
     fn body_length(&self, status: u16, framing: &FramingHeaders) -> BodyLength {
@@ -110,7 +108,7 @@
         if from.is_empty() && self.partial.is_none() {
             return Ok(None);
         }
-        Ok(self.next_response(from, false)?)
+        self.next_response(from, false)
     }
 
     fn decode_eof(&mut self, from: &mut BytesMut) -> io::Result<Option<HostResponse>> {
--- a/crates/http/src/codec/head.rs
+++ b/crates/http/src/codec/head.rs
@@ -28,6 +28,6 @@
 
 /// Whether a line ends with LF alone, which ends it for one reader and not for the next.
 pub(super) fn has_bare_line_feed(head: &[u8]) -> bool {
-    let mut line_feeds = head.iter().enumerate().filter(|&(_, &byte)| byte == b'\n');
-    line_feeds.any(|(at, _)| at == 0 || head[at - 1] != b'\r')
+    let is_bare = |at: usize| at == 0 || head[at - 1] != b'\r';
+    head.iter().enumerate().any(|(at, &byte)| byte == b'\n' && is_bare(at))
 }
--- a/crates/http/src/codec/server.rs
+++ b/crates/http/src/codec/server.rs
@@ -62,24 +62,22 @@
         self.out_of_memory
     }
 
-    fn next_request(&mut self, from: &mut BytesMut) -> Result<Option<Request>, Rejection> {
+    fn next_request(&mut self, from: &mut BytesMut) -> Result<Option<Box<Request>>, Rejection> {
         if self.partial.is_none() {
             while from.starts_with(b"\r\n") {
                 from.advance(2);
             }
-            if from.is_empty() {
+            if from.is_empty() || !self.read_head(from)? {
                 return Ok(None);
             }
-            self.partial = read_head(from, self.wanted_headers)?;
-            if let Some((request, _)) = &self.partial {
-                self.omit_body = request.method == "HEAD";
-            }
         }
         let Some((request, body)) = &mut self.partial else { return Ok(None) };
         let read = self.body_reader.read(body, &mut request.held, from, false);
         self.out_of_memory = matches!(read, Err(ProtocolError::OutOfMemory { .. }));
         match read {
-            Ok(Some(body)) => Ok(self.partial.take().map(|(request, _)| Request { body, ..request })),
+            Ok(Some(body)) => {
+                Ok(self.partial.take().map(|(request, _)| Box::new(Request { body, ..request })))
+            }
             Ok(None) => Ok(None),
             Err(ProtocolError::BodyTooLarge { .. } | ProtocolError::OutOfMemory { .. }) => {
                 Err(CONTENT_TOO_LARGE)
@@ -87,44 +85,43 @@
             Err(_) => Err(BAD_REQUEST),
         }
     }
-}
 
-/// Reads the head of a request, once it is complete.
-fn read_head(
-    from: &mut BytesMut,
-    wanted_headers: &[&str],
-) -> Result<Option<(Request, BodyLength)>, Rejection> {
-    let mut headers = [EMPTY_HEADER; MAX_HEADERS];
-    let mut head = httparse::Request::new(&mut headers);
-    let length = match head_length(head.parse(from), from.len()) {
-        Ok(Some(length)) => length,
-        Ok(None) => return Ok(None),
-        Err(HeadError::TooLarge) => return Err(HEADERS_TOO_LARGE),
-        Err(HeadError::Malformed) => return Err(BAD_REQUEST),
-    };
-    let target = head.path.unwrap_or("");
-    let is_http_1_0 = head.version == Some(0);
-    let Some(framing) = framing_headers(head.headers, wanted_headers) else { return Err(BAD_REQUEST) };
-    if !is_plain_target(target) || has_bare_line_feed(&from[..length]) {
-        return Err(BAD_REQUEST);
+    /// Reads the head of a request into `partial`; false while it is not complete.
+    fn read_head(&mut self, from: &mut BytesMut) -> Result<bool, Rejection> {
+        let mut headers = [EMPTY_HEADER; MAX_HEADERS];
+        let mut head = httparse::Request::new(&mut headers);
+        let length = match head_length(head.parse(from), from.len()) {
+            Ok(Some(length)) => length,
+            Ok(None) => return Ok(false),
+            Err(HeadError::TooLarge) => return Err(HEADERS_TOO_LARGE),
+            Err(HeadError::Malformed) => return Err(BAD_REQUEST),
+        };
+        let target = head.path.unwrap_or("");
+        let is_http_1_0 = head.version == Some(0);
+        let framing = framing_headers(head.headers, self.wanted_headers).ok_or(BAD_REQUEST)?;
+        if !is_plain_target(target) || has_bare_line_feed(&from[..length]) {
+            return Err(BAD_REQUEST);
+        }
+        let body = match framing.chunked {
+            true if is_http_1_0 => return Err(BAD_REQUEST),
+            true => BodyLength::chunked(),
+            false => BodyLength::Sized(framing.length.unwrap_or(0)),
+        };
+        let request = Request {
+            method: head.method.unwrap_or("").to_string(),
+            target: target.to_string(),
+            host: HeaderValue::find(head.headers, "host"),
+            fields: HeaderValue::find_all(head.headers, self.wanted_headers),
+            forwarded: framing.forwarded,
+            body: Bytes::new(),
+            close: framing.close || (is_http_1_0 && !framing.keep),
+            held: None,
+        };
+        from.advance(length);
+        self.omit_body = request.method == "HEAD";
+        self.partial = Some((request, body));
+        Ok(true)
     }
-    let body = match framing.chunked {
-        true if is_http_1_0 => return Err(BAD_REQUEST),
-        true => BodyLength::chunked(),
-        false => BodyLength::Sized(framing.length.unwrap_or(0)),
-    };
-    let request = Request {
-        method: head.method.unwrap_or("").to_string(),
-        target: target.to_string(),
-        host: HeaderValue::find(head.headers, "host"),
-        fields: HeaderValue::find_all(head.headers, wanted_headers),
-        forwarded: framing.forwarded,
-        body: Bytes::new(),
-        close: framing.close || (is_http_1_0 && !framing.keep),
-        held: None,
-    };
-    from.advance(length);
-    Ok(Some((request, body)))
 }
 
 /// A path in printable ASCII: other forms of a target are for proxies.
@@ -142,7 +139,7 @@
             return Ok(None);
         }
         match self.next_request(from) {
-            Ok(request) => Ok(request.map(|request| Decoded::Request(Box::new(request)))),
+            Ok(request) => Ok(request.map(Decoded::Request)),
             Err(Rejection(status)) => {
                 self.rejected = true;
                 Ok(Some(Decoded::Bad(status)))
