--- a/crates/control-node/src/node/gossip.rs
+++ b/crates/control-node/src/node/gossip.rs
@@ -1,5 +1,7 @@
-//! What a control gateway tells others of itself and of what it holds: heartbeats, and the pieces that somebody lacks by a
-//! vector of versions. Must never give out as standing what was chosen under an earlier founding.
+//! What a control node sends of itself and of its state: heartbeats with a version vector, and the updates
+//! that the receiver of a version vector lacks.
+//!
+//! Invariant: a value chosen in an earlier generation is never given out as current.
 
 use super::ControlNodeState;
 use crate::event_log::Event;
@@ -7,6 +9,7 @@
 use archlink_messages::{Heartbeat, Message, NodeId, Register, StateUpdate, VersionVector};
 
 impl ControlNodeState {
+    /// The first message on a new connection to another control node.
     pub fn peer_hello(&self) -> Message {
         Message::PeerHello {
             control_node: self.event_log.registry.own.clone(),
@@ -14,23 +17,21 @@
         }
     }
 
+    /// The versions of all state that this node has and may give out.
     pub fn versions(&self, now: f64) -> VersionVector {
-        let stamp = |register| self.current_value(register).map_or(0, |held| held.ordering_key());
+        let registry = &self.event_log.registry;
+        let ordering_key = |register| self.current_value(register).map_or(0, |value| value.ordering_key());
         VersionVector {
-            configuration: stamp(Register::Configuration),
-            evacuations: stamp(Register::Evacuations),
-            hosts: (self.event_log.host_list.term, self.event_log.host_list.version),
-            control_nodes: self.event_log.registry.control_node_fingerprint(now),
-            data_nodes: if self.knows_data_nodes(now) {
-                self.event_log.registry.data_node_fingerprint()
-            } else {
-                0
-            },
-            sessions: self.event_log.registry.session_versions(now),
+            configuration: ordering_key(Register::Configuration),
+            evacuations: ordering_key(Register::Evacuations),
+            hosts: self.event_log.host_list.revision(),
+            control_nodes: registry.control_node_fingerprint(now),
+            data_nodes: if self.knows_data_nodes(now) { registry.data_node_fingerprint() } else { 0 },
+            sessions: registry.session_versions(now),
         }
     }
 
-    /// A sign of life; `serial` is the hail that it answers.
+    /// A heartbeat; `serial` is that of the session heartbeat that it answers, 0 where it answers none.
     pub fn heartbeat(&self, now: f64, serial: u64) -> Message {
         Message::Heartbeat(Heartbeat {
             serial,
@@ -44,58 +45,65 @@
         })
     }
 
-    /// What somebody with that vector lacks of what is held here.
-    pub fn updates_for(&self, now: f64, theirs: &VersionVector, sessions: bool) -> Vec<StateUpdate> {
-        let mut pieces = Vec::new();
-        for (register, stamp) in
-            [(Register::Configuration, theirs.configuration), (Register::Evacuations, theirs.evacuations)]
-        {
-            pieces.extend(
-                self.current_value(register)
-                    .filter(|h| h.ordering_key() > stamp)
-                    .map(|h| StateUpdate::Chosen(register, h.clone())),
-            );
+    /// The updates that the receiver, whose version vector is given, lacks. Control nodes receive session
+    /// tables (`with_sessions`); data nodes receive the ids of the data nodes instead.
+    pub fn updates_for(&self, now: f64, versions: &VersionVector, with_sessions: bool) -> Vec<StateUpdate> {
+        let registry = &self.event_log.registry;
+        let mut updates = Vec::new();
+        updates.extend(self.value_later_than(Register::Configuration, versions.configuration));
+        updates.extend(self.value_later_than(Register::Evacuations, versions.evacuations));
+        if self.event_log.host_list.revision() > versions.hosts {
+            updates.push(StateUpdate::HostList(self.event_log.host_list.clone()));
         }
-        if (self.event_log.host_list.term, self.event_log.host_list.version) > theirs.hosts {
-            pieces.push(StateUpdate::HostList(self.event_log.host_list.clone()));
+        if registry.control_node_fingerprint(now) != versions.control_nodes {
+            updates.push(StateUpdate::ControlNodes(registry.advertised_control_nodes(now)));
         }
-        if self.event_log.registry.control_node_fingerprint(now) != theirs.control_nodes {
-            pieces.push(StateUpdate::ControlNodes(self.event_log.registry.advertised_control_nodes(now)));
+        if with_sessions {
+            updates.extend(self.session_updates(now, versions));
+        } else if self.knows_data_nodes(now) && registry.data_node_fingerprint() != versions.data_nodes {
+            updates.push(StateUpdate::DataNodes(registry.possibly_active()));
         }
-        // Data gateways hear who else there is, control gateways of sessions.
-        if !sessions
-            && self.knows_data_nodes(now)
-            && self.event_log.registry.data_node_fingerprint() != theirs.data_nodes
-        {
-            pieces.push(StateUpdate::DataNodes(self.event_log.registry.possibly_active()));
-        }
-        let own = self.event_log.registry.sessions();
-        if sessions && !theirs.sessions.contains(&(own.source, own.incarnation, own.version)) {
-            pieces.push(StateUpdate::Sessions(own));
-        }
-        if sessions {
-            pieces.extend(self.event_log.registry.relayed(now, &theirs.sessions).map(StateUpdate::Sessions));
+        updates
+    }
+
+    fn value_later_than(&self, register: Register, ordering_key: u64) -> Option<StateUpdate> {
+        let value = self.current_value(register).filter(|value| value.ordering_key() > ordering_key)?;
+        Some(StateUpdate::Chosen(register, value.clone()))
+    }
+
+    /// This node's own sessions, where the receiver has another version, and those of sources that the
+    /// receiver doesn't hear.
+    fn session_updates(&self, now: f64, versions: &VersionVector) -> Vec<StateUpdate> {
+        let registry = &self.event_log.registry;
+        let own = registry.sessions();
+        let mut updates = Vec::new();
+        if !versions.sessions.contains(&(own.source, own.incarnation, own.version)) {
+            updates.push(StateUpdate::Sessions(own));
         }
-        pieces
+        updates.extend(registry.relayed(now, &versions.sessions).map(StateUpdate::Sessions));
+        updates
     }
 
-    /// Does that vector, of `from`, name anything that is not held here?
-    pub(super) fn is_behind(&self, now: f64, from: NodeId, theirs: &VersionVector) -> bool {
-        let mine = self.versions(now);
-        let theirs_own = theirs.sessions.iter().find(|(node, _, _)| *node == from);
-        theirs.configuration > mine.configuration
-            || theirs.evacuations > mine.evacuations
-            || theirs.hosts > mine.hosts
-            || theirs.control_nodes != mine.control_nodes
-            || theirs_own.is_some_and(|own| !mine.sessions.contains(own))
-            || self.event_log.registry.is_behind(now, &theirs.sessions)
+    /// Whether the version vector of the peer `from` names state that this node lacks.
+    pub(super) fn is_behind(&self, now: f64, from: NodeId, peer_versions: &VersionVector) -> bool {
+        let own_versions = self.versions(now);
+        let peer_sessions = peer_versions.sessions.iter().find(|(source, _, _)| *source == from);
+        peer_versions.configuration > own_versions.configuration
+            || peer_versions.evacuations > own_versions.evacuations
+            || peer_versions.hosts > own_versions.hosts
+            || peer_versions.control_nodes != own_versions.control_nodes
+            || peer_sessions.is_some_and(|version| !own_versions.sessions.contains(version))
+            || self.event_log.registry.is_behind(now, &peer_versions.sessions)
     }
 
-    pub fn apply_updates(&mut self, now: f64, pieces: Vec<StateUpdate>) -> Vec<Effect> {
+    /// Takes the updates that a peer sent.
+    pub fn apply_updates(&mut self, now: f64, updates: Vec<StateUpdate>) -> Vec<Effect> {
         let mut effects = Vec::new();
-        for piece in pieces {
-            match piece {
-                StateUpdate::Chosen(register, held) => effects.extend(self.proposer.learn(register, &held)),
+        for update in updates {
+            match update {
+                StateUpdate::Chosen(register, value) => {
+                    effects.extend(self.proposer.learn(register, &value));
+                }
                 StateUpdate::HostList(hosts) => {
                     self.event_log.append(now, Event::HostListChanged(hosts));
                 }
@@ -107,7 +115,7 @@
                 StateUpdate::Sessions(sessions) => {
                     self.event_log.append(now, Event::PeerSessions(sessions));
                 }
-                // For data gateways alone.
+                // For data nodes only.
                 StateUpdate::ConfigurationPatch { .. }
                 | StateUpdate::HostListPatch { .. }
                 | StateUpdate::DataNodes(_) => {}
@@ -116,14 +124,15 @@
         effects
     }
 
-    pub(super) fn peers(&self) -> impl Iterator<Item = NodeId> {
-        self.event_log.registry.control_nodes().into_iter().map(|k| k.node).filter(|&node| node != self.id)
+    fn peers(&self) -> impl Iterator<Item = NodeId> {
+        let control_nodes = self.event_log.registry.control_nodes().into_iter();
+        control_nodes.map(|control_node| control_node.node).filter(|&node| node != self.id)
     }
 
-    /// Signs of life to all other control gateways at once, as something is new here.
+    /// Heartbeats to all other control nodes at once, since something changed here.
     pub fn broadcast_heartbeat(&mut self, now: f64) -> Vec<Effect> {
         self.last_heartbeat_at = now;
-        let beat = self.heartbeat(now, 0);
-        self.peers().map(|node| Effect::Send(node, beat.clone())).collect()
+        let heartbeat = self.heartbeat(now, 0);
+        self.peers().map(|node| Effect::Send(node, heartbeat.clone())).collect()
     }
 }
--- a/crates/control-node/src/node/status.rs
+++ b/crates/control-node/src/node/status.rs
@@ -1,64 +1,74 @@
-//! Who votes, as one control gateway sees it, for people to look at. Must never decide anything.
+//! The voter set as one control node sees it, for operators. Nothing is decided from it.
 
 use super::ControlNodeState;
 use archlink_consensus::membership::ChangeResult;
-use archlink_messages::{NodeId, ProposalNumber, Register, VoterSet};
+use archlink_messages::{ControlNode, NodeId, ProposalNumber, Register, VoterSet};
 
-/// One control gateway as another one sees it.
+/// One control node as another one sees it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberStatus {
+    /// The node.
     pub node: NodeId,
-    /// None of one that nobody has met.
+    /// Its zone; `None` where no control node has introduced it.
     pub zone: Option<String>,
-    /// It has a seat; it is to have one once the change that is under way ends.
+    /// Whether it is a voter.
     pub voter: bool,
+    /// Whether it becomes a voter when the membership change in progress completes.
     pub incoming: bool,
-    /// Seconds since a word of it came; none where none ever did.
+    /// Seconds since its last message; `None` where none came.
     pub last_heard_age: Option<f64>,
-    /// Does its disk hold all that it ever promised? None where it didn't say.
+    /// Whether its disk has everything that its acceptor ever promised; `None` where it has not reported.
     pub recovered: Option<bool>,
 }
 
-/// Who votes, as one control gateway sees it.
+/// The voter set as one control node sees it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct VoterSetStatus {
+    /// The voter set of the current epoch.
     pub voter_set: VoterSet,
-    /// False while a first start still takes others in: no order is taken.
+    /// False while the first start of a cluster still adds voters: no change is accepted before.
     pub established: bool,
-    /// All control gateways that have a seat, are to have one, or could.
+    /// All control nodes that are voters, become voters, or could.
     pub members: Vec<MemberStatus>,
-    /// What this gateway's own disk holds of each register: stamp and ballot. Of several survivors the one with the greatest
-    /// ballots is the newest.
+    /// Revision and proposal number of each value on this node's own disk. Of several survivors, the one with
+    /// the highest proposal numbers has the latest state.
     pub accepted: Vec<(Register, u64, ProposalNumber)>,
-    /// How the last change ended, and how many seconds ago.
+    /// Seconds since the last membership change ended, and its result.
     pub last_change: Option<(f64, ChangeResult)>,
 }
 
 impl ControlNodeState {
-    /// Who votes, for people to look at.
+    /// The voter set and its members, as this node sees them.
     pub fn voter_set_status(&self, now: f64) -> VoterSetStatus {
         let control_nodes = self.event_log.registry.control_nodes();
-        let mut nodes: Vec<NodeId> =
-            control_nodes.iter().map(|k| k.node).chain(self.voter_set.all_voters()).collect();
+        let registered = control_nodes.iter().map(|control_node| control_node.node);
+        let mut nodes: Vec<NodeId> = registered.chain(self.voter_set.all_voters()).collect();
         nodes.sort_unstable();
         nodes.dedup();
-        let member = |node: NodeId| MemberStatus {
+        VoterSetStatus {
+            voter_set: self.voter_set.clone(),
+            established: self.membership.is_established(),
+            members: nodes.into_iter().map(|node| self.member_status(now, node, &control_nodes)).collect(),
+            accepted: self.accepted_values(),
+            last_change: self.membership.last_change().map(|(at, result)| (now - at, result.clone())),
+        }
+    }
+
+    fn member_status(&self, now: f64, node: NodeId, control_nodes: &[ControlNode]) -> MemberStatus {
+        let control_node = control_nodes.iter().find(|control_node| control_node.node == node);
+        MemberStatus {
             node,
-            zone: control_nodes.iter().find(|k| k.node == node).map(|k| k.zone.clone()),
+            zone: control_node.map(|control_node| control_node.zone.clone()),
             voter: self.voter_set.voters.contains(&node),
             incoming: self.voter_set.incoming.contains(&node),
             last_heard_age: self.membership.failure_detector.silence(now, node),
             recovered: self.membership.failure_detector.is_recovered(node),
-        };
-        let slots = self.acceptor.registers().into_iter();
-        VoterSetStatus {
-            voter_set: self.voter_set.clone(),
-            established: self.membership.is_established(),
-            members: nodes.into_iter().map(member).collect(),
-            accepted: slots
-                .filter_map(|(r, slot)| slot.accepted.map(|held| (r, held.revision, held.proposal)))
-                .collect(),
-            last_change: self.membership.last_change().map(|(at, ended)| (now - at, ended.clone())),
         }
     }
+
+    fn accepted_values(&self) -> Vec<(Register, u64, ProposalNumber)> {
+        let registers = self.acceptor.registers().into_iter();
+        let accepted = registers.filter_map(|(register, state)| Some((register, state.accepted?)));
+        accepted.map(|(register, value)| (register, value.revision, value.proposal)).collect()
+    }
 }
--- a/crates/control-node/src/patch_cache.rs
+++ b/crates/control-node/src/patch_cache.rs
@@ -1,52 +1,55 @@
-//! The last texts of one kind that were in force, by stamp, and patches between them: what a data gateway is sent is the
-//! change on the text that it holds, packed once for all that hold the same. Must never make a patch on a text that it does
-//! not know whole.
+//! The last texts of one kind, by revision, and patches between them. A data node is sent the difference to
+//! the text that it has; the patch is compressed once for all data nodes with the same text.
+//!
+//! Invariant: a patch is only made against a text that is stored here completely.
 
 use archlink_messages::patch;
 use bytes::Bytes;
 use std::collections::{HashMap, VecDeque};
 use std::hash::Hash;
 
-/// Texts kept to make patches on: a data gateway is rarely further behind.
-const MOST: usize = 8;
+/// Texts that are kept as bases of patches: a data node is rarely further behind, and gets the complete text
+/// if it is.
+const MAX_TEXTS: usize = 8;
 
-pub struct PatchCache<S> {
-    /// The newest at the back.
-    texts: VecDeque<(S, Vec<u8>)>,
-    /// Patches to the newest, by the stamp of the text that they are made on.
-    patches: HashMap<S, Bytes>,
+/// Recent texts and patches to the newest of them, by revision `R`.
+pub struct PatchCache<R> {
+    /// Oldest first.
+    texts: VecDeque<(R, Vec<u8>)>,
+    /// Patches to the newest text, by the revision of their base; at most one for each text.
+    patches: HashMap<R, Bytes>,
 }
 
-impl<S> Default for PatchCache<S> {
-    fn default() -> PatchCache<S> {
+impl<R> Default for PatchCache<R> {
+    fn default() -> PatchCache<R> {
         PatchCache { texts: VecDeque::new(), patches: HashMap::new() }
     }
 }
 
-impl<S: Copy + Eq + Hash> PatchCache<S> {
-    /// A text came into force.
-    pub fn insert(&mut self, stamp: S, text: Vec<u8>) {
-        self.texts.push_back((stamp, text));
-        if self.texts.len() > MOST {
+impl<R: Copy + Eq + Hash> PatchCache<R> {
+    /// Adds the newest text.
+    pub fn insert(&mut self, revision: R, text: Vec<u8>) {
+        self.texts.push_back((revision, text));
+        if self.texts.len() > MAX_TEXTS {
             self.texts.pop_front();
         }
         self.patches.clear();
     }
 
-    /// The stamp of the newest.
-    pub fn newest(&self) -> Option<S> {
-        self.texts.back().map(|(stamp, _)| *stamp)
+    /// The revision of the newest text.
+    pub fn newest(&self) -> Option<R> {
+        self.texts.back().map(|(revision, _)| *revision)
     }
 
-    /// What brings a reader that holds the text of stamp `base` to the newest; none where that text is not known here.
-    pub fn patch(&mut self, base: S) -> Option<Bytes> {
-        if let Some(packed) = self.patches.get(&base) {
-            return Some(packed.clone());
+    /// The patch from the text of revision `base` to the newest; `None` where that text isn't stored here.
+    pub fn patch(&mut self, base: R) -> Option<Bytes> {
+        if let Some(patch) = self.patches.get(&base) {
+            return Some(patch.clone());
         }
-        let (_, new) = self.texts.back()?;
-        let (_, old) = self.texts.iter().find(|(known, _)| *known == base)?;
-        let packed = Bytes::from(patch::compress(new, old).ok()?);
-        self.patches.insert(base, packed.clone());
-        Some(packed)
+        let (_, newest_text) = self.texts.back()?;
+        let (_, base_text) = self.texts.iter().find(|(revision, _)| *revision == base)?;
+        let compressed = Bytes::from(patch::compress(newest_text, base_text).ok()?);
+        self.patches.insert(base, compressed.clone());
+        Some(compressed)
     }
 }
--- a/crates/control-node/src/update_delivery.rs
+++ b/crates/control-node/src/update_delivery.rs
@@ -1,54 +1,67 @@
-//! What a data gateway is told of what it lacks, in as few bytes as can be: the configuration and the list of hosts as
-//! patches on those that it holds. Owns the texts that patches are made on. Must never leave out what was lacking.
+//! State updates for data nodes: the configuration and the host list go out as patches against the revision
+//! that the data node has, where that is known here, and complete otherwise.
 
 use crate::node::ControlNodeState;
 use crate::patch_cache::PatchCache;
-use archlink_messages::{Register, StateUpdate, VersionVector};
+use archlink_messages::{AcceptedValue, HostList, Register, StateUpdate, VersionVector};
 
+/// Recent configurations and host lists, as bases of patches.
 #[derive(Default)]
 pub struct UpdateDelivery {
+    /// By ordering key ([`AcceptedValue::ordering_key`]).
     configurations: PatchCache<u64>,
-    lists: PatchCache<(u64, u64)>,
+    /// By revision ([`HostList::revision`]): term and version.
+    host_lists: PatchCache<(u64, u64)>,
 }
 
 impl UpdateDelivery {
-    /// A configuration came into force; the order of its value (`Held::order`) and its text, unpacked.
-    pub fn configuration_learned(&mut self, stamp: u64, text: Vec<u8>) {
-        self.configurations.insert(stamp, text);
+    /// Records the configuration that was just learned: the ordering key of its value and its decompressed
+    /// text.
+    pub fn configuration_learned(&mut self, ordering_key: u64, text: Vec<u8>) {
+        self.configurations.insert(ordering_key, text);
     }
 
-    /// What a data gateway with that vector lacks of what is held here.
+    /// The updates that a data node with that version vector lacks, each as small as can be. `now` is local
+    /// time in seconds.
     pub fn updates_for(
         &mut self,
         now: f64,
-        control: &ControlNodeState,
-        theirs: &VersionVector,
+        control_node: &ControlNodeState,
+        versions: &VersionVector,
     ) -> Vec<StateUpdate> {
-        let pieces = control.updates_for(now, theirs, false);
-        pieces.into_iter().map(|piece| self.narrowed(piece, theirs)).collect()
+        let updates = control_node.updates_for(now, versions, false);
+        updates.into_iter().map(|update| self.as_patch(update, versions)).collect()
     }
 
-    fn narrowed(&mut self, piece: StateUpdate, theirs: &VersionVector) -> StateUpdate {
-        match piece {
-            StateUpdate::Chosen(Register::Configuration, held) => {
-                let (stamp, base) = (held.ordering_key(), theirs.configuration);
-                let newest = self.configurations.newest() == Some(stamp);
-                match self.configurations.patch(base).filter(|_| newest) {
-                    Some(packed) => StateUpdate::ConfigurationPatch { stamp, base, packed },
-                    None => StateUpdate::ConfigurationPatch { stamp, base: 0, packed: held.value },
-                }
-            }
-            StateUpdate::HostList(hosts) => {
-                let (stamp, base) = (hosts.revision(), theirs.hosts);
-                if self.lists.newest() != Some(stamp) {
-                    self.lists.insert(stamp, hosts.to_bytes());
-                }
-                match self.lists.patch(base) {
-                    Some(packed) => StateUpdate::HostListPatch { stamp, base, packed },
-                    None => StateUpdate::HostList(hosts),
-                }
+    fn as_patch(&mut self, update: StateUpdate, versions: &VersionVector) -> StateUpdate {
+        match update {
+            StateUpdate::Chosen(Register::Configuration, value) => {
+                self.configuration_patch(value, versions.configuration)
             }
+            StateUpdate::HostList(hosts) => self.host_list_patch(hosts, versions.hosts),
             other => other,
         }
     }
+
+    /// `base: 0` marks a complete configuration. That goes out also where the newest text stored here is
+    /// another one than `value`, since patches lead to the newest text.
+    fn configuration_patch(&mut self, value: AcceptedValue, base: u64) -> StateUpdate {
+        let stamp = value.ordering_key();
+        let is_newest = self.configurations.newest() == Some(stamp);
+        match self.configurations.patch(base).filter(|_| is_newest) {
+            Some(packed) => StateUpdate::ConfigurationPatch { stamp, base, packed },
+            None => StateUpdate::ConfigurationPatch { stamp, base: 0, packed: value.value },
+        }
+    }
+
+    fn host_list_patch(&mut self, hosts: HostList, base: (u64, u64)) -> StateUpdate {
+        let stamp = hosts.revision();
+        if self.host_lists.newest() != Some(stamp) {
+            self.host_lists.insert(stamp, hosts.to_bytes());
+        }
+        match self.host_lists.patch(base) {
+            Some(packed) => StateUpdate::HostListPatch { stamp, base, packed },
+            None => StateUpdate::HostList(hosts),
+        }
+    }
 }
