--- a/crates/control-node/tests/quorum_reads.rs
+++ b/crates/control-node/tests/quorum_reads.rs
@@ -231,7 +231,7 @@
 /// Regression: a value was taken for chosen that two voters had accepted, one before it lost its disk and the
 /// other long after.
 #[test]
-fn replies_seconds_apart_form_no_quorum() {
+fn replies_outside_the_time_window_form_no_quorum() {
     for (seconds_apart, is_quorum) in [(1.0, true), (2.6, false), (9.0, false)] {
         let mut proposer = reader(1);
         let mut serial = read_serial(&mut proposer, 1.0);
--- a/crates/control-node/tests/simulated_network/configuration_versions.rs
+++ b/crates/control-node/tests/simulated_network/configuration_versions.rs
@@ -142,8 +142,8 @@
     }
 }
 
-/// Regression: two contents were acknowledged under one version, since the caller of the one that lost was
-/// given the other's digest as its own; and a retry was rejected. Any later caller at any node, and after any
+/// Regression: two contents were acknowledged under one version, where the caller of the one that lost should
+/// get the winner's digest; and a retried proposal was rejected. Any later caller at any node, and after any
 /// number of higher versions, gets the same answer.
 #[test]
 fn one_version_has_one_content_under_any_faults() {
