--- /dev/null
+++ b/crates/simulation/src/fleet/disk.rs
@@ -0,0 +1,116 @@
+//! Simulated disks with group commit, as in the program's storage: one sync makes all queued writes durable, in order, and the
+//! messages that depend on a write are sent after it.
+//!
+//! Invariant: of one write everything is durable or nothing.
+
+use super::Fleet;
+use super::event_queue::Event;
+use archlink_consensus::DurableRecord;
+use archlink_messages::{AcceptorState, LeaseGrant, Message, NodeId, Register, SingletonRole, VoterSet};
+use std::collections::{BTreeMap, VecDeque};
+
+/// Writes that a disk queues, as in the program; a further one is dropped with its messages.
+const QUEUE_CAPACITY: usize = 256;
+
+/// What is durable on a disk.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct Kept {
+    /// Acceptor state by register.
+    pub slots: BTreeMap<Register, AcceptorState>,
+    /// Lease grants by role.
+    pub grants: BTreeMap<SingletonRole, LeaseGrant>,
+    /// The newest voter set.
+    pub voter_set: VoterSet,
+}
+
+/// One write, and the messages that may be sent once it is durable.
+#[derive(Clone, Debug)]
+pub(crate) struct Write {
+    pub(crate) record: DurableRecord,
+    pub(crate) then_send: Vec<(NodeId, Message)>,
+}
+
+/// One machine's disk.
+#[derive(Clone, Debug, Default)]
+pub struct Disk {
+    /// What is durable.
+    pub kept: Kept,
+    /// Seconds that a sync takes.
+    pub sync: f64,
+    /// Nothing becomes durable before this moment of simulated time, in seconds.
+    pub hangs_until: f64,
+    /// Syncs so far of writes that changed something.
+    pub syncs: u64,
+    /// Bytes of acceptor state in them.
+    pub bytes: usize,
+    pub(crate) writing: Vec<Write>,
+    pub(crate) queued: VecDeque<Write>,
+}
+
+impl Disk {
+    /// Makes a record durable.
+    pub(crate) fn apply(&mut self, record: DurableRecord) {
+        if let Some(voter_set) = record.voter_set {
+            self.kept.voter_set = voter_set;
+        }
+        self.kept.slots.extend(record.acceptors);
+        self.kept.grants.extend(record.grants.into_iter().map(|grant| (grant.role, grant)));
+    }
+}
+
+impl Fleet {
+    /// From here on a sync on that disk takes so many seconds.
+    pub fn set_sync(&mut self, node: NodeId, seconds: f64) {
+        self.disks.entry(node).or_default().sync = seconds;
+    }
+
+    /// For so many seconds nothing written to that disk becomes durable.
+    pub fn hang(&mut self, node: NodeId, seconds: f64) {
+        self.trace(|_| format!("disk of {node} hangs for {seconds:.3}"));
+        let until = self.now + seconds;
+        self.disks.entry(node).or_default().hangs_until = until;
+    }
+
+    pub(super) fn store(&mut self, node: NodeId, record: DurableRecord, then_send: Vec<(NodeId, Message)>) {
+        let Some(disk) = self.disks.get_mut(&node) else { return };
+        if disk.queued.len() >= QUEUE_CAPACITY {
+            return;
+        }
+        disk.queued.push_back(Write { record, then_send });
+        if disk.writing.is_empty() {
+            self.begin_sync(node);
+        }
+    }
+
+    /// Begins one sync of all queued writes. Writes that change nothing cost no sync.
+    fn begin_sync(&mut self, node: NodeId) {
+        let Some(disk) = self.disks.get_mut(&node).filter(|disk| !disk.queued.is_empty()) else { return };
+        disk.writing.extend(std::mem::take(&mut disk.queued));
+        let changes_nothing = disk.writing.iter().all(|write| write.record == DurableRecord::default());
+        disk.syncs += u64::from(!changes_nothing);
+        let acceptors = disk.writing.iter().flat_map(|write| &write.record.acceptors);
+        let sizes = acceptors.map(|state| postcard::to_stdvec(state).map_or(0, |bytes| bytes.len()));
+        disk.bytes += sizes.sum::<usize>();
+        let at = if changes_nothing { self.now } else { (self.now + disk.sync).max(disk.hangs_until) };
+        let incarnation = self.incarnations[&node];
+        self.events.push(at, Event::Synced { node, incarnation });
+    }
+
+    /// The sync under way has ended.
+    pub(super) fn synced(&mut self, node: NodeId) {
+        let Some(disk) = self.disks.get_mut(&node) else { return };
+        let mut messages = Vec::new();
+        for write in std::mem::take(&mut disk.writing) {
+            disk.apply(write.record);
+            messages.extend(write.then_send);
+        }
+        self.begin_sync(node);
+        for (to, message) in messages {
+            if to == node {
+                self.step(node, |control, now| control.step(now, node, message));
+            } else {
+                self.send(node, to, message);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/simulation/src/fleet/network.rs
@@ -0,0 +1,124 @@
+//! How messages travel, and what goes wrong on the way.
+
+use super::Fleet;
+use super::event_queue::Event;
+use archlink_control_node::node::ControlNodeState;
+use archlink_messages::{Message, NodeId};
+
+/// Messages that a stalled link keeps, as a connection's buffers do; later ones are lost.
+const STALLED_LINK_CAPACITY: usize = 256;
+/// Seconds between two attempts to open a link, as in the program.
+const RECONNECT_INTERVAL: f64 = 0.25;
+
+/// How messages travel on every link.
+#[derive(Clone, Copy, Debug)]
+pub struct Net {
+    /// Seconds that a message takes at least.
+    pub least: f64,
+    /// Seconds by which a message may take longer, drawn evenly.
+    pub spread: f64,
+    /// Part of the messages that are lost, from 0 to 1.
+    pub lossy: f64,
+    /// Part of the messages that arrive twice, from 0 to 1.
+    pub duplicated: f64,
+    /// Part of the messages that are delayed, from 0 to 1.
+    pub delayed: f64,
+    /// Seconds by which a delayed message is late at most.
+    pub max_delay: f64,
+}
+
+impl Default for Net {
+    fn default() -> Net {
+        Net { least: 0.002, spread: 0.02, lossy: 0.0, duplicated: 0.0, delayed: 0.0, max_delay: 0.0 }
+    }
+}
+
+/// A link whose messages wait and then arrive all at once.
+pub(super) struct StalledLink {
+    until: f64,
+    waiting: usize,
+}
+
+impl Fleet {
+    /// Partitions one direction of a link until [`Fleet::heal`].
+    pub fn cut(&mut self, from: NodeId, to: NodeId) {
+        self.cut_for(from, to, f64::INFINITY);
+    }
+
+    /// Partitions one direction of a link for so many seconds.
+    pub fn cut_for(&mut self, from: NodeId, to: NodeId, seconds: f64) {
+        self.trace(|_| format!("partition {from} -> {to} for {seconds:.3}"));
+        let until = self.now + seconds;
+        let partitioned_until = self.partitioned_until.entry((from, to)).or_insert(until);
+        *partitioned_until = partitioned_until.max(until);
+    }
+
+    /// For so many seconds messages in that direction wait; then they arrive together, as after a stalled connection.
+    pub fn stall_link(&mut self, from: NodeId, to: NodeId, seconds: f64) {
+        self.trace(|_| format!("link {from} -> {to} stalls for {seconds:.3}"));
+        let until = self.now + seconds;
+        self.resume_times.push(until);
+        self.stalled_links.insert((from, to), StalledLink { until, waiting: 0 });
+    }
+
+    /// Ends all partitions, stalls, pauses and hanging disks, and message loss, duplication and delay.
+    pub fn heal(&mut self) {
+        self.trace(|_| "all faults end".into());
+        let resume_times = std::mem::take(&mut self.resume_times);
+        self.paused_until.clear();
+        self.stalled_links.clear();
+        self.partitioned_until.clear();
+        self.events.resume(self.now, &resume_times);
+        self.disks.values_mut().for_each(|disk| disk.hangs_until = 0.0);
+        self.net = Net { lossy: 0.0, duplicated: 0.0, delayed: 0.0, ..self.net };
+    }
+
+    fn is_partitioned(&self, from: NodeId, to: NodeId) -> bool {
+        self.partitioned_until.get(&(from, to)).is_some_and(|until| self.now < *until)
+    }
+
+    /// Opens a link: the hello is the first message on it. Over a partition the attempt is repeated.
+    pub(super) fn connect(&mut self, from: NodeId, to: NodeId) {
+        if self.is_partitioned(from, to) {
+            let incarnations = (self.incarnations[&from], self.incarnations[&to]);
+            let retry_at = self.now + RECONNECT_INTERVAL;
+            return self.events.push(retry_at, Event::Connect { from, to, incarnations });
+        }
+        if let Some(hello) = self.live.get(&from).map(ControlNodeState::peer_hello) {
+            self.transmit(from, to, hello);
+        }
+    }
+
+    pub(super) fn send(&mut self, from: NodeId, to: NodeId, message: Message) {
+        if self.is_partitioned(from, to) {
+            return;
+        }
+        let net = self.net;
+        if net.lossy > 0.0 && self.rng.rand_float() < net.lossy {
+            return;
+        }
+        let is_duplicated = net.duplicated > 0.0 && self.rng.rand_float() < net.duplicated;
+        if is_duplicated {
+            self.transmit(from, to, message.clone());
+        }
+        self.transmit(from, to, message);
+    }
+
+    /// Schedules the delivery of a message that the network accepted.
+    fn transmit(&mut self, from: NodeId, to: NodeId, message: Message) {
+        let net = self.net;
+        let mut at = self.now + net.least + net.spread * self.rng.rand_float();
+        if net.delayed > 0.0 && self.rng.rand_float() < net.delayed {
+            at += net.max_delay * self.rng.rand_float();
+        }
+        let now = self.now;
+        if let Some(link) = self.stalled_links.get_mut(&(from, to)).filter(|link| link.until > now) {
+            link.waiting += 1;
+            if link.waiting > STALLED_LINK_CAPACITY {
+                return;
+            }
+            at = at.max(link.until);
+        }
+        self.events.push(at, Event::Deliver { from, to, message });
+    }
+}
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,42 +1,25 @@
-//! Control gateways played against each other: the very cores of `harbour` on a made-up network, with made-up clocks and
-//! disks, and what must hold looked at in every step. Owns nothing that is deployed. Must never read a clock, touch a
-//! socket or sleep: the same seed plays the same story.
-#![forbid(unsafe_code)]
+//! Deterministic simulation of control nodes, after FoundationDB's and TigerBeetle's: the protocol code that is deployed
+//! runs on a simulated network with simulated clocks and disks, a [`Scenario`] drawn from a seed befalls it, and after every
+//! step the [`invariants`] are checked.
+//!
+//! Invariant: nothing here reads a clock, opens a socket or sleeps. The same seed runs the same schedule on every machine.
+//! Nothing of this package is deployed.
 
-pub mod checks;
-pub mod disk;
-pub mod network;
-mod orders;
+pub mod error;
+pub mod fleet;
+pub mod invariants;
 pub mod runner;
 pub mod scenario;
 pub mod shrink;
 
-pub use checks::Order;
-pub use network::Fleet;
-pub use orders::digest;
-pub use runner::play;
-pub use scenario::{Kind, Plan, Size};
-use std::fmt;
-
-/// Why nothing is played.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SoundingError {
-    /// A plan's file can't be read, or is no plan.
-    Plan,
-    /// The command line asks for something that is not there.
-    Asked,
-    /// Plays ended with a fault.
-    Fault,
-}
-
-impl fmt::Display for SoundingError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self {
-            SoundingError::Plan => "the plan can't be read",
-            SoundingError::Asked => "the command can't be followed",
-            SoundingError::Fault => "something did not hold",
-        })
-    }
+/// Earlier path of [`invariants`], which the tests of `control-node` still name.
+pub mod checks {
+    pub use crate::invariants::Invariants as Checks;
 }
 
-impl std::error::Error for SoundingError {}
+pub use error::SimulationError;
+pub use fleet::Fleet;
+pub use fleet::operators::digest;
+pub use invariants::{Operation, Violation};
+pub use runner::{RunReport, run_scenario};
+pub use scenario::{Scenario, Size, Workload};
--- a/crates/simulation/src/shrink.rs
+++ b/crates/simulation/src/shrink.rs
@@ -1,71 +1,107 @@
-//! Makes a plan that ends with a fault smaller: steps are left out, then lengths cut, as long as a fault remains. Must never
-//! give back a plan that ends well.
+//! Makes a scenario that violates an invariant smaller, by delta debugging (Zeller and Hildebrandt, 2002): parts of the steps
+//! are left out, then delays shortened, as long as a violation of the same kind remains.
 
-use crate::runner::{Played, play};
-use crate::scenario::Plan;
+use crate::runner::{RunReport, run_scenario};
+use crate::scenario::Scenario;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// Plays spent on one plan; a small one costs some milliseconds.
-const PLAYS: u32 = 3000;
+/// Runs spent on one scenario; a small one takes some milliseconds.
+const MAX_RUNS: u32 = 3000;
+/// Factors by which a delay is shortened, the best first.
+const DELAY_FACTORS: [f64; 3] = [0.0, 0.1, 0.5];
+/// Delays are rounded to milliseconds.
+const ROUNDING_PER_SECOND: f64 = 1e3;
+/// Letters of a violation's text by which its kind is told.
+const KIND_LENGTH: usize = 24;
 
-/// Plays a plan; a panic of a core is a fault as well.
-pub fn tried(plan: &Plan, story: bool) -> Played {
-    catch_unwind(AssertUnwindSafe(|| play(plan, story))).unwrap_or_else(|panic| {
-        let told = panic.downcast_ref::<String>().cloned();
-        let told = told.or(panic.downcast_ref::<&str>().map(|text| text.to_string()));
-        let fault = Some(format!("panic: {}", told.unwrap_or_default()));
-        Played { fault, seconds: 0.0, steps: 0, story: Vec::new() }
+/// Runs a scenario; a panic of a node's code is a violation as well.
+pub fn run_caught(scenario: &Scenario, trace: bool) -> RunReport {
+    catch_unwind(AssertUnwindSafe(|| run_scenario(scenario, trace))).unwrap_or_else(|panic| {
+        let message = panic.downcast_ref::<String>().cloned();
+        let message = message.or(panic.downcast_ref::<&str>().map(|text| text.to_string()));
+        let violation = Some(format!("panic: {}", message.unwrap_or_default()));
+        RunReport { violation, seconds: 0.0, steps: 0, trace: Vec::new() }
     })
 }
 
-/// The kind of a fault: its text without numbers, so that a plan is not shrunk into another fault.
-fn kind(fault: &str) -> String {
-    let text = fault.split_once(": ").map_or(fault, |(_, text)| text);
-    text.chars().filter(|c| c.is_alphabetic() || *c == ' ').take(24).collect()
+/// The kind of a violation: its text without moment and numbers. One kind is not shrunk into another.
+fn kind(violation: &str) -> String {
+    let text = violation.split_once(": ").map_or(violation, |(_, text)| text);
+    text.chars().filter(|c| c.is_alphabetic() || *c == ' ').take(KIND_LENGTH).collect()
 }
 
-/// The smallest plan found that ends with the same kind of fault.
-pub fn shrunk(plan: &Plan) -> Plan {
-    let Some(fault) = tried(plan, false).fault else { return plan.clone() };
-    let wanted = kind(&fault);
-    let mut left = PLAYS;
-    let mut fails = |plan: &Plan| {
-        left = left.saturating_sub(1);
-        left > 0 && tried(plan, false).fault.is_some_and(|fault| kind(&fault) == wanted)
-    };
-    let mut best = plan.clone();
+/// The smallest scenario found that ends with a violation of the same kind; the scenario itself where it has none.
+pub fn shrink(scenario: &Scenario) -> Scenario {
+    let Some(violation) = run_caught(scenario, false).violation else { return scenario.clone() };
+    let mut shrinker = Shrinker { best: scenario.clone(), kind: kind(&violation), runs_left: MAX_RUNS };
     loop {
-        let before = best.clone();
-        let mut part = best.steps.len().max(1);
-        while part > 0 {
-            let mut at = 0;
-            while at < best.steps.len() {
-                let mut next = best.clone();
-                next.steps.drain(at..(at + part).min(best.steps.len()));
-                if fails(&next) { best = next } else { at += part }
-            }
-            part /= 2;
+        let before = shrinker.best.clone();
+        shrinker.remove_steps();
+        shrinker.shorten_delays();
+        shrinker.simplify_machines();
+        if shrinker.best == before {
+            return before;
         }
-        for n in 0..best.steps.len() {
-            for shorter in [0.0, 0.1, 0.5] {
-                let mut next = best.clone();
-                next.steps[n].0 = (next.steps[n].0 * shorter * 1e3).round() / 1e3;
-                if next != best && fails(&next) {
-                    best = next;
-                    break;
+    }
+}
+
+struct Shrinker {
+    best: Scenario,
+    kind: String,
+    runs_left: u32,
+}
+
+impl Shrinker {
+    /// Takes a candidate that still ends with a violation of that kind.
+    fn try_candidate(&mut self, candidate: Scenario) -> bool {
+        if candidate == self.best {
+            return false;
+        }
+        self.runs_left = self.runs_left.saturating_sub(1);
+        let is_violating = self.runs_left > 0
+            && run_caught(&candidate, false).violation.is_some_and(|violation| kind(&violation) == self.kind);
+        if is_violating {
+            self.best = candidate;
+        }
+        is_violating
+    }
+
+    /// Leaves out all steps, then halves, quarters and so on down to single ones.
+    fn remove_steps(&mut self) {
+        let mut length = self.best.steps.len().max(1);
+        while length > 0 {
+            let mut start = 0;
+            while start < self.best.steps.len() {
+                let mut candidate = self.best.clone();
+                candidate.steps.drain(start..(start + length).min(self.best.steps.len()));
+                if !self.try_candidate(candidate) {
+                    start += length;
                 }
             }
+            length /= 2;
         }
-        for all in [1.0, 0.0] {
-            let mut next = best.clone();
-            let list = if all == 1.0 { &mut next.rates } else { &mut next.syncs };
-            list.fill(all);
-            if next != best && fails(&next) {
-                best = next;
+    }
+
+    fn shorten_delays(&mut self) {
+        for index in 0..self.best.steps.len() {
+            for factor in DELAY_FACTORS {
+                let mut candidate = self.best.clone();
+                let delay = &mut candidate.steps[index].0;
+                *delay = (*delay * factor * ROUNDING_PER_SECOND).round() / ROUNDING_PER_SECOND;
+                if self.try_candidate(candidate) {
+                    break;
+                }
             }
         }
-        if best == before {
-            return best;
-        }
+    }
+
+    /// Exact clocks, and syncs that take no time.
+    fn simplify_machines(&mut self) {
+        let mut candidate = self.best.clone();
+        candidate.clock_rates.fill(1.0);
+        self.try_candidate(candidate);
+        let mut candidate = self.best.clone();
+        candidate.sync_durations.fill(0.0);
+        self.try_candidate(candidate);
     }
 }
