--- /dev/null
+++ b/crates/demo/src/platform.rs
@@ -0,0 +1,69 @@
+//! The stand-in for the platform: it lists the hosts.
+
+use crate::http::HttpMessage;
+use crate::{DemoError, Host, lock};
+use serde_json::{Value, json};
+use std::io::{BufReader, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::sync::{Arc, Mutex, MutexGuard};
+use std::thread;
+
+/// The platform on a loopback address, and its hosts.
+pub struct Platform {
+    /// Where it listens.
+    pub address: SocketAddr,
+    hosts: Arc<Mutex<Vec<Host>>>,
+}
+
+impl Platform {
+    pub(crate) fn start() -> Result<Platform, DemoError> {
+        let listen_error = |source| DemoError::Listen { stand_in: "the platform".into(), source };
+        let listener = TcpListener::bind("127.0.0.1:0").map_err(listen_error)?;
+        let address = listener.local_addr().map_err(listen_error)?;
+        let hosts: Arc<Mutex<Vec<Host>>> = Arc::default();
+        let listed = hosts.clone();
+        thread::spawn(move || {
+            for stream in listener.incoming().flatten() {
+                let listed = listed.clone();
+                thread::spawn(move || serve(stream, &listed));
+            }
+        });
+        Ok(Platform { address, hosts })
+    }
+
+    /// Its hosts, in the order in which they were added.
+    pub fn hosts(&self) -> MutexGuard<'_, Vec<Host>> {
+        lock(&self.hosts)
+    }
+
+    /// Starts a host and lists it.
+    ///
+    /// # Errors
+    ///
+    /// [`DemoError::Listen`] where there is no port left on loopback.
+    pub fn add_host(&self, id: &str, service: &str, zone: &str) -> Result<(), DemoError> {
+        let host = Host::start(id, service, zone)?;
+        self.hosts().push(host);
+        Ok(())
+    }
+}
+
+/// Answers each request on a connection with the list of hosts.
+fn serve(stream: TcpStream, hosts: &Mutex<Vec<Host>>) -> Option<()> {
+    let mut to = stream.try_clone().ok()?;
+    let mut from = BufReader::new(stream);
+    while HttpMessage::read(&mut from).is_some() {
+        let body = host_list(&lock(hosts)).to_string();
+        write!(to, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).ok()?;
+    }
+    Some(())
+}
+
+fn host_list(hosts: &[Host]) -> Value {
+    let entry = |host: &Host| {
+        let state = if host.draining { "draining" } else { "available" };
+        json!({"InstanceId": host.id, "Service": host.service, "Address": host.address, "Zone": host.zone,
+            "ConfigVersion": "v1", "Capacity": 4, "OperatingState": state, "ColdLeft": "0ms"})
+    };
+    json!({"Instances": hosts.iter().map(entry).collect::<Vec<_>>(), "NextToken": null})
+}
