--- a/crates/simulation/src/runner/losses.rs
+++ b/crates/simulation/src/runner/losses.rs
@@ -2,7 +2,8 @@
 
 use super::schedule::{Action, AfterShutdown};
 use super::{POLL_INTERVAL, ScenarioRun};
-use crate::scenario::{Loss, Step};
+use crate::fleet::Fleet;
+use crate::scenario::Loss;
 use archlink_messages::NodeId;
 
 /// Seconds without faults after which a node has recovered from the loss of its disk.
@@ -97,11 +98,11 @@
                 self.disk_since.insert(node, self.fleet.now);
                 self.schedule(seconds, Action::Start(node));
             }
-            Loss::PowerOff => self.apply(&Step::PowerOff { node, downtime: seconds }),
-            Loss::Crash => self.apply(&Step::Crash { node, downtime: seconds }),
-            Loss::Pause => self.apply(&Step::Pause { node, seconds }),
-            Loss::Isolation => self.apply(&Step::Isolate { node, seconds }),
-            Loss::DiskHang => self.apply(&Step::HangDisk { node, seconds }),
+            Loss::PowerOff => self.stop(node, seconds, Fleet::power_off),
+            Loss::Crash => self.stop(node, seconds, Fleet::kill),
+            Loss::Pause => self.pause(node, seconds),
+            Loss::Isolation => self.isolate(node, seconds),
+            Loss::DiskHang => self.hang_disk(node, seconds),
         }
     }
 
