--- a/crates/simulation/src/invariants/mod.rs
+++ b/crates/simulation/src/invariants/mod.rs
@@ -9,6 +9,8 @@
 
 mod history;
 mod operations;
+#[cfg(test)]
+mod tests;
 mod violation;
 
 pub use history::{ChosenValue, RegisterHistory};
