--- a/crates/demo/src/configuration.rs
+++ b/crates/demo/src/configuration.rs
@@ -3,7 +3,7 @@
 use serde_json::json;
 
 /// A configuration with an idempotent route `/read/` and one that is not, `/submit/`, both to the service `reports`; the tenant
-/// `lab` may send `rate` requests a second and as many at once, the tenant `free` has no limit.
+/// `lab` may send `rate` requests a second and as many at once, the tenant `free` has rate 0, which is no limit.
 pub fn configuration(version: u64, rate: u32) -> String {
     json!({
         "ConfigVersion": format!("{version:08x}"),
--- a/crates/simulation/src/fleet/mod.rs
+++ b/crates/simulation/src/fleet/mod.rs
@@ -21,7 +21,7 @@
 
 /// Seconds of `CatchUp` with which no voter is replaced unasked: that would take 300 s of silence, longer than any run.
 pub(crate) const CATCH_UP_DISABLED: f64 = 1000.0;
-/// Simulated time at which a fleet begins, in seconds; not 0, so that moments before it can be named.
+/// Simulated time at which a fleet begins, in seconds. Part of what a seed stands for.
 const START_TIME: f64 = 10.0;
 
 /// A machine's monotonic clock, which shows `offset + rate * now` seconds.
--- a/crates/simulation/src/fleet/network.rs
+++ b/crates/simulation/src/fleet/network.rs
@@ -5,7 +5,7 @@
 use archlink_control_node::node::ControlNodeState;
 use archlink_messages::{Message, NodeId};
 
-/// Messages that a stalled link keeps, as a connection's buffers do; later ones are lost.
+/// Messages that a stalled link keeps; later ones are lost.
 const STALLED_LINK_CAPACITY: usize = 256;
 /// Seconds between two attempts to open a link, as in the program.
 const RECONNECT_INTERVAL: f64 = 0.25;
--- a/crates/simulation/src/runner/mod.rs
+++ b/crates/simulation/src/runner/mod.rs
@@ -15,7 +15,7 @@
 use schedule::{Action, AfterShutdown, Schedule};
 use std::collections::BTreeMap;
 
-/// Seconds after the start before the first step, so that the first voter set is committed in most runs.
+/// Seconds between the start of all nodes and the first step's delay.
 const WARM_UP: f64 = 1.0;
 /// Seconds that a graceful shutdown takes at least, as in the program.
 const MIN_SHUTDOWN_DURATION: f64 = 0.5;
@@ -23,7 +23,7 @@
 const MAX_SHUTDOWN_DURATION: f64 = 5.1;
 /// Seconds between two looks whether something that is waited for has happened.
 const POLL_INTERVAL: f64 = 0.05;
-/// Seconds that the caller of an operation waits, as in the program.
+/// Seconds that the caller of an operation waits where a step says nothing else; without faults it is acknowledged within them.
 const OPERATION_TIMEOUT: f64 = 2.0;
 
 /// How a scenario ended.
--- a/crates/simulation/src/runner/recovery.rs
+++ b/crates/simulation/src/runner/recovery.rs
@@ -18,7 +18,7 @@
 const PROPAGATION_DURATION: f64 = 1.0;
 /// Seconds between two checks meanwhile.
 const RECHECK_INTERVAL: f64 = 0.5;
-/// Seconds back to which a quorum must have confirmed a node's state; confirmation is asked for about once a second.
+/// Seconds by which the last confirmation of a node's state by a quorum may lie back.
 const MAX_CONFIRMATION_AGE: f64 = 1.5;
 
 /// The last operation on a zone.
--- a/crates/simulation/src/scenario/draw.rs
+++ b/crates/simulation/src/scenario/draw.rs
@@ -15,7 +15,7 @@
 const MAX_CLOCK_DRIFT: f64 = 0.02;
 /// Seconds of the slowest sync where disks are slow.
 const MAX_SYNC_DURATION: f64 = 0.02;
-/// Seconds that a caller waits if it is patient, as in the program.
+/// Seconds that most callers wait.
 const CALLER_TIMEOUT: f64 = 2.0;
 /// Durations are rounded to milliseconds: that is enough, and people read them.
 const ROUNDING_PER_SECOND: f64 = 1e3;
