--- a/crates/data-plane/src/main.rs
+++ b/crates/data-plane/src/main.rs
@@ -13,11 +13,11 @@
 fn validate_settings() {
     match read_settings() {
         Ok(settings) => {
-            log::info!(seeds = settings.seeds.len(); "settings file validated: used from the next start on");
+            log::info!(seeds = settings.seeds.len(); "settings file valid; in use from the next start");
         }
         Err(e) => {
             let error = archlink_runtime::report_line(&e);
-            log::error!(error = error.as_str(); "settings file rejected: the settings in use stay");
+            log::error!(error = error.as_str(); "settings file rejected");
         }
     }
 }
--- a/crates/data-plane/src/server.rs
+++ b/crates/data-plane/src/server.rs
@@ -73,7 +73,7 @@
     spawn_drivers(&server, readiness_listener, metrics_port);
     let listening = spawn_local(listener::listen(server.clone(), client_listener));
     spawn_local(housekeeping(server.data_plane.clone()));
-    log::info!(node = server.data_plane.settings.name.as_str(); "data plane started");
+    log::info!(name = server.data_plane.settings.name.as_str(); "data node started");
     until.await;
     drain(&server, &stage, async { drop(listening.await) }).await;
     Ok(())
