--- a/crates/gateway/src/admit.rs
+++ b/crates/gateway/src/admit.rs
@@ -1,35 +1,37 @@
-//! Second stage: an inquiry gets its number, its place among the open ones and goes to the module. Owns that place
-//! while the client's connection holds the `Admitted`; if the connection goes first, the module hears that the
-//! client left. Must never answer an inquiry itself, nor drop one that the module still holds.
+//! Enters a client's request into the table of open requests and hands it to the admission module.
 
-use crate::http::{Answer, Call};
-use crate::route::Hall;
+use crate::dispatcher::Dispatcher;
+use crate::http::{Answer, ClientRequest};
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-pub struct Admitted {
-    hall: Rc<Hall>,
-    id: u32,
+/// An open request, held by its client's connection. Dropping it before the answer reports to the module that the client
+/// has disconnected.
+pub struct OpenRequestGuard {
+    dispatcher: Rc<Dispatcher>,
+    request: u32,
+    /// Resolves to the final answer.
     pub answer: oneshot::Receiver<Answer>,
 }
 
-/// None where an inquiry of the same id is open: it belongs to another client.
-pub fn admit(hall: &Rc<Hall>, call: Call) -> Option<Admitted> {
+/// `None` where another client's request with the same identifier is open, or was until just now.
+pub fn admit(dispatcher: &Rc<Dispatcher>, message: ClientRequest) -> Option<OpenRequestGuard> {
     let (sender, answer) = oneshot::channel();
-    let mut inquiry = call.inquiry.clone();
-    inquiry.id = hall.call(|_, now, hands| hands.seat(call, now + inquiry.remaining, sender))?;
-    // Its place is held from here on, so that it is given back whatever happens in between.
-    let admitted = Admitted { hall: hall.clone(), id: inquiry.id, answer };
-    hall.call(|module, now, hands| module.request_arrived(now, hands, inquiry));
-    Some(admitted)
+    let mut request = message.request.clone();
+    request.id =
+        dispatcher.call(|_, now, driver| driver.requests.insert(message, now + request.remaining, sender))?;
+    // The guard exists before the module is called, so that the entry is removed whatever happens in between.
+    let guard = OpenRequestGuard { dispatcher: dispatcher.clone(), request: request.id, answer };
+    dispatcher.call(|admission, now, driver| admission.request_arrived(now, driver, request));
+    Some(guard)
 }
 
-impl Drop for Admitted {
+impl Drop for OpenRequestGuard {
     fn drop(&mut self) {
-        let id = self.id;
-        self.hall.call(|module, now, hands| {
-            if hands.vacate(id).is_some() {
-                module.client_disconnected(now, hands, id);
+        let request = self.request;
+        self.dispatcher.call(|admission, now, driver| {
+            if driver.requests.remove(request).is_some() {
+                admission.client_disconnected(now, driver, request);
             }
         });
     }
--- /dev/null
+++ b/crates/gateway/src/http/tests.rs
@@ -0,0 +1,86 @@
+//! Generated tests of both codecs: messages that arrive in pieces, and damaged bytes.
+
+use super::{ClientCodec, HostCodec};
+use archlink_admission_settings::ParsedSettings;
+use bytes::BytesMut;
+use quickcheck::{Gen, QuickCheck};
+use std::io;
+use std::rc::Rc;
+use tokio_util::codec::Decoder;
+
+fn settings() -> Rc<ParsedSettings> {
+    let lines = "classes.count=2\nclasses.0.name=look\nclasses.0.effect=pure\nclasses.0.on-time-us=1\n\
+        classes.0.deadline-us=1\nclasses.1.name=file\nclasses.1.effect=token\nclasses.1.on-time-us=1\n\
+        classes.1.deadline-us=1\ncontracts.count=1\ncontracts.0.name=team\npeers-total=1\n\
+        limits.max-attempts=1\nobligations.drain-grace-us=0\nobligations.cold-from=1\n\
+        obligations.warm-up-us=0\nobligations.tip-multiple=1\nobligations.overload-for-us=0\n";
+    Rc::new(archlink_admission_settings::from_lines(lines).unwrap())
+}
+
+const REQUESTS: &[u8] = b"GET /look?customer=7 HTTP/1.1\r\nReq-Id: 1\r\nX-Tariff: team\r\nReq-Deadline: 1\r\n\r\n\
+    POST /file?customer=8 HTTP/1.1\r\nReq-Id: 2\r\nX-Tariff: team\r\nReq-Deadline: 1\r\nIdempotency-Key: k\r\n\
+    Transfer-Encoding: chunked\r\n\r\n3;a=b\r\nabc\r\n1\r\nd\r\n0\r\nT: x\r\n\r\n\r\nGET /up HTTP/1.1\r\n\r\n\
+    POST /look HTTP/1.1\r\nContent-Length: 5\r\n\r\nabcde";
+const REPLIES: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 3\r\nSrv-Load: util=0.5,x=1\r\nSrv-Units: 3\r\n\r\n\
+    abcHTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\n\
+    Transfer-Encoding: chunked\r\n\r\n2\r\nde\r\n0\r\n\r\n";
+
+/// All that is decoded when the bytes arrive in pieces of these lengths, until the messages end or break.
+fn decoded<D: Decoder<Error = io::Error>>(mut codec: D, bytes: &[u8], lengths: &[u8]) -> Vec<String>
+where
+    D::Item: std::fmt::Debug,
+{
+    let (mut buffer, mut items, mut rest, mut lengths) = (BytesMut::new(), Vec::new(), bytes, lengths.iter());
+    loop {
+        let length = lengths.next().map_or(rest.len(), |length| rest.len().min(usize::from(*length)));
+        buffer.extend_from_slice(&rest[..length]);
+        rest = &rest[length..];
+        loop {
+            match codec.decode(&mut buffer) {
+                Ok(Some(item)) => items.push(format!("{item:?}")),
+                Ok(None) => break,
+                Err(_) => return items,
+            }
+        }
+        if rest.is_empty() {
+            return items;
+        }
+    }
+}
+
+fn check(seed: u64, property: fn(Vec<u8>, Vec<(u16, u8)>) -> bool) {
+    QuickCheck::new().rng(Gen::from_size_and_seed(120, seed)).tests(2000).quickcheck(property);
+}
+
+#[test]
+fn messages_decode_the_same_in_whatever_pieces_they_arrive() {
+    fn property(lengths: Vec<u8>, _: Vec<(u16, u8)>) -> bool {
+        let requests = decoded(ClientCodec::new(settings()), REQUESTS, &lengths);
+        let replies = decoded(HostCodec::default(), REPLIES, &lengths);
+        requests == decoded(ClientCodec::new(settings()), REQUESTS, &[])
+            && replies == decoded(HostCodec::default(), REPLIES, &[])
+            && (requests.len(), replies.len()) == (4, 3)
+    }
+    check(1, property);
+}
+
+/// Damaged bytes give fewer or other messages, never a panic; and they decode the same in pieces.
+#[test]
+fn damaged_messages_never_panic_and_decode_the_same_in_pieces() {
+    fn property(lengths: Vec<u8>, damage: Vec<(u16, u8)>) -> bool {
+        let damaged = |bytes: &[u8]| {
+            let mut bytes = bytes.to_vec();
+            for (at, byte) in &damage {
+                let at = usize::from(*at) % bytes.len();
+                bytes[at] = *byte;
+            }
+            bytes
+        };
+        let (requests, replies) = (damaged(REQUESTS), damaged(REPLIES));
+        decoded(ClientCodec::new(settings()), &requests, &lengths)
+            == decoded(ClientCodec::new(settings()), &requests, &[])
+            && decoded(HostCodec::default(), &replies, &lengths)
+                == decoded(HostCodec::default(), &replies, &[])
+    }
+    check(2, property);
+}
--- a/crates/gateway/src/logger.rs
+++ b/crates/gateway/src/logger.rs
@@ -1,87 +1,130 @@
-//! The project's own logger behind the crate `log`: lines to standard error, written by a thread of their own.
-//! Owns the rate and the queue of lines. Must never block the thread that logs: lines beyond the rate, or that find
-//! the queue full, are dropped and counted.
+//! The logger behind the crate `log`: lines to standard error, written by a thread of their own.
+//!
+//! The system's programs write through `env_logger`, which writes on the thread that logs. This program serves all its
+//! clients on one thread, and a full pipe or a slow disk behind standard error would stop all of them. So its lines never
+//! block: they go through a bounded queue, at a bounded rate; those beyond either are dropped and counted.
 
-use log::{LevelFilter, Log, Metadata, Record};
+use log::{LevelFilter, Log, Metadata, Record, SetLoggerError};
 use std::io::Write;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::mpsc::{Receiver, SyncSender, sync_channel};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
+use std::{fmt, io};
 
-/// Lines a second and lines waiting; far more than a healthy gateway writes, little enough for any disk.
-const RATE: f64 = 50.0;
-const QUEUE: usize = 256;
+/// Lines a second, and lines at once: far more than a healthy gateway writes, little enough for any disk.
+const MAX_LINES_PER_SECOND: f64 = 50.0;
+/// Lines that wait to be written at most.
+const QUEUE_CAPACITY: usize = 256;
+/// A flush looks so often, at this interval, whether all lines are written: 100 ms at most.
+const FLUSH_POLLS: usize = 50;
+const FLUSH_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-struct Spending {
-    credit: f64,
-    at: Instant,
+/// Why the logger does not start.
+#[derive(Debug)]
+pub enum LoggerError {
+    /// Its thread could not be started.
+    Thread(io::Error),
+    /// Another logger is installed.
+    Installed(SetLoggerError),
+}
+
+impl fmt::Display for LoggerError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            LoggerError::Thread(error) => error.fmt(f),
+            LoggerError::Installed(error) => error.fmt(f),
+        }
+    }
+}
+
+impl std::error::Error for LoggerError {}
+
+/// Token bucket of the rate limit.
+struct RateLimit {
+    tokens: f64,
+    refilled: Instant,
     dropped: u64,
 }
 
-struct Lines {
+impl RateLimit {
+    fn refill(&mut self, now: Instant) {
+        let added = now.duration_since(self.refilled).as_secs_f64() * MAX_LINES_PER_SECOND;
+        (self.tokens, self.refilled) = ((self.tokens + added).min(MAX_LINES_PER_SECOND), now);
+    }
+}
+
+struct QueuedLogger {
     name: String,
     started: Instant,
     queue: SyncSender<String>,
-    waiting: Arc<AtomicUsize>,
-    spending: Mutex<Spending>,
+    /// Lines in the queue or being written.
+    unwritten: Arc<AtomicUsize>,
+    rate_limit: Mutex<RateLimit>,
 }
 
-impl Log for Lines {
+impl QueuedLogger {
+    /// `seconds name LEVEL: text`
+    fn format(&self, now: Instant, record: &Record, dropped: u64) -> String {
+        let at = now.duration_since(self.started).as_secs_f64();
+        let dropped = match dropped {
+            0 => String::new(),
+            count => format!(" ({count} lines dropped before)"),
+        };
+        format!("{at:.3} {} {}: {}{dropped}\n", self.name, record.level(), record.args())
+    }
+}
+
+impl Log for QueuedLogger {
     fn enabled(&self, _: &Metadata) -> bool {
         true
     }
 
     fn log(&self, record: &Record) {
-        let Ok(mut spending) = self.spending.try_lock() else { return };
+        let Ok(mut rate_limit) = self.rate_limit.try_lock() else { return };
         let now = Instant::now();
-        let grown = spending.credit + now.duration_since(spending.at).as_secs_f64() * RATE;
-        (spending.credit, spending.at) = (grown.min(RATE), now);
-        if spending.credit < 1.0 {
-            spending.dropped += 1;
+        rate_limit.refill(now);
+        if rate_limit.tokens < 1.0 {
+            rate_limit.dropped += 1;
             return;
         }
-        let at = now.duration_since(self.started).as_secs_f64();
-        let dropped = match spending.dropped {
-            0 => String::new(),
-            count => format!(" ({count} lines dropped before)"),
-        };
-        let line = format!("{at:.3} {} {}: {}{dropped}\n", self.name, record.level(), record.args());
-        self.waiting.fetch_add(1, Ordering::SeqCst);
+        let line = self.format(now, record, rate_limit.dropped);
+        self.unwritten.fetch_add(1, Ordering::SeqCst);
         if self.queue.try_send(line).is_ok() {
-            (spending.credit, spending.dropped) = (spending.credit - 1.0, 0);
+            (rate_limit.tokens, rate_limit.dropped) = (rate_limit.tokens - 1.0, 0);
         } else {
-            self.waiting.fetch_sub(1, Ordering::SeqCst);
-            spending.dropped += 1;
+            self.unwritten.fetch_sub(1, Ordering::SeqCst);
+            rate_limit.dropped += 1;
         }
     }
 
-    /// At the end only: waits a moment for the lines on their way.
+    /// Waits a moment for the lines in the queue. Blocks: only for the end of the program.
     fn flush(&self) {
-        for _ in 0..50 {
-            if self.waiting.load(Ordering::SeqCst) == 0 {
+        for _ in 0..FLUSH_POLLS {
+            if self.unwritten.load(Ordering::SeqCst) == 0 {
                 return;
             }
-            std::thread::sleep(Duration::from_millis(2));
+            std::thread::sleep(FLUSH_POLL_INTERVAL);
         }
     }
 }
 
-pub fn start(name: &str, level: LevelFilter) -> Result<(), String> {
-    let (queue, lines): (_, Receiver<String>) = sync_channel(QUEUE);
-    let waiting = Arc::new(AtomicUsize::new(0));
-    let left = waiting.clone();
-    let write = move || {
+/// Installs the logger and has panics logged; `name` stands in each line.
+pub fn start(name: &str, level: LevelFilter) -> Result<(), LoggerError> {
+    let (queue, lines): (_, Receiver<String>) = sync_channel(QUEUE_CAPACITY);
+    let unwritten = Arc::new(AtomicUsize::new(0));
+    let still_unwritten = unwritten.clone();
+    let write_lines = move || {
         for line in lines {
-            std::io::stderr().write_all(line.as_bytes()).ok();
-            left.fetch_sub(1, Ordering::SeqCst);
+            io::stderr().write_all(line.as_bytes()).ok();
+            still_unwritten.fetch_sub(1, Ordering::SeqCst);
         }
     };
-    std::thread::Builder::new().name("log".into()).spawn(write).map_err(|e| format!("log: {e}"))?;
+    std::thread::Builder::new().name("log".into()).spawn(write_lines).map_err(LoggerError::Thread)?;
     let started = Instant::now();
-    let spending = Mutex::new(Spending { credit: RATE, at: started, dropped: 0 });
-    let lines = Lines { name: name.to_string(), started, queue, waiting, spending };
-    log::set_boxed_logger(Box::new(lines)).map_err(|e| format!("log: {e}"))?;
+    let rate_limit = Mutex::new(RateLimit { tokens: MAX_LINES_PER_SECOND, refilled: started, dropped: 0 });
+    let logger = QueuedLogger { name: name.to_string(), started, queue, unwritten, rate_limit };
+    log::set_boxed_logger(Box::new(logger)).map_err(LoggerError::Installed)?;
     log::set_max_level(level);
     std::panic::set_hook(Box::new(|panic| log::error!("{panic}")));
     Ok(())
--- /dev/null
+++ b/crates/gateway/src/startup.rs
@@ -0,0 +1,256 @@
+//! Starts the gateway's parts on one thread, in their order, and shuts them down.
+
+use crate::clock::Clock;
+use crate::configuration::{self, ReloadedConfiguration, StartupConfiguration};
+use crate::counter::{CallQueue, CounterClient};
+use crate::discovery::DiscoveryClient;
+use crate::dispatcher::Dispatcher;
+use crate::driver::Outputs;
+use crate::error::StartupError;
+use crate::http::HostCodec;
+use crate::listener::{ClientListener, ServingState, accept_clients};
+use crate::peers::Peers;
+use crate::supervisor::restart_on_panic;
+use crate::timer::Timer;
+use crate::upstream::HostConnections;
+use archlink_admission::interface::AdmissionSettings;
+use archlink_admission_settings::ParsedSettings;
+use std::cell::Cell;
+use std::io;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::TcpListener;
+use tokio::signal::unix::{Signal, SignalKind, signal};
+use tokio::sync::{Notify, watch};
+use tokio::task::{JoinHandle, spawn_local};
+use tokio::time::{Instant, sleep};
+
+/// After SIGTERM clients' front ends go on sending for a while: connections are accepted for so long.
+const ACCEPT_AFTER_SIGTERM: Duration = Duration::from_millis(800);
+/// Seconds for which a shutdown waits beyond the longest time that a client waits.
+const SHUTDOWN_MARGIN: f64 = 1.0;
+/// Bounds of that time, in seconds.
+const MIN_CLIENT_TIMEOUT: f64 = 3.0;
+const MAX_CLIENT_TIMEOUT: f64 = 600.0;
+/// How often a shutdown looks whether all connections have closed.
+const SHUTDOWN_POLL: Duration = Duration::from_millis(5);
+
+/// Shares of the descriptors for clients and for hosts; the rest is for the counter, discovery and the system.
+const CLIENT_SHARE: f64 = 0.45;
+const HOST_SHARE: f64 = 0.35;
+/// Share of the memory for the buffers of these connections.
+const BUFFER_SHARE: f64 = 0.6;
+/// Bytes that a connection's buffers take at most: a body and a head in both directions.
+const CONNECTION_BYTES: f64 = 170.0 * 1024.0;
+/// Share of the memory for replies larger than the protocol's limit, all together.
+const LARGE_REPLY_SHARE: f64 = 0.2;
+/// Least number of connections to clients, and to hosts.
+const MIN_CONNECTIONS: f64 = 4.0;
+/// Bytes in a megabyte of the configuration.
+const BYTES_PER_MB: f64 = 1e6;
+
+/// How often pooled connections are looked through for those idle too long.
+const POOL_CLEANUP_INTERVAL: Duration = Duration::from_secs(1);
+/// Wait after a failed read of the timer, so that a lasting error does not spin.
+const TIMER_ERROR_PAUSE: Duration = Duration::from_millis(1);
+
+/// Bounds that follow from the machine's size.
+struct ResourceLimits {
+    max_clients: usize,
+    max_host_connections: usize,
+    large_reply_bytes: usize,
+}
+
+impl ResourceLimits {
+    fn new(max_sockets: usize, memory_mb: usize) -> ResourceLimits {
+        let by_memory = memory_mb as f64 * BUFFER_SHARE * BYTES_PER_MB / CONNECTION_BYTES;
+        let connections = |share: f64| {
+            let by_descriptors = max_sockets as f64 * share;
+            by_descriptors.min(by_memory * share / (CLIENT_SHARE + HOST_SHARE)).max(MIN_CONNECTIONS) as usize
+        };
+        ResourceLimits {
+            max_clients: connections(CLIENT_SHARE),
+            max_host_connections: connections(HOST_SHARE),
+            large_reply_bytes: (memory_mb as f64 * BYTES_PER_MB * LARGE_REPLY_SHARE) as usize,
+        }
+    }
+
+    fn host_connections(&self, settings: &ParsedSettings) -> Rc<HostConnections> {
+        let room = Rc::new(Cell::new(self.large_reply_bytes));
+        let codec = move || HostCodec::new(room.clone());
+        HostConnections::new(self.max_host_connections, settings.idle_close, settings.connect_timeout, codec)
+    }
+}
+
+/// Seconds that the most patient client waits.
+fn longest_client_timeout(settings: &AdmissionSettings) -> f64 {
+    let timeouts = settings.classes.iter().map(|class| class.client_timeout);
+    timeouts.fold(MIN_CLIENT_TIMEOUT, f64::max).min(MAX_CLIENT_TIMEOUT)
+}
+
+/// The sockets, signals and timer that a start needs; each may fail.
+struct Resources {
+    peers: Option<Rc<Peers>>,
+    listener: TcpListener,
+    terminate: Signal,
+    hangup: Signal,
+    timer: Rc<Timer>,
+}
+
+impl Resources {
+    async fn open(configuration: &StartupConfiguration) -> Result<Resources, StartupError> {
+        let failed = |key| move |cause: io::Error| StartupError::Io { key, cause };
+        Ok(Resources {
+            peers: open_peers(configuration).await.map_err(failed("peer_listen"))?,
+            listener: TcpListener::bind(configuration.listen).await.map_err(failed("listen"))?,
+            terminate: signal(SignalKind::terminate()).map_err(failed("SIGTERM"))?,
+            hangup: signal(SignalKind::hangup()).map_err(failed("SIGHUP"))?,
+            timer: Rc::new(Timer::new().map_err(failed("timer"))?),
+        })
+    }
+}
+
+async fn open_peers(configuration: &StartupConfiguration) -> io::Result<Option<Rc<Peers>>> {
+    let may_message = configuration.settings.admission.may_message_peers;
+    let Some(listen) = configuration.peer_listen.filter(|_| may_message) else { return Ok(None) };
+    let peers = Peers::open(listen, configuration.peers.clone(), configuration.peer_broadcast).await?;
+    let peers = Rc::new(peers);
+    let received = peers.clone();
+    spawn_local(async move { received.discard_received().await });
+    Ok(Some(peers))
+}
+
+/// The tasks' common state.
+struct Gateway {
+    dispatcher: Rc<Dispatcher>,
+    discovery: Rc<DiscoveryClient>,
+    counter: Rc<CounterClient>,
+    subscribed: Rc<Notify>,
+    timer: Rc<Timer>,
+}
+
+impl Gateway {
+    fn start(
+        configuration: StartupConfiguration,
+        clock: Clock,
+        connections: Rc<HostConnections>,
+        peers: Option<Rc<Peers>>,
+        timer: Rc<Timer>,
+    ) -> Gateway {
+        let StartupConfiguration { settings, seed, .. } = configuration;
+        let settings = Rc::new(settings);
+        let counter_calls = CallQueue::new(settings.admission.count_timeout);
+        let subscribed = Rc::new(Notify::new());
+        let outputs = Outputs {
+            counter_calls: counter_calls.clone(),
+            peers,
+            subscribe: subscribed.clone(),
+            timer: timer.clone(),
+        };
+        let dispatcher = Dispatcher::start(settings, seed, clock, connections, outputs);
+        let cached_hosts = &configuration.cached_hosts;
+        let discovery = DiscoveryClient::start(dispatcher.clone(), configuration.discovery, cached_hosts);
+        // Without a counter in the settings no call is ever made, and the address is not used.
+        let address = configuration.counter.unwrap_or(configuration.listen);
+        let counter = CounterClient::new(dispatcher.clone(), counter_calls, address);
+        Gateway { dispatcher, discovery, counter, subscribed, timer }
+    }
+
+    fn spawn_tasks(&self, hangup: Signal) {
+        let (discovery, subscribed) = (self.discovery.clone(), self.subscribed.clone());
+        spawn_local(restart_on_panic("discovery", move || discovery.clone().run(subscribed.clone())));
+        let (dispatcher, counter, timer) =
+            (self.dispatcher.clone(), self.counter.clone(), self.timer.clone());
+        spawn_local(restart_on_panic("timer", move || {
+            run_timer(dispatcher.clone(), counter.clone(), timer.clone())
+        }));
+        let settings = &self.dispatcher.settings;
+        if settings.admission.may_count {
+            let (counter, connect_timeout) = (self.counter.clone(), settings.connect_timeout);
+            spawn_local(restart_on_panic("counter", move || counter.clone().run(connect_timeout)));
+        }
+        spawn_local(reload_on_hangup(hangup, self.discovery.clone(), self.counter.clone()));
+        spawn_local(close_idle_connections(self.dispatcher.connections.clone()));
+    }
+
+    fn listen(
+        &self,
+        socket: TcpListener,
+        max_clients: usize,
+        state: watch::Receiver<ServingState>,
+    ) -> (Rc<ClientListener>, JoinHandle<()>) {
+        let listener = Rc::new(ClientListener::new(self.dispatcher.clone(), state, max_clients));
+        let (accepting, socket) = (listener.clone(), Rc::new(socket));
+        let accept = restart_on_panic("listener", move || accept_clients(accepting.clone(), socket.clone()));
+        (listener, spawn_local(accept))
+    }
+}
+
+/// Reports the module's wake-ups; never ends. Calls to the counter time out before the module's own timer.
+async fn run_timer(dispatcher: Rc<Dispatcher>, counter: Rc<CounterClient>, timer: Rc<Timer>) {
+    loop {
+        if let Err(e) = timer.fired().await {
+            log::error!("timer: {e}");
+            sleep(TIMER_ERROR_PAUSE).await;
+        }
+        counter.expire_calls();
+        dispatcher.call(|admission, now, driver| admission.timer_fired(now, driver));
+    }
+}
+
+async fn reload_on_hangup(mut hangup: Signal, discovery: Rc<DiscoveryClient>, counter: Rc<CounterClient>) {
+    while hangup.recv().await.is_some() {
+        match configuration::reload() {
+            Ok(reloaded) => apply_reloaded(reloaded, &discovery, &counter),
+            Err(error) => log::error!("configuration: {error}; the one in use is kept"),
+        }
+    }
+}
+
+fn apply_reloaded(reloaded: ReloadedConfiguration, discovery: &DiscoveryClient, counter: &CounterClient) {
+    let ReloadedConfiguration { discovery: discovery_address, counter: counter_address, log_level } =
+        reloaded;
+    log::info!("configuration reloaded: discovery {discovery_address}, counter {counter_address:?}");
+    log::set_max_level(log_level);
+    discovery.set_address(discovery_address);
+    if let Some(address) = counter_address {
+        counter.set_address(address);
+    }
+}
+
+async fn close_idle_connections(connections: Rc<HostConnections>) {
+    loop {
+        sleep(POOL_CLEANUP_INTERVAL).await;
+        connections.close_idle();
+    }
+}
+
+/// Serves until SIGTERM, and then until all clients are answered or none can wait any longer.
+pub async fn run(configuration: StartupConfiguration) -> Result<(), StartupError> {
+    let clock = Clock::start();
+    let limits = ResourceLimits::new(configuration.max_sockets, configuration.memory_mb);
+    let connections = limits.host_connections(&configuration.settings);
+    let Resources { peers, listener: socket, mut terminate, hangup, timer } =
+        Resources::open(&configuration).await?;
+    let client_timeout = longest_client_timeout(&configuration.settings.admission);
+    let listen: SocketAddr = configuration.listen;
+    let gateway = Gateway::start(configuration, clock, connections, peers, timer);
+    gateway.spawn_tasks(hangup);
+    let (state, state_changes) = watch::channel(ServingState::Serving);
+    let (listener, accepting) = gateway.listen(socket, limits.max_clients, state_changes);
+    log::info!("listening on {listen}");
+
+    terminate.recv().await;
+    log::info!("draining");
+    state.send(ServingState::Draining).ok();
+    sleep(ACCEPT_AFTER_SIGTERM).await;
+    state.send(ServingState::Closed).ok();
+    accepting.await.ok();
+    let deadline = Instant::now() + Duration::from_secs_f64(client_timeout + SHUTDOWN_MARGIN);
+    while listener.open_connections() > 0 && Instant::now() < deadline {
+        sleep(SHUTDOWN_POLL).await;
+    }
+    log::info!("drained");
+    Ok(())
+}
