--- a/crates/gateway/tests/sockets/clients.rs
+++ b/crates/gateway/tests/sockets/clients.rs
@@ -1,149 +1,151 @@
-//! Clients that leave, send early, send nonsense, or nothing.
+//! Clients that disconnect, pipeline, send invalid requests, or nothing.
 
 use super::*;
 
 #[test]
-fn a_client_that_leaves_frees_the_host() {
-    let hosts = [Host::start(How::Silent)];
-    let gateway = gateway("leaves", Count::Well, &hosts);
+fn client_disconnect_cancels_the_attempt() {
+    let hosts = [Host::start(HostBehavior::Hangs)];
+    let gateway = start_gateway("leaves", CounterBehavior::Counts, &hosts);
     let mut stream = TcpStream::connect(gateway.address).unwrap();
-    stream.write_all(&look(1)).unwrap();
-    until("handed off", || hosts[0].got() == 1);
+    stream.write_all(&lookup_request(1)).unwrap();
+    wait_until("the attempt has started", || hosts[0].request_count() == 1);
     drop(stream);
-    until("called off", || hosts[0].seen.open.load(Ordering::SeqCst) == 0);
+    wait_until("the attempt is cancelled", || hosts[0].observed.open.load(Ordering::SeqCst) == 0);
 }
 
-/// Its connection was looked at no more once its next inquiry had been read early.
+/// Its connection was not watched any more once its next request had been read ahead.
 #[test]
-fn a_client_that_sends_early_and_leaves_frees_the_host() {
-    let hosts = [Host::start(How::Silent)];
-    let gateway = gateway("early", Count::Well, &hosts);
+fn disconnect_after_pipelined_request_cancels_the_attempt() {
+    let hosts = [Host::start(HostBehavior::Hangs)];
+    let gateway = start_gateway("early", CounterBehavior::Counts, &hosts);
     let mut stream = TcpStream::connect(gateway.address).unwrap();
-    let long = |id| inquiry("GET", "look", "team", id, 30.0, b"");
-    stream.write_all(&[long(1), long(2)].concat()).unwrap();
-    until("handed off", || hosts[0].got() == 1);
+    let patient = |id| request("GET", "look", "team", id, 30.0, b"");
+    stream.write_all(&[patient(1), patient(2)].concat()).unwrap();
+    wait_until("the attempt has started", || hosts[0].request_count() == 1);
     drop(stream);
-    until("called off", || hosts[0].seen.open.load(Ordering::SeqCst) == 0);
-    assert_eq!(hosts[0].got(), 1, "what it sent early was begun");
+    wait_until("the attempt is cancelled", || hosts[0].observed.open.load(Ordering::SeqCst) == 0);
+    assert_eq!(hosts[0].request_count(), 1, "the pipelined request was started");
 }
 
 #[test]
-fn bad_input_gets_a_plain_4xx_and_never_a_hand_off() {
-    let hosts = [Host::start(How::Well)];
-    let gateway = gateway("bad", Count::Well, &hosts);
-    let text = |from: &str, to: &str| String::from_utf8(look(1)).unwrap().replace(from, to).into_bytes();
-    let oversized = inquiry("POST", "file", "team", 1, 2.5, &vec![0; 64 * 1024 + 1]);
-    let filed = inquiry("POST", "file", "team", 3, 2.5, b"");
-    let many: String = (0..100).map(|n| format!("X-{n}: y\r\n")).collect();
+fn invalid_request_gets_4xx_and_reaches_no_host() {
+    let hosts = [Host::start(HostBehavior::Answers)];
+    let gateway = start_gateway("bad", CounterBehavior::Counts, &hosts);
+    let lookup_with =
+        |from: &str, to: &str| String::from_utf8(lookup_request(1)).unwrap().replace(from, to).into_bytes();
+    let oversized = request("POST", "file", "team", 1, 2.5, &vec![0; 64 * 1024 + 1]);
+    let keyed = request("POST", "file", "team", 3, 2.5, b"");
+    let many_headers: String = (0..100).map(|n| format!("X-{n}: y\r\n")).collect();
     let cases: Vec<(u16, Vec<u8>)> = vec![
         (400, b"\x00\x01\x02 nonsense\r\n\r\n".to_vec()),
-        (404, text("/look/", "/nothing/")),
-        (405, text("GET", "POST")),
-        (405, text("GET", "BREW")),
-        (400, text("team", "nobody")),
-        (400, text("Req-Deadline: 2.5", "Req-Deadline: soon")),
-        (400, text("Req-Deadline: 2.5", "Req-Deadline: -1")),
-        (400, text("Req-Deadline: 2.5", "Req-Deadline: NaN")),
-        (400, text("customer=0000000000000007", "customer=ffffffffffffffff")),
-        (400, text("customer=0000000000000007", "customer=+7")),
-        (400, text("Req-Id: ", "Req-Other: ")),
-        (400, text("units=1", "units=minus")),
-        (400, text("units=1", "units=0")),
-        (400, text("units=1", "units=4.5")),
-        (400, text("units=1", "units=1e30")),
-        (400, text("spread=1", "spread=0")),
-        (400, text("spread=1", "spread=2")),
-        (400, text("first=0", "first=1")),
-        (400, text("first=0", "first=0.5")),
-        (400, text("&y=1", "&customer=8")),
-        (400, text("Host: api", "Req-Id: 0000000000000002")),
-        (400, text("Content-Length: 0", "Content-Length: 0\r\nContent-Length: 5")),
-        (400, text("Content-Length: 0", "Content-Length: -5")),
-        (400, text("Content-Length: 0", "Content-Length: 4\r\nTransfer-Encoding: chunked")),
-        (400, text("Content-Length: 0\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\nzz\r\n")),
-        (413, text("Content-Length: 0", "Content-Length: 99999999999999999999999")),
+        (404, lookup_with("/look/", "/nothing/")),
+        (405, lookup_with("GET", "POST")),
+        (405, lookup_with("GET", "BREW")),
+        (400, lookup_with("team", "nobody")),
+        (400, lookup_with("Req-Deadline: 2.5", "Req-Deadline: soon")),
+        (400, lookup_with("Req-Deadline: 2.5", "Req-Deadline: -1")),
+        (400, lookup_with("Req-Deadline: 2.5", "Req-Deadline: NaN")),
+        (400, lookup_with("customer=0000000000000007", "customer=ffffffffffffffff")),
+        (400, lookup_with("customer=0000000000000007", "customer=+7")),
+        (400, lookup_with("Req-Id: ", "Req-Other: ")),
+        (400, lookup_with("units=1", "units=minus")),
+        (400, lookup_with("units=1", "units=0")),
+        (400, lookup_with("units=1", "units=4.5")),
+        (400, lookup_with("units=1", "units=1e30")),
+        (400, lookup_with("spread=1", "spread=0")),
+        (400, lookup_with("spread=1", "spread=2")),
+        (400, lookup_with("first=0", "first=1")),
+        (400, lookup_with("first=0", "first=0.5")),
+        (400, lookup_with("&y=1", "&customer=8")),
+        (400, lookup_with("Host: api", "Req-Id: 0000000000000002")),
+        (400, lookup_with("Content-Length: 0", "Content-Length: 0\r\nContent-Length: 5")),
+        (400, lookup_with("Content-Length: 0", "Content-Length: -5")),
+        (400, lookup_with("Content-Length: 0", "Content-Length: 4\r\nTransfer-Encoding: chunked")),
+        (400, lookup_with("Content-Length: 0\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\nzz\r\n")),
+        (413, lookup_with("Content-Length: 0", "Content-Length: 99999999999999999999999")),
         (413, oversized),
-        (431, text("Host: api\r\n", &many)),
-        (431, text("Host: api", &format!("Host: {}", "a".repeat(20_000)))),
-        (400, String::from_utf8(filed.clone()).unwrap().replace("Idempotency-Key", "Other").into_bytes()),
+        (431, lookup_with("Host: api\r\n", &many_headers)),
+        (431, lookup_with("Host: api", &format!("Host: {}", "a".repeat(20_000)))),
+        (400, String::from_utf8(keyed.clone()).unwrap().replace("Idempotency-Key", "Other").into_bytes()),
     ];
     for (status, bytes) in cases {
         assert_eq!(
-            gateway.ask(&bytes).0,
+            gateway.send(&bytes).0,
             status,
             "{:?}",
             String::from_utf8_lossy(&bytes[..bytes.len().min(300)])
         );
     }
-    assert_eq!(hosts[0].got(), 0);
-    assert_eq!(gateway.ask(&look(fresh())).0, 200);
-    // Early next inquiries on one connection are answered in turn; chunked bodies are understood.
+    assert_eq!(hosts[0].request_count(), 0);
+    assert_eq!(gateway.send(&lookup_request(unused_id())).0, 200);
+    // Pipelined requests on one connection are answered in their order; chunked bodies are decoded.
     let mut stream = TcpStream::connect(gateway.address).unwrap();
     let chunked = b"Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\n\r\n";
-    let filed = String::from_utf8(filed).unwrap();
-    let filed = [filed.replace("Content-Length: 0\r\n\r\n", "").as_bytes(), chunked].concat();
-    stream.write_all(&[filed, look(4)].concat()).unwrap();
+    let keyed = String::from_utf8(keyed).unwrap();
+    let keyed = [keyed.replace("Content-Length: 0\r\n\r\n", "").as_bytes(), chunked].concat();
+    stream.write_all(&[keyed, lookup_request(4)].concat()).unwrap();
     let mut answers = BufReader::new(stream);
-    assert_eq!(message(&mut answers).unwrap().2, b"abcde");
-    assert_eq!(message(&mut answers).unwrap().2, b"found");
+    assert_eq!(read_message(&mut answers).unwrap().2, b"abcde");
+    assert_eq!(read_message(&mut answers).unwrap().2, b"found");
 }
 
-/// An id still open is another client's, and what a host makes of it would be his answer. After it is closed too, as
-/// he may not have read it yet.
+/// The identifier of an open request is another client's: what a host replies to it would be that client's answer. The
+/// same holds for a while after it is closed, as that client may not have read its answer yet.
 #[test]
-fn an_id_still_open_is_turned_away_and_never_handed_off() {
-    let hosts = [Host::start(How::Slow)];
-    let gateway = gateway("ids", Count::Well, &hosts);
+fn duplicate_request_id_gets_409_and_reaches_no_host() {
+    let hosts = [Host::start(HostBehavior::AnswersSlowly)];
+    let gateway = start_gateway("ids", CounterBehavior::Counts, &hosts);
     let mut first = TcpStream::connect(gateway.address).unwrap();
-    first.write_all(&look(1)).unwrap();
-    until("handed off", || hosts[0].got() == 1);
-    assert_eq!(gateway.ask(&look(1)).0, 409);
-    assert!(message(&mut BufReader::new(first)).unwrap().0.contains(" 200 "));
-    assert_eq!(gateway.ask(&look(1)).0, 409);
-    assert_eq!(hosts[0].got(), 1);
-    assert_eq!(gateway.ask(&look(fresh())).0, 200);
+    first.write_all(&lookup_request(1)).unwrap();
+    wait_until("the attempt has started", || hosts[0].request_count() == 1);
+    assert_eq!(gateway.send(&lookup_request(1)).0, 409);
+    assert!(read_message(&mut BufReader::new(first)).unwrap().0.contains(" 200 "));
+    assert_eq!(gateway.send(&lookup_request(1)).0, 409);
+    assert_eq!(hosts[0].request_count(), 1);
+    assert_eq!(gateway.send(&lookup_request(unused_id())).0, 200);
 }
 
-/// Guards against clients that hold a place for long by saying nothing or half a message, and against floods that
-/// are answered one by one.
+/// Guards against clients that hold a connection for long by sending nothing or a part of a message, and against floods
+/// of invalid requests that are answered one by one.
 #[test]
-fn silence_half_messages_and_floods_of_bad_input_end_their_connections() {
-    let hosts = [Host::start(How::Well)];
-    let gateway = gateway("idle", Count::Well, &hosts);
-    let half = look(1);
-    let bad = String::from_utf8(look(2)).unwrap().replace("/look/", "/nothing/").repeat(200);
-    for (bytes, most) in [(&b""[..], 0), (&half[..half.len() - 2], 0), (&half[..20], 0), (bad.as_bytes(), 1)]
+fn idle_partial_and_invalid_input_closes_the_connection() {
+    let hosts = [Host::start(HostBehavior::Answers)];
+    let gateway = start_gateway("idle", CounterBehavior::Counts, &hosts);
+    let partial = lookup_request(1);
+    let invalid = String::from_utf8(lookup_request(2)).unwrap().replace("/look/", "/nothing/").repeat(200);
+    for (bytes, max_answers) in
+        [(&b""[..], 0), (&partial[..partial.len() - 2], 0), (&partial[..20], 0), (invalid.as_bytes(), 1)]
     {
         let mut stream = TcpStream::connect(gateway.address).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         let begun = Instant::now();
         stream.write_all(bytes).ok();
-        let mut seen = Vec::new();
-        stream.read_to_end(&mut seen).ok();
+        let mut answers = Vec::new();
+        stream.read_to_end(&mut answers).ok();
         assert!(begun.elapsed() < ms(3000), "{:?}", begun.elapsed());
-        assert_eq!(String::from_utf8_lossy(&seen).matches("HTTP/1.1 404").count(), most);
+        assert_eq!(String::from_utf8_lossy(&answers).matches("HTTP/1.1 404").count(), max_answers);
     }
-    assert_eq!(hosts[0].got(), 0);
+    assert_eq!(hosts[0].request_count(), 0);
 }
 
 #[test]
-fn silent_and_half_sent_clients_exhaust_neither_descriptors_nor_memory() {
-    let hosts = [Host::start(How::Well)];
-    let gateway = gateway("crowd", Count::Well, &hosts);
-    let half = inquiry("POST", "file", "team", 1, 2.5, &vec![0; 64 * 1024]);
-    let mut crowd = Vec::new();
+fn idle_and_partial_clients_exhaust_neither_descriptors_nor_memory() {
+    let hosts = [Host::start(HostBehavior::Answers)];
+    let gateway = start_gateway("crowd", CounterBehavior::Counts, &hosts);
+    let partial = request("POST", "file", "team", 1, 2.5, &vec![0; 64 * 1024]);
+    let mut open = Vec::new();
     for n in 0..900 {
         let mut stream = TcpStream::connect(gateway.address).unwrap();
         stream.set_nonblocking(true).unwrap();
         if n % 2 == 0 {
-            stream.write_all(&half[..half.len() - 1]).ok();
+            stream.write_all(&partial[..partial.len() - 1]).ok();
         }
-        crowd.push(stream);
+        open.push(stream);
         if n % 100 == 0 {
-            assert_eq!(gateway.ask(&look(n)).0, 200);
+            assert_eq!(gateway.send(&lookup_request(n)).0, 200);
         }
     }
-    assert_eq!(gateway.ask(&look(9999)).0, 200);
+    assert_eq!(gateway.send(&lookup_request(9999)).0, 200);
     assert!(gateway.descriptors() < 700, "{}", gateway.descriptors());
     assert!(gateway.resident_kb() < 150_000, "{}", gateway.resident_kb());
 }
--- a/crates/gateway/tests/sockets/process.rs
+++ b/crates/gateway/tests/sockets/process.rs
@@ -1,131 +1,141 @@
-//! The process as a whole: stood still, killed, told to end or to read its file again.
+//! The process: suspended, killed, terminated, reloaded.
 
 use super::*;
 
 #[test]
-fn a_gateway_that_stood_still_answers_what_it_holds() {
-    let hosts = [Host::start(How::Slow)];
-    let gateway = gateway("still", Count::Well, &hosts);
+fn suspended_gateway_answers_its_open_requests() {
+    let hosts = [Host::start(HostBehavior::AnswersSlowly)];
+    let gateway = start_gateway("still", CounterBehavior::Counts, &hosts);
     let mut streams = Vec::new();
     for id in 0..2 {
         let mut stream = TcpStream::connect(gateway.address).unwrap();
-        stream.write_all(&look(id)).unwrap();
+        stream.write_all(&lookup_request(id)).unwrap();
         streams.push(stream);
     }
-    until("handed off", || hosts[0].got() == 2);
+    wait_until("the attempt has started", || hosts[0].request_count() == 2);
     gateway.signal(Signal::STOP);
     sleep(ms(1200));
     gateway.signal(Signal::CONT);
     for stream in streams {
-        let (first, ..) = message(&mut BufReader::new(stream)).unwrap();
+        let (first, ..) = read_message(&mut BufReader::new(stream)).unwrap();
         assert!(first.contains(" 200 "), "{first}");
     }
-    assert_eq!(hosts[0].got(), 2, "what was answered meanwhile is not sent again");
-    assert_eq!(gateway.ask(&look(3)).0, 200);
+    assert_eq!(hosts[0].request_count(), 2, "what was answered meanwhile is not retried");
+    assert_eq!(gateway.send(&lookup_request(3)).0, 200);
 }
 
 #[test]
-fn a_killed_gateway_is_back_at_its_address_at_once() {
-    let hosts = [Host::start(How::Well)];
-    let list = List::default();
-    let told = configuration(counter(Count::Well).0, list.start(), &hosts);
+fn killed_gateway_can_bind_its_address_at_once() {
+    let hosts = [Host::start(HostBehavior::Answers)];
+    let discovery = Discovery::default();
+    let configuration =
+        gateway_configuration(start_counter(CounterBehavior::Counts).0, discovery.start(), &hosts);
     for id in 0..3 {
-        let gateway = start("killed", &told, list.clone());
+        let gateway = start_with_configuration("killed", &configuration, discovery.clone());
         let mut kept = TcpStream::connect(gateway.address).unwrap();
-        kept.write_all(&look(id)).unwrap();
-        assert!(message(&mut BufReader::new(kept.try_clone().unwrap())).unwrap().0.contains(" 200 "));
+        kept.write_all(&lookup_request(id)).unwrap();
+        assert!(read_message(&mut BufReader::new(kept.try_clone().unwrap())).unwrap().0.contains(" 200 "));
         drop(gateway);
     }
 }
 
 #[test]
-fn sigterm_beside_a_refusing_discovery_and_a_silent_counter_answers_all_and_ends() {
-    let hosts = [Host::start(How::Slow)];
-    let list = List::default();
-    list.refuses.store(true, Ordering::SeqCst);
-    let told = configuration(counter(Count::Silent).0, list.start(), &hosts);
-    let mut gateway = start("term-refusing", &told, list);
-    until("discovery has refused", || !gateway.list.asked.lock().unwrap().is_empty());
+fn sigterm_drains_while_discovery_rejects_and_the_counter_hangs() {
+    let hosts = [Host::start(HostBehavior::AnswersSlowly)];
+    let discovery = Discovery::default();
+    discovery.rejects.store(true, Ordering::SeqCst);
+    let configuration =
+        gateway_configuration(start_counter(CounterBehavior::Hangs).0, discovery.start(), &hosts);
+    let mut gateway = start_with_configuration("term-refusing", &configuration, discovery);
+    wait_until("discovery has rejected a watch", || {
+        !gateway.discovery.watch_requests.lock().unwrap().is_empty()
+    });
     let mut kept = TcpStream::connect(gateway.address).unwrap();
-    kept.write_all(&look(fresh())).unwrap();
-    until("handed off", || hosts[0].got() == 1);
+    kept.write_all(&lookup_request(unused_id())).unwrap();
+    wait_until("the attempt has started", || hosts[0].request_count() == 1);
     gateway.signal(Signal::TERM);
-    assert!(message(&mut BufReader::new(kept)).unwrap().0.contains(" 200 "));
+    assert!(read_message(&mut BufReader::new(kept)).unwrap().0.contains(" 200 "));
     assert_eq!(gateway.child.wait().unwrap().code(), Some(0));
 }
 
 #[test]
-fn sigterm_answers_all_that_was_taken_and_goes_on_accepting_for_a_while() {
-    let hosts = [Host::start(How::Slow)];
-    let mut gateway = gateway("term", Count::Well, &hosts);
+fn sigterm_answers_open_requests_and_accepts_for_a_while() {
+    let hosts = [Host::start(HostBehavior::AnswersSlowly)];
+    let mut gateway = start_gateway("term", CounterBehavior::Counts, &hosts);
     let mut kept = TcpStream::connect(gateway.address).unwrap();
     let mut answers = BufReader::new(kept.try_clone().unwrap());
-    kept.write_all(&look(1)).unwrap();
-    until("handed off", || hosts[0].got() == 1);
+    kept.write_all(&lookup_request(1)).unwrap();
+    wait_until("the attempt has started", || hosts[0].request_count() == 1);
     gateway.signal(Signal::TERM);
     let begun = Instant::now();
-    let (first, headers, _) = message(&mut answers).unwrap();
+    let (first, headers, _) = read_message(&mut answers).unwrap();
     assert!(first.contains(" 200 ") && headers["connection"] == "close");
     while begun.elapsed() < ms(400) {
-        assert_eq!(gateway.ask(&look(fresh())).0, 200);
+        assert_eq!(gateway.send(&lookup_request(unused_id())).0, 200);
     }
     assert_eq!(gateway.child.wait().unwrap().code(), Some(0));
     assert!(begun.elapsed() > ms(700));
 }
 
 #[test]
-fn sigterm_waits_for_a_silent_host_no_longer_than_its_client() {
-    let hosts = [Host::start(How::Silent)];
-    let mut gateway = gateway("term-silent", Count::Well, &hosts);
+fn sigterm_waits_for_a_hanging_host_no_longer_than_its_client() {
+    let hosts = [Host::start(HostBehavior::Hangs)];
+    let mut gateway = start_gateway("term-silent", CounterBehavior::Counts, &hosts);
     let mut streams = Vec::new();
     for id in 0..3 {
         let mut stream = TcpStream::connect(gateway.address).unwrap();
-        stream.write_all(&inquiry("POST", "pay", "team", id, 1.5, b"once")).unwrap();
+        stream.write_all(&request("POST", "pay", "team", id, 1.5, b"once")).unwrap();
         streams.push(stream);
     }
-    until("handed off", || hosts[0].got() >= 1);
+    wait_until("the attempt has started", || hosts[0].request_count() >= 1);
     gateway.signal(Signal::TERM);
     for stream in streams {
-        assert!(message(&mut BufReader::new(stream)).is_some(), "each gets its final answer");
+        assert!(read_message(&mut BufReader::new(stream)).is_some(), "each gets its final answer");
     }
     assert_eq!(gateway.child.wait().unwrap().code(), Some(0));
 }
 
-/// Guards against a program that ends on SIGHUP, keeps to the old addresses (its variables still name one), loses
-/// what waits on the old counter, or lets go of a good configuration for a faulty one.
+/// Guards against a program that ends on SIGHUP, keeps the old addresses (its variables still name one), loses calls
+/// that wait for the old counter, or replaces a valid configuration by an invalid one.
 #[test]
-fn sighup_reads_the_file_again_and_moves_discovery_and_counter() {
-    let hosts = [Host::start(How::Well), Host::start(How::Well)];
-    let (old, new) = (counter(Count::FirstLate), counter(Count::Well));
-    let lists = [List::default(), List::default()];
-    let mut told = configuration(old.0, lists[0].start(), &hosts[..1]);
-    let gateway = start("again", &told, lists[0].clone());
+fn sighup_reloads_the_file_and_moves_discovery_and_counter() {
+    let hosts = [Host::start(HostBehavior::Answers), Host::start(HostBehavior::Answers)];
+    let (old, new) = (start_counter(CounterBehavior::FirstReplyLate), start_counter(CounterBehavior::Counts));
+    let discoveries = [Discovery::default(), Discovery::default()];
+    let mut configuration = gateway_configuration(old.0, discoveries[0].start(), &hosts[..1]);
+    let gateway = start_with_configuration("again", &configuration, discoveries[0].clone());
     let mut waiting = TcpStream::connect(gateway.address).unwrap();
-    waiting.write_all(&look(1)).unwrap();
-    until("the old counter is asked", || old.1.load(Ordering::SeqCst) > 0);
-    told["counter"] = json!(new.0.to_string());
-    told["discovery"] = json!(lists[1].start().to_string());
-    lists[1].say(2, false, &[entry(1, &hosts[1], "ready"), entry(0, &hosts[0], "gone")]);
-    file("again", &told.to_string());
+    waiting.write_all(&lookup_request(1)).unwrap();
+    wait_until("the old counter is called", || old.1.load(Ordering::SeqCst) > 0);
+    configuration["counter"] = json!(new.0.to_string());
+    configuration["discovery"] = json!(discoveries[1].start().to_string());
+    discoveries[1].publish(2, false, &[host_entry(1, &hosts[1], "ready"), host_entry(0, &hosts[0], "gone")]);
+    write_configuration("again", &configuration.to_string());
     gateway.signal(Signal::HUP);
-    assert!(message(&mut BufReader::new(waiting)).unwrap().0.contains(" 200 "));
-    until("the new list is heard", || gateway.ask(&look(fresh())).0 == 200 && hosts[1].got() > 0);
-    assert!(lists[1].asked.lock().unwrap()[0].contains("after=1 "));
-    until("the new counter is asked", || {
-        gateway.ask(&look(fresh())).0 == 200 && new.1.load(Ordering::SeqCst) > 0
+    assert!(read_message(&mut BufReader::new(waiting)).unwrap().0.contains(" 200 "));
+    wait_until("the new list applies", || {
+        gateway.send(&lookup_request(unused_id())).0 == 200 && hosts[1].request_count() > 0
+    });
+    assert!(discoveries[1].watch_requests.lock().unwrap()[0].contains("after=1 "));
+    wait_until("the new counter is called", || {
+        gateway.send(&lookup_request(unused_id())).0 == 200 && new.1.load(Ordering::SeqCst) > 0
     });
-    let (gone, asked) = (hosts[0].got(), old.1.load(Ordering::SeqCst));
-    for (nth, text) in ["{", &told.to_string().replace("127.0.0.1", "there")].iter().enumerate() {
-        file("again", text);
+    let (removed_host_requests, old_counter_calls) = (hosts[0].request_count(), old.1.load(Ordering::SeqCst));
+    for (nth, text) in ["{", &configuration.to_string().replace("127.0.0.1", "there")].iter().enumerate() {
+        write_configuration("again", text);
         gateway.signal(Signal::HUP);
         sleep(ms(50));
-        (0..5).for_each(|id| assert_eq!(gateway.ask(&look(10 * nth as u32 + 10 + id)).0, 200));
+        (0..5).for_each(|id| assert_eq!(gateway.send(&lookup_request(10 * nth as u32 + 10 + id)).0, 200));
     }
-    assert_eq!((hosts[0].got(), old.1.load(Ordering::SeqCst)), (gone, asked), "back to the old addresses");
+    assert_eq!(
+        (hosts[0].request_count(), old.1.load(Ordering::SeqCst)),
+        (removed_host_requests, old_counter_calls),
+        "back to the old addresses"
+    );
 }
 
 #[test]
-fn a_wrong_configuration_is_refused_with_its_key() {
+fn wrong_configuration_is_rejected_with_its_key() {
     let dead = "127.0.0.1:1".parse().unwrap();
     for (key, place, value) in [
         ("listen", "/listen", json!("here")),
@@ -137,9 +147,9 @@
         ("settings.classes.0.late-share", "/settings/classes/0/late-share", json!(1.5)),
         ("settings.contracts.0.max-out", "/settings/contracts/0/max-out", json!(3)),
     ] {
-        let mut wrong = configuration(dead, dead, &[]);
+        let mut wrong = gateway_configuration(dead, dead, &[]);
         *wrong.pointer_mut(place).unwrap() = value;
-        let output = program(&key.replace('.', "-"), &wrong).output().unwrap();
+        let output = gateway_command(&key.replace('.', "-"), &wrong).output().unwrap();
         let text = String::from_utf8_lossy(&output.stderr).to_string();
         assert!(!output.status.success() && text.contains(&format!("{key}: ")), "{key}: {text}");
     }
