--- a/crates/gateway/src/attempts.rs
+++ b/crates/gateway/src/attempts.rs
@@ -15,7 +15,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep_until, timeout};
 
-/// Least time that a host is told it has, in seconds: a request never names a deadline of 0.
+/// Least deadline that is sent to a host, in seconds: a request never names one of 0.
 const MIN_HOST_DEADLINE: f64 = 0.001;
 /// A probe has as long for its reply as for its connection.
 const PROBE_CONNECT_TIMEOUTS: u32 = 2;
--- a/crates/gateway/src/counter/calls.rs
+++ b/crates/gateway/src/counter/calls.rs
@@ -13,7 +13,9 @@
 
 /// One add to a counter key.
 pub(super) struct Call {
+    /// The key, which the admission module numbers.
     pub key: u64,
+    /// What is added.
     pub amount: f64,
     /// Seconds for which the key lives from its first add on.
     pub lifetime: f64,
--- a/crates/gateway/src/discovery/watch_codec.rs
+++ b/crates/gateway/src/discovery/watch_codec.rs
@@ -17,7 +17,8 @@
 pub struct WatchCodec {
     /// `None` until the head is decoded.
     body: Option<ChunkedDecoder>,
-    lines: BytesMut,
+    /// Decoded bytes of lines that are not complete yet.
+    unread: BytesMut,
 }
 
 /// The length of the answer's head; `None` where it is incomplete.
@@ -41,13 +42,13 @@
             let Some(length) = head_length(from)? else { return Ok(None) };
             from.advance(length);
         }
-        let ended = self.body.get_or_insert_default().feed(from, &mut self.lines)?;
-        if let Some(length) = self.lines.iter().position(|&b| b == b'\n') {
-            let line = self.lines.split_to(length);
-            self.lines.advance(1);
+        let ended = self.body.get_or_insert_default().feed(from, &mut self.unread)?;
+        if let Some(length) = self.unread.iter().position(|&b| b == b'\n') {
+            let line = self.unread.split_to(length);
+            self.unread.advance(1);
             return Ok(Some(line));
         }
-        if ended || self.lines.len() > MAX_LINE {
+        if ended || self.unread.len() > MAX_LINE {
             return Err(WatchError::Ended);
         }
         Ok(None)
--- a/crates/gateway/src/http/tests.rs
+++ b/crates/gateway/src/http/tests.rs
@@ -1,4 +1,4 @@
-//! Generated tests of both codecs: messages that arrive in pieces, and damaged bytes.
+//! Generated tests of both codecs: fragmented messages, and damaged bytes.
 
 use super::{ClientCodec, HostCodec};
 use archlink_admission_settings::ParsedSettings;
@@ -25,7 +25,7 @@
     abcHTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\n\
     Transfer-Encoding: chunked\r\n\r\n2\r\nde\r\n0\r\n\r\n";
 
-/// All that is decoded when the bytes arrive in pieces of these lengths, until the messages end or break.
+/// All that is decoded when the bytes arrive in fragments of these lengths, until the messages end or break.
 fn decoded<D: Decoder<Error = io::Error>>(mut codec: D, bytes: &[u8], lengths: &[u8]) -> Vec<String>
 where
     D::Item: std::fmt::Debug,
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn messages_decode_the_same_in_whatever_pieces_they_arrive() {
+fn messages_decode_the_same_however_fragmented() {
     fn property(lengths: Vec<u8>, _: Vec<(u16, u8)>) -> bool {
         let requests = decoded(ClientCodec::new(settings()), REQUESTS, &lengths);
         let replies = decoded(HostCodec::default(), REPLIES, &lengths);
@@ -64,9 +64,9 @@
     check(1, property);
 }
 
-/// Damaged bytes give fewer or other messages, never a panic; and they decode the same in pieces.
+/// Damaged bytes give fewer or other messages, never a panic; and they decode the same however fragmented.
 #[test]
-fn damaged_messages_never_panic_and_decode_the_same_in_pieces() {
+fn damaged_messages_never_panic_and_decode_the_same_however_fragmented() {
     fn property(lengths: Vec<u8>, damage: Vec<(u16, u8)>) -> bool {
         let damaged = |bytes: &[u8]| {
             let mut bytes = bytes.to_vec();
--- a/crates/gateway/src/logger.rs
+++ b/crates/gateway/src/logger.rs
@@ -109,7 +109,7 @@
     }
 }
 
-/// Installs the logger and has panics logged; `name` stands in each line.
+/// Installs the logger and has panics logged; each line has the name.
 pub fn start(name: &str, level: LevelFilter) -> Result<(), LoggerError> {
     let (queue, lines): (_, Receiver<String>) = sync_channel(QUEUE_CAPACITY);
     let unwritten = Arc::new(AtomicUsize::new(0));
--- a/crates/gateway/tests/sockets/clients.rs
+++ b/crates/gateway/tests/sockets/clients.rs
@@ -27,16 +27,14 @@
     assert_eq!(hosts[0].request_count(), 1, "the pipelined request was started");
 }
 
-#[test]
-fn invalid_request_gets_4xx_and_reaches_no_host() {
-    let hosts = [Host::start(HostBehavior::Answers)];
-    let gateway = start_gateway("bad", CounterBehavior::Counts, &hosts);
+/// Requests that are answered with these statuses by the gateway itself.
+fn invalid_requests() -> Vec<(u16, Vec<u8>)> {
     let lookup_with =
         |from: &str, to: &str| String::from_utf8(lookup_request(1)).unwrap().replace(from, to).into_bytes();
     let oversized = request("POST", "file", "team", 1, 2.5, &vec![0; 64 * 1024 + 1]);
     let keyed = request("POST", "file", "team", 3, 2.5, b"");
     let many_headers: String = (0..100).map(|n| format!("X-{n}: y\r\n")).collect();
-    let cases: Vec<(u16, Vec<u8>)> = vec![
+    vec![
         (400, b"\x00\x01\x02 nonsense\r\n\r\n".to_vec()),
         (404, lookup_with("/look/", "/nothing/")),
         (405, lookup_with("GET", "POST")),
@@ -66,9 +64,15 @@
         (413, oversized),
         (431, lookup_with("Host: api\r\n", &many_headers)),
         (431, lookup_with("Host: api", &format!("Host: {}", "a".repeat(20_000)))),
-        (400, String::from_utf8(keyed.clone()).unwrap().replace("Idempotency-Key", "Other").into_bytes()),
-    ];
-    for (status, bytes) in cases {
+        (400, String::from_utf8(keyed).unwrap().replace("Idempotency-Key", "Other").into_bytes()),
+    ]
+}
+
+#[test]
+fn invalid_request_gets_4xx_and_reaches_no_host() {
+    let hosts = [Host::start(HostBehavior::Answers)];
+    let gateway = start_gateway("bad", CounterBehavior::Counts, &hosts);
+    for (status, bytes) in invalid_requests() {
         assert_eq!(
             gateway.send(&bytes).0,
             status,
@@ -78,10 +82,15 @@
     }
     assert_eq!(hosts[0].request_count(), 0);
     assert_eq!(gateway.send(&lookup_request(unused_id())).0, 200);
-    // Pipelined requests on one connection are answered in their order; chunked bodies are decoded.
+}
+
+#[test]
+fn pipelined_and_chunked_requests_are_answered_in_order() {
+    let hosts = [Host::start(HostBehavior::Answers)];
+    let gateway = start_gateway("pipelined", CounterBehavior::Counts, &hosts);
     let mut stream = TcpStream::connect(gateway.address).unwrap();
     let chunked = b"Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\n\r\n";
-    let keyed = String::from_utf8(keyed).unwrap();
+    let keyed = String::from_utf8(request("POST", "file", "team", 3, 2.5, b"")).unwrap();
     let keyed = [keyed.replace("Content-Length: 0\r\n\r\n", "").as_bytes(), chunked].concat();
     stream.write_all(&[keyed, lookup_request(4)].concat()).unwrap();
     let mut answers = BufReader::new(stream);
