--- a/crates/balancer/src/attempt.rs
+++ b/crates/balancer/src/attempt.rs
@@ -19,9 +19,9 @@
     /// No answer in time.
     TimedOut,
     /// The client disconnected before anything was sent.
-    Withdrawn,
+    CancelledBeforeSend,
     /// Aborted because the client disconnected: all that is known is that the answer would have taken longer.
-    Abandoned,
+    CancelledAfterSend,
 }
 
 impl AttemptEnd {
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -60,7 +60,7 @@
     }
 
     /// Sets the data nodes that may be running, this one among them.
-    pub fn set_gateways(&mut self, gateways: &[NodeId]) {
+    pub fn set_data_nodes(&mut self, gateways: &[NodeId]) {
         self.nodes.all = gateways.to_vec();
         self.update_subset();
     }
@@ -179,8 +179,8 @@
             }
             AttemptEnd::Full(_) => host.observe_full(),
             // Whether the host would have answered is unknown: nothing is held against it.
-            AttemptEnd::Withdrawn => host.outlier.request_withdrawn(host.pending),
-            AttemptEnd::Abandoned => {
+            AttemptEnd::CancelledBeforeSend => host.outlier.request_withdrawn(host.pending),
+            AttemptEnd::CancelledAfterSend => {
                 host.outlier.request_withdrawn(host.pending);
                 let pool_work = pool.map_or(0.0, |pool| pool.stats.work());
                 host.observe_work_at_least(host.time_alone(elapsed, own_pending), pool_work);
@@ -229,7 +229,7 @@
     match end {
         AttemptEnd::Answered(_) => pool.admission.observe_time(now, elapsed),
         AttemptEnd::Full(_) => pool.admission.observe_time(now, f64::INFINITY),
-        AttemptEnd::Abandoned => pool.admission.observe_time_at_least(now, elapsed),
+        AttemptEnd::CancelledAfterSend => pool.admission.observe_time_at_least(now, elapsed),
         _ => {}
     }
 }
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -23,7 +23,7 @@
         [("a", "x"), ("b", "x"), ("c", "y")].map(|(zone, region)| (zone.to_string(), region.to_string()));
     let warm_up = WarmUpBound { overrun: 1.5, slack: 5.0 };
     let mut balancer = Balancer::new(1, "a".into(), "x".into(), HashMap::from(regions), warm_up, 7);
-    balancer.set_gateways(&[1, 2, 3, 4, 5, 6, 7, 8, 9]);
+    balancer.set_data_nodes(&[1, 2, 3, 4, 5, 6, 7, 8, 9]);
     balancer.set_services([("s".into(), ServiceLimits { warm_up_rate: 10.0, warm_up_period: 3.0 })].into());
     balancer
 }
--- a/crates/balancer/tests/outlier.rs
+++ b/crates/balancer/tests/outlier.rs
@@ -52,7 +52,7 @@
 /// Clients that disconnect say nothing bad about a host: it is not ejected, not unhealthy, and not suspected.
 #[test]
 fn client_disconnects_do_not_count_against_their_host() {
-    for end in [AttemptEnd::Withdrawn, AttemptEnd::Abandoned] {
+    for end in [AttemptEnd::CancelledBeforeSend, AttemptEnd::CancelledAfterSend] {
         let mut balancer = balancer();
         balancer.update_hosts(0.0, &[instance("near", "a"), instance("next", "b")]);
         let mut now = 0.0;
--- a/crates/balancer/tests/overload.rs
+++ b/crates/balancer/tests/overload.rs
@@ -95,7 +95,7 @@
     let regions = HashMap::from([("z".to_string(), "r".to_string())]);
     let warm_up = WarmUpBound { overrun: 1.5, slack: 5.0 };
     let mut balancer = Balancer::new(node, "z".into(), "r".into(), regions, warm_up, u64::from(node));
-    balancer.set_gateways(nodes);
+    balancer.set_data_nodes(nodes);
     balancer.set_services([("s".into(), ServiceLimits::default())].into());
     balancer.update_hosts(0.0, instances);
     balancer
--- a/crates/balancer/tests/selection.rs
+++ b/crates/balancer/tests/selection.rs
@@ -59,7 +59,7 @@
         balancer.attempt_started(now, selected.key, 0.3);
         now += 1.0;
         let (elapsed, end) = if selected.id == "near" {
-            (1.0, AttemptEnd::Abandoned)
+            (1.0, AttemptEnd::CancelledAfterSend)
         } else {
             (0.05, AttemptEnd::Answered(None))
         };
--- a/crates/control-node/src/node.rs
+++ b/crates/control-node/src/node.rs
@@ -216,7 +216,7 @@
     /// Begins a graceful shutdown: releases the leases to the nearest voter that stays, and asks for this
     /// node's place in the voter set to be given to another node. The node keeps serving until
     /// [`ControlNodeState::may_shut_down`].
-    pub fn leave(&mut self, now: f64) -> Vec<Effect> {
+    pub fn begin_shutdown(&mut self, now: f64) -> Vec<Effect> {
         self.membership.leave();
         let successor = self.lease_successor(now);
         let mut effects = self.leases.leave(now, successor);
--- a/crates/control-node/src/node/status.rs
+++ b/crates/control-node/src/node/status.rs
@@ -16,7 +16,7 @@
     /// Whether it becomes a voter when the membership change in progress completes.
     pub incoming: bool,
     /// Seconds since its last message; `None` where none came.
-    pub last_heard_age: Option<f64>,
+    pub last_message_age: Option<f64>,
     /// Whether its disk has everything that its acceptor ever promised; `None` where it has not reported.
     pub recovered: Option<bool>,
 }
@@ -61,7 +61,7 @@
             zone: control_node.map(|control_node| control_node.zone.clone()),
             voter: self.voter_set.voters.contains(&node),
             incoming: self.voter_set.incoming.contains(&node),
-            last_heard_age: self.membership.failure_detector.silence(now, node),
+            last_message_age: self.membership.failure_detector.silence(now, node),
             recovered: self.membership.failure_detector.is_recovered(node),
         }
     }
--- a/crates/control-node/tests/cluster.rs
+++ b/crates/control-node/tests/cluster.rs
@@ -133,7 +133,7 @@
         fleet.net.spread = 0.0;
         fleet.run(2.0);
         let holder = fleet.agreed(SingletonRole::HostDiscovery).expect("a holder");
-        fleet.step(holder, |control_node, now| control_node.leave(now));
+        fleet.step(holder, |control_node, now| control_node.begin_shutdown(now));
         fleet.run(0.15);
         fleet.kill(holder, false);
         let mut leases =
--- a/crates/control-node/tests/machine_replacement.rs
+++ b/crates/control-node/tests/machine_replacement.rs
@@ -87,7 +87,7 @@
 /// A graceful shutdown, as the program does on SIGTERM: another node replaces this voter first, if there is
 /// one. Returns whether the node might shut down in time; it still runs.
 fn leave(fleet: &mut Fleet, node: NodeId) -> bool {
-    fleet.step(node, |control_node, now| control_node.leave(now));
+    fleet.step(node, |control_node, now| control_node.begin_shutdown(now));
     let until = fleet.now + SHUTDOWN_GRACE;
     fleet.run(0.5);
     while fleet.now < until && !fleet.live[&node].may_shut_down(fleet.clock(node)) {
--- a/crates/control-node/tests/membership/leases.rs
+++ b/crates/control-node/tests/membership/leases.rs
@@ -95,7 +95,7 @@
     if holder != 3 {
         fleet.cut(3, 2);
         fleet.cut(3, 4);
-        fleet.step(holder, |control_node, now| control_node.leave(now));
+        fleet.step(holder, |control_node, now| control_node.begin_shutdown(now));
         fleet.kill(holder, false);
         fleet.start(holder, false);
         fleet.run(2.0);
--- a/crates/control-plane/src/admin/server.rs
+++ b/crates/control-plane/src/admin/server.rs
@@ -55,7 +55,7 @@
     let mut framed = Framed::new(stream, ServerCodec::new(&[], MAX_BODY, body_memory));
     while let Ok(Some(Ok(decoded))) = timeout(IDLE_TIMEOUT, framed.next()).await {
         let (mut answer, close) = match decoded {
-            Decoded::Bad(status) => (bad_request(status, framed.codec().out_of_memory()), true),
+            Decoded::Rejected(status) => (bad_request(status, framed.codec().out_of_memory()), true),
             Decoded::Request(request) => match answer(&node, &mut framed, &request).await {
                 Some(answer) => (answer, request.close),
                 None => return,
--- a/crates/control-plane/src/admin/voters.rs
+++ b/crates/control-plane/src/admin/voters.rs
@@ -31,7 +31,7 @@
 /// Voters that this node has not heard of for [`LOST_AFTER`].
 fn lost_voters(node: &Node) -> BTreeSet<NodeId> {
     let members = node.with_state(|state, now| state.voter_set_status(now).members).into_iter();
-    let timed_out = |member: &MemberStatus| member.last_heard_age.is_none_or(|age| age > LOST_AFTER);
+    let timed_out = |member: &MemberStatus| member.last_message_age.is_none_or(|age| age > LOST_AFTER);
     members
         .filter(|member| (member.voter || member.incoming) && timed_out(member))
         .map(|member| member.node)
@@ -45,7 +45,7 @@
         .map(|control_node| control_node.operator_address);
     json!({"Address": Ipv4Addr::from(member.node), "Control": operator_address, "Zone": member.zone,
         "Seat": member.voter, "Comes": member.incoming, "Here": member.node == own_id,
-        "HeardSecondsAgo": member.last_heard_age.map(round_to_milliseconds), "DiskWhole": member.recovered})
+        "HeardSecondsAgo": member.last_message_age.map(round_to_milliseconds), "DiskWhole": member.recovered})
 }
 
 fn accepted_fields((register, revision, proposal): (Register, u64, ProposalNumber)) -> Value {
--- a/crates/control-plane/src/cli/client.rs
+++ b/crates/control-plane/src/cli/client.rs
@@ -90,7 +90,7 @@
     let codec = ClientCodec::new(HEADERS, MAX_BODY, Rc::new(Cell::new(MAX_BODY)));
     let mut framed = Framed::new(stream, codec);
     let lines = b"Content-Type: application/json\r\nConnection: close\r\n";
-    framed.send(OutgoingRequest { method, target, host: &to.to_string(), lines, body }).await?;
+    framed.send(OutgoingRequest { method, target, host: &to.to_string(), header_lines: lines, body }).await?;
     framed.next().await.unwrap_or(Err(io::ErrorKind::UnexpectedEof.into()))
 }
 
--- a/crates/control-plane/src/serve.rs
+++ b/crates/control-plane/src/serve.rs
@@ -84,7 +84,7 @@
 async fn shut_down(node: &Rc<Node>) {
     log::info!("control node draining");
     node.draining.set(true);
-    node.step(|state, now| state.leave(now));
+    node.step(|state, now| state.begin_shutdown(now));
     sleep(DRAIN_TIME).await;
     let limit = (HANDOVER_PART_OF_GRACE * node.settings.timing_bounds.grace).min(MAX_HANDOVER);
     let deadline = node.clock.now() + limit;
--- a/crates/control-plane/src/server/host_discovery/platform.rs
+++ b/crates/control-plane/src/server/host_discovery/platform.rs
@@ -131,12 +131,13 @@
         };
         let target = token.map_or("/instances".to_string(), |token| format!("/instances?PageToken={token}"));
         let host = self.address.to_string();
-        let request = OutgoingRequest { method: "GET", target: &target, host: &host, lines: b"", body: b"" };
+        let request =
+            OutgoingRequest { method: "GET", target: &target, host: &host, header_lines: b"", body: b"" };
         connection.send(request).await?;
         let reply = connection.next().await.unwrap_or(Err(io::ErrorKind::UnexpectedEof.into()))?;
         match idle_state(&connection) {
-            IdleState::Spoke => return Err(PlatformError::UnsolicitedBytes),
-            IdleState::Quiet if reply.keep => self.connection = Some(connection),
+            IdleState::UnexpectedBytes => return Err(PlatformError::UnsolicitedBytes),
+            IdleState::Quiet if reply.reusable => self.connection = Some(connection),
             _ => {}
         }
         match reply.status {
--- a/crates/control-plane/src/server/node/counter.rs
+++ b/crates/control-plane/src/server/node/counter.rs
@@ -2,7 +2,7 @@
 
 use super::Node;
 use archlink_messages::CounterAdd;
-use archlink_quota::counter::NEW_HOLDER_SILENCE;
+use archlink_quota::counter::NEW_HOLDER_WAIT;
 
 impl Node {
     /// Adds and returns the totals; none where this node does not hold the lease in that term, or has not held it long
@@ -10,7 +10,7 @@
     pub fn count(&self, term: u64, adds: &[CounterAdd]) -> Option<Vec<f32>> {
         let now = self.clock.now();
         let lease = self.state.borrow().counter_lease(now).filter(|lease| lease.term == term)?;
-        if now < lease.since + NEW_HOLDER_SILENCE {
+        if now < lease.since + NEW_HOLDER_WAIT {
             return None;
         }
         self.counter.borrow_mut().add(now, term, adds)
--- a/crates/control-plane/src/tests/answers.rs
+++ b/crates/control-plane/src/tests/answers.rs
@@ -25,7 +25,7 @@
 const JSON_AND_RETRY_AFTER: &str = "Content-Type: application/json\r\nRetry-After: 0.3\r\n";
 
 fn header_lines(answer: &Response) -> String {
-    String::from_utf8_lossy(&answer.lines).into_owned()
+    String::from_utf8_lossy(&answer.header_lines).into_owned()
 }
 
 fn body(answer: &Response) -> Value {
--- a/crates/control-plane/src/tests/partitions.rs
+++ b/crates/control-plane/src/tests/partitions.rs
@@ -29,7 +29,7 @@
 
 /// The answer of a node that has been partitioned for longer than anybody waits, after `took` seconds.
 fn assert_partitioned_answer(call: Call, answer: &Response, fields: &Value, took: f64) {
-    let retry_after = String::from_utf8_lossy(&answer.lines).contains("Retry-After");
+    let retry_after = String::from_utf8_lossy(&answer.header_lines).contains("Retry-After");
     match call.basis() {
         Basis::QuorumContact => {
             let status = answer.status;
--- a/crates/control-plane/src/tests/simulated_cluster.rs
+++ b/crates/control-plane/src/tests/simulated_cluster.rs
@@ -192,7 +192,7 @@
         forwarded: Vec::new(),
         body: body.as_bytes().to_vec().into(),
         close: false,
-        held: None,
+        reserved: None,
     };
     let answer = respond(node, call, &request).await;
     let body = serde_json::from_slice(&answer.body).unwrap_or_default();
--- a/crates/control-plane/src/tests/versions.rs
+++ b/crates/control-plane/src/tests/versions.rs
@@ -38,7 +38,7 @@
         );
         let (read, _) = cluster.call(2, Call::ReadConfiguration, "", "").await;
         assert_eq!(String::from_utf8_lossy(&read.body), second);
-        assert!(String::from_utf8_lossy(&read.lines).contains(newer["Digest"].as_str().unwrap()));
+        assert!(String::from_utf8_lossy(&read.header_lines).contains(newer["Digest"].as_str().unwrap()));
         for index in 0..3 {
             let (answer, repeated) = replace(index, &other).await;
             assert_eq!((answer.status, &repeated), (409, &rejection));
--- a/crates/data-plane/src/admission.rs
+++ b/crates/data-plane/src/admission.rs
@@ -51,8 +51,8 @@
         drop(waiting);
         match verdict {
             Ok(Verdict::Granted) => Ok(()),
-            Ok(Verdict::Refused(_)) if self.try_local_share(tenant) => Ok(()),
-            Ok(Verdict::Refused(wait)) => Err(QuotaExceeded { retry_after: wait }),
+            Ok(Verdict::Rejected(_)) if self.try_local_share(tenant) => Ok(()),
+            Ok(Verdict::Rejected(wait)) => Err(QuotaExceeded { retry_after: wait }),
             Err(_) => Err(uncounted),
         }
     }
@@ -77,10 +77,15 @@
         };
         let quota = |tenant: &Tenant| {
             let counted = bound.counted_fraction(tenant.rate, tenant.burst, data_nodes);
-            Quota { tenant: tenant.name.clone(), rate: tenant.rate, burst: tenant.burst, counted }
+            Quota {
+                tenant: tenant.name.clone(),
+                rate: tenant.rate,
+                burst: tenant.burst,
+                counted_fraction: counted,
+            }
         };
         let quotas: Vec<Quota> = configuration.tenants.iter().map(quota).collect();
-        self.quota.counter_client.borrow_mut().quotas(&quotas);
+        self.quota.counter_client.borrow_mut().set_quotas(&quotas);
     }
 
     fn quota_bound(&self) -> QuotaBound {
--- a/crates/data-plane/src/attempt_task.rs
+++ b/crates/data-plane/src/attempt_task.rs
@@ -82,8 +82,8 @@
 /// What an attempt without a response says to the balancer.
 fn failure_end(progress: AttemptProgress) -> AttemptEnd {
     match progress {
-        AttemptProgress::CancelledBeforeSend => AttemptEnd::Withdrawn,
-        AttemptProgress::CancelledAfterSend => AttemptEnd::Abandoned,
+        AttemptProgress::CancelledBeforeSend => AttemptEnd::CancelledBeforeSend,
+        AttemptProgress::CancelledAfterSend => AttemptEnd::CancelledAfterSend,
         AttemptProgress::NotConnected | AttemptProgress::NothingSent => AttemptEnd::ConnectFailed,
         _ => AttemptEnd::Broken,
     }
--- a/crates/data-plane/src/client_connection.rs
+++ b/crates/data-plane/src/client_connection.rs
@@ -43,7 +43,7 @@
     while let Some(decoded) = next_request(&server, &mut framed, &mut stage).await {
         let _in_flight = CountGuard::new(&server.requests_in_flight);
         let handled = match decoded {
-            Decoded::Bad(status) => {
+            Decoded::Rejected(status) => {
                 Handled { response: Response::plain(status), close: true, disconnect: None }
             }
             Decoded::Request(request) => handle(&server, &mut framed, *request).await,
@@ -115,7 +115,7 @@
         }
         response = &mut respond => (response, None),
     };
-    let has_id = response.lines.starts_with(protocol::ATTEMPT_ID.as_bytes());
+    let has_id = response.header_lines.starts_with(protocol::ATTEMPT_ID.as_bytes());
     let response = match id.filter(|_| !has_id) {
         Some(id) => response.with(protocol::ATTEMPT_ID, id),
         None => response,
--- a/crates/data-plane/src/quota_state.rs
+++ b/crates/data-plane/src/quota_state.rs
@@ -2,7 +2,7 @@
 //! node's local shares.
 
 use archlink_messages::CounterAdd;
-use archlink_quota::counter_client::{Asker as CounterClient, Verdict};
+use archlink_quota::counter_client::{CounterClient, Verdict};
 use archlink_quota::local_share::LocalShare;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
--- a/crates/data-plane/src/request.rs
+++ b/crates/data-plane/src/request.rs
@@ -126,7 +126,7 @@
 
 /// The host's response as the client gets it.
 fn relay(response: HostResponse) -> Response {
-    let mut lines = Vec::with_capacity(response.passed.len() + OWN_HEADERS);
+    let mut lines = Vec::with_capacity(response.forwarded.len() + OWN_HEADERS);
     for (name, position) in [
         (protocol::ATTEMPT_ID, response_header::ATTEMPT_ID),
         (protocol::SERVER_SEAL, response_header::SERVER_SEAL),
@@ -135,6 +135,6 @@
             append_header(&mut lines, name, value);
         }
     }
-    lines.extend_from_slice(&response.passed);
-    Response { status: response.status, lines, body: response.body, close: false }
+    lines.extend_from_slice(&response.forwarded);
+    Response { status: response.status, header_lines: lines, body: response.body, close: false }
 }
--- a/crates/data-plane/src/status.rs
+++ b/crates/data-plane/src/status.rs
@@ -75,7 +75,7 @@
                 let path = request.target.split('?').next().unwrap_or("");
                 (respond(server, path), request.close)
             }
-            Decoded::Bad(status) => (Response::plain(status), true),
+            Decoded::Rejected(status) => (Response::plain(status), true),
         };
         response.close = close;
         if framed.send(response).await.is_err() || close {
--- a/crates/data-plane/src/tests/mod.rs
+++ b/crates/data-plane/src/tests/mod.rs
@@ -120,7 +120,8 @@
     ];
     let (method, target, host) = ("POST".into(), target.into(), once("o"));
     let body = vec![b'x'; body_length].into();
-    let request = Request { method, target, host, fields, forwarded: vec![], body, close: false, held: None };
+    let request =
+        Request { method, target, host, fields, forwarded: vec![], body, close: false, reserved: None };
     request::respond(data_plane, request, client).await
 }
 
--- a/crates/data-plane/src/upstream.rs
+++ b/crates/data-plane/src/upstream.rs
@@ -121,7 +121,8 @@
     append_header(&mut header_lines, protocol::TIME_REMAINING, &remaining_millis(deadline).to_string());
     append_header(&mut header_lines, protocol::TARGET_INSTANCE, &host.id);
     let Request { method, target, body, .. } = &outgoing.request;
-    let request = OutgoingRequest { method, target, host: &outgoing.origin, lines: &header_lines, body };
+    let request =
+        OutgoingRequest { method, target, host: &outgoing.origin, header_lines: &header_lines, body };
     let round_trip = round_trip(data_plane, host.key, connection, request, &outgoing.id);
     if !outgoing.idempotent {
         return round_trip.await;
@@ -172,8 +173,8 @@
             continue;
         }
         validate(&response).map_err(no_response)?;
-        if response.keep && unmatched == 0 && connection.framed.read_buffer().is_empty() {
-            data_plane.pool.put(host_key, connection, response.idle);
+        if response.reusable && unmatched == 0 && connection.framed.read_buffer().is_empty() {
+            data_plane.pool.put(host_key, connection, response.idle_timeout);
         }
         return Ok(response);
     }
--- a/crates/data-plane/src/view_changes.rs
+++ b/crates/data-plane/src/view_changes.rs
@@ -23,7 +23,7 @@
                 ViewChange::HostList(hosts) => self.apply_host_list(now, &hosts),
                 ViewChange::DataNodes => {
                     self.apply_quotas();
-                    self.balancer.borrow_mut().set_gateways(self.fleet_view.borrow().data_nodes());
+                    self.balancer.borrow_mut().set_data_nodes(self.fleet_view.borrow().data_nodes());
                 }
                 ViewChange::InvalidUpdate(why) => log::error!(error = why.as_str(); "state update rejected"),
                 ViewChange::ControlNodes | ViewChange::Leases | ViewChange::ConfirmationChanged => {}
--- a/crates/gateway/src/attempts.rs
+++ b/crates/gateway/src/attempts.rs
@@ -101,6 +101,6 @@
         let connection = connections.open(address).await.map_err(ExchangeError::not_sent)?;
         exchange(&connections, id, connection, HostMessage::Probe { host: &host }, || ()).await
     };
-    let reply = timeout(connections.connect() * PROBE_CONNECT_TIMEOUTS, probe).await;
+    let reply = timeout(connections.connect_timeout() * PROBE_CONNECT_TIMEOUTS, probe).await;
     report.ended(reply.ok().and_then(Result::ok));
 }
--- a/crates/gateway/src/http/client_codec.rs
+++ b/crates/gateway/src/http/client_codec.rs
@@ -111,7 +111,7 @@
             Err(_) => self.fail(InvalidRequest::Malformed),
             Ok(BodyProgress::TooLarge) => self.fail(InvalidRequest::BodyTooLarge),
             Ok(BodyProgress::Partial) => None,
-            Ok(BodyProgress::Whole(body)) => self.pending.take().map(|pending| pending.complete(body)),
+            Ok(BodyProgress::Complete(body)) => self.pending.take().map(|pending| pending.complete(body)),
         })
     }
 }
--- a/crates/gateway/src/http/host_codec.rs
+++ b/crates/gateway/src/http/host_codec.rs
@@ -185,7 +185,7 @@
         match pending.body.take(from, ended, MAX_REPLY)? {
             BodyProgress::TooLarge => Err(ReplyError::TooLarge.into()),
             BodyProgress::Partial => Ok(None),
-            BodyProgress::Whole(body) => {
+            BodyProgress::Complete(body) => {
                 Ok(self.pending.take().map(|pending| HostReply { body, ..pending.reply }))
             }
         }
--- a/crates/http/src/codec/body_reader.rs
+++ b/crates/http/src/codec/body_reader.rs
@@ -40,7 +40,7 @@
             return Err(ProtocolError::OutOfMemory { needed: known });
         }
         match body.take(from, ended, self.limit)? {
-            BodyProgress::Whole(body) => Ok(Some(body)),
+            BodyProgress::Complete(body) => Ok(Some(body)),
             BodyProgress::Partial => Ok(None),
             BodyProgress::TooLarge => Err(too_large),
         }
--- a/crates/http/src/codec/client.rs
+++ b/crates/http/src/codec/client.rs
@@ -49,7 +49,7 @@
             }
         }
         let Some((response, body)) = &mut self.partial else { return Ok(None) };
-        let Some(body) = self.body_reader.read(body, &mut response.held, from, ended)? else {
+        let Some(body) = self.body_reader.read(body, &mut response.reserved, from, ended)? else {
             return Ok(None);
         };
         Ok(self.partial.take().map(|(response, _)| HostResponse { body, ..response }))
@@ -71,11 +71,11 @@
             let response = HostResponse {
                 status,
                 fields: HeaderValue::find_all(head.headers, self.wanted_headers),
-                passed: framing.forwarded,
+                forwarded: framing.forwarded,
                 body: Bytes::new(),
-                keep: !closes,
-                idle: keep_alive_timeout(head.headers),
-                held: None,
+                reusable: !closes,
+                idle_timeout: keep_alive_timeout(head.headers),
+                reserved: None,
             };
             self.partial = Some((response, body));
         }
@@ -126,7 +126,7 @@
     type Error = io::Error;
 
     fn encode(&mut self, request: OutgoingRequest, to: &mut BytesMut) -> io::Result<()> {
-        let OutgoingRequest { method, target, host, lines, body } = request;
+        let OutgoingRequest { method, target, host, header_lines: lines, body } = request;
         self.head_requested = method == "HEAD";
         to.reserve(USUAL_HEAD_BYTES + target.len() + lines.len() + body.len());
         for part in [method, " ", target, " HTTP/1.1\r\nHost: ", host, "\r\n"] {
--- a/crates/http/src/codec/messages.rs
+++ b/crates/http/src/codec/messages.rs
@@ -23,7 +23,7 @@
     /// The client wants the connection closed after the response.
     pub close: bool,
     /// Memory reserved for the body.
-    pub held: Option<ReservedBytes>,
+    pub reserved: Option<ReservedBytes>,
 }
 
 /// A request, or the status with which it is rejected; after that the connection ends.
@@ -32,7 +32,7 @@
     /// A complete request.
     Request(Box<Request>),
     /// Rejected with this 4xx.
-    Bad(u16),
+    Rejected(u16),
 }
 
 /// A response to be sent.
@@ -41,7 +41,7 @@
     /// The status code.
     pub status: u16,
     /// Header lines but those about framing, each with its CRLF.
-    pub lines: Vec<u8>,
+    pub header_lines: Vec<u8>,
     /// The body; not sent in response to `HEAD`.
     pub body: Bytes,
     /// Announces that the connection is closed after the response.
@@ -58,7 +58,7 @@
     pub fn json(status: u16, body: impl Into<Bytes>) -> Response {
         Response {
             status,
-            lines: b"Content-Type: application/json\r\n".to_vec(),
+            header_lines: b"Content-Type: application/json\r\n".to_vec(),
             body: body.into(),
             close: false,
         }
@@ -67,7 +67,7 @@
     /// Adds a header line.
     pub fn with(mut self, name: &str, value: impl std::fmt::Display) -> Response {
         // Writing to a vector does not fail.
-        write!(self.lines, "{name}: {value}\r\n").ok();
+        write!(self.header_lines, "{name}: {value}\r\n").ok();
         self
     }
 }
@@ -82,7 +82,7 @@
     /// Value of the `Host` header.
     pub host: &'a str,
     /// Other header lines, each with its CRLF.
-    pub lines: &'a [u8],
+    pub header_lines: &'a [u8],
     /// The body.
     pub body: &'a [u8],
 }
@@ -95,13 +95,13 @@
     /// The headers that the codec was asked for, in the order of their names.
     pub fields: Vec<HeaderValue>,
     /// The other header lines, without the hop-by-hop ones, each with its CRLF.
-    pub passed: Vec<u8>,
+    pub forwarded: Vec<u8>,
     /// The complete body.
     pub body: Bytes,
     /// The connection can be used for another request.
-    pub keep: bool,
+    pub reusable: bool,
     /// Seconds for which the host keeps an idle connection, where it said so (`Keep-Alive: timeout=`).
-    pub idle: Option<f64>,
+    pub idle_timeout: Option<f64>,
     /// Memory reserved for the body.
-    pub held: Option<ReservedBytes>,
+    pub reserved: Option<ReservedBytes>,
 }
--- a/crates/http/src/codec/server.rs
+++ b/crates/http/src/codec/server.rs
@@ -72,7 +72,7 @@
             }
         }
         let Some((request, body)) = &mut self.partial else { return Ok(None) };
-        let read = self.body_reader.read(body, &mut request.held, from, false);
+        let read = self.body_reader.read(body, &mut request.reserved, from, false);
         self.out_of_memory = matches!(read, Err(ProtocolError::OutOfMemory { .. }));
         match read {
             Ok(Some(body)) => {
@@ -115,7 +115,7 @@
             forwarded: framing.forwarded,
             body: Bytes::new(),
             close: framing.close || (is_http_1_0 && !framing.keep),
-            held: None,
+            reserved: None,
         };
         from.advance(length);
         self.omit_body = request.method == "HEAD";
@@ -142,7 +142,7 @@
             Ok(request) => Ok(request.map(Decoded::Request)),
             Err(Rejection(status)) => {
                 self.rejected = true;
-                Ok(Some(Decoded::Bad(status)))
+                Ok(Some(Decoded::Rejected(status)))
             }
         }
     }
@@ -152,7 +152,7 @@
     type Error = io::Error;
 
     fn encode(&mut self, response: Response, to: &mut BytesMut) -> io::Result<()> {
-        let Response { status, lines, body, close } = response;
+        let Response { status, header_lines: lines, body, close } = response;
         let sent_body = if self.omit_body { &[] } else { &body[..] };
         to.reserve(USUAL_HEAD_BYTES + lines.len() + sent_body.len());
         write!(to.writer(), "HTTP/1.1 {status} {}\r\n", reason_phrase(status))?;
--- a/crates/http/src/connection_pool.rs
+++ b/crates/http/src/connection_pool.rs
@@ -80,19 +80,19 @@
     /// It can be used.
     Quiet,
     /// The other end closed or reset it.
-    Ended,
+    Closed,
     /// There are bytes that nobody asked for: they would be taken for the response to the next request.
-    Spoke,
+    UnexpectedBytes,
 }
 
 /// Checks a connection on which no request is pending: its read buffer, and its socket by one system call.
 pub fn idle_state<C>(framed: &Framed<TcpStream, C>) -> IdleState {
     let mut byte = [MaybeUninit::uninit()];
     match socket2::SockRef::from(framed.get_ref()).peek(&mut byte) {
-        _ if !framed.read_buffer().is_empty() => IdleState::Spoke,
+        _ if !framed.read_buffer().is_empty() => IdleState::UnexpectedBytes,
         Err(error) if error.kind() == io::ErrorKind::WouldBlock => IdleState::Quiet,
-        Ok(0) | Err(_) => IdleState::Ended,
-        Ok(_) => IdleState::Spoke,
+        Ok(0) | Err(_) => IdleState::Closed,
+        Ok(_) => IdleState::UnexpectedBytes,
     }
 }
 
@@ -128,7 +128,7 @@
     }
 
     /// The longest wait for a new connection.
-    pub fn connect(&self) -> Duration {
+    pub fn connect_timeout(&self) -> Duration {
         self.connect_timeout
     }
 
--- a/crates/http/src/error.rs
+++ b/crates/http/src/error.rs
@@ -28,8 +28,6 @@
     },
     /// The connection ended within a message.
     Truncated,
-    /// Found by a codec outside this package.
-    Other(&'static str),
 }
 
 impl Display for ProtocolError {
@@ -45,7 +43,6 @@
                 write!(f, "body: no memory left for {needed} bytes among that set aside for large bodies")
             }
             ProtocolError::Truncated => f.write_str("message cut short by the end of its connection"),
-            ProtocolError::Other(what) => f.write_str(what),
         }
     }
 }
--- a/crates/http/src/frame.rs
+++ b/crates/http/src/frame.rs
@@ -13,11 +13,3 @@
 pub use chunked::ChunkedDecoder;
 pub use headers::{FramingHeaders, framing_headers, header};
 pub use reserved_bytes::ReservedBytes;
-
-use crate::error::ProtocolError;
-use std::io;
-
-/// An error of a codec outside this package, as [`ProtocolError::Other`].
-pub fn protocol_error(what: &'static str) -> io::Error {
-    ProtocolError::Other(what).into()
-}
--- a/crates/http/src/frame/body.rs
+++ b/crates/http/src/frame/body.rs
@@ -18,7 +18,7 @@
 /// What there is of a body.
 pub enum BodyProgress {
     /// All of it.
-    Whole(Bytes),
+    Complete(Bytes),
     /// More has to arrive.
     Partial,
     /// It is longer than it may be.
@@ -55,7 +55,7 @@
         match self {
             BodyLength::Sized(size) if *size > limit => Ok(BodyProgress::TooLarge),
             BodyLength::Sized(size) if from.len() >= *size => {
-                Ok(BodyProgress::Whole(from.split_to(*size).freeze()))
+                Ok(BodyProgress::Complete(from.split_to(*size).freeze()))
             }
             BodyLength::Sized(size) => {
                 from.reserve(*size - from.len());
@@ -66,10 +66,14 @@
                 if body.len() > limit {
                     return Ok(BodyProgress::TooLarge);
                 }
-                Ok(if complete { BodyProgress::Whole(body.split().freeze()) } else { BodyProgress::Partial })
+                Ok(if complete {
+                    BodyProgress::Complete(body.split().freeze())
+                } else {
+                    BodyProgress::Partial
+                })
             }
             BodyLength::ToEnd if from.len() > limit => Ok(BodyProgress::TooLarge),
-            BodyLength::ToEnd if ended => Ok(BodyProgress::Whole(from.split().freeze())),
+            BodyLength::ToEnd if ended => Ok(BodyProgress::Complete(from.split().freeze())),
             BodyLength::ToEnd => Ok(BodyProgress::Partial),
         }
     }
--- a/crates/http/tests/codec.rs
+++ b/crates/http/tests/codec.rs
@@ -21,7 +21,7 @@
     let mut decoded = Vec::new();
     while let Ok(Some(next)) = codec.decode(&mut buffer) {
         decoded.push(match next {
-            Decoded::Bad(status) => status.to_string(),
+            Decoded::Rejected(status) => status.to_string(),
             Decoded::Request(request) => format!(
                 "{} {} {:?} {:?}",
                 request.method,
@@ -69,7 +69,7 @@
         let mut codec = ServerCodec::new(&[], MAX_UNRESERVED_BODY * 4, memory(MAX_UNRESERVED_BODY));
         let head = format!("POST /a HTTP/1.1\r\nContent-Length: {length}\r\n\r\n");
         let decoded = codec.decode(&mut BytesMut::from(head.as_bytes()));
-        (matches!(decoded, Ok(Some(Decoded::Bad(413)))), codec.out_of_memory())
+        (matches!(decoded, Ok(Some(Decoded::Rejected(413)))), codec.out_of_memory())
     };
     assert_eq!(rejected_and_out_of_memory(MAX_UNRESERVED_BODY * 5), (true, false));
     assert_eq!(rejected_and_out_of_memory(MAX_UNRESERVED_BODY * 2), (true, true));
@@ -90,7 +90,7 @@
     server.encode(Response::json(405, "{}"), &mut response).unwrap();
     assert!(response.ends_with(b"\r\n\r\n"), "{response:?}");
     let mut client = ClientCodec::new(&[], 100, memory(1000));
-    let head = OutgoingRequest { method: "HEAD", target: "/a", host: "a", lines: b"", body: b"" };
+    let head = OutgoingRequest { method: "HEAD", target: "/a", host: "a", header_lines: b"", body: b"" };
     client.encode(head, &mut request).unwrap();
     assert!(matches!(client.decode(&mut response), Ok(Some(HostResponse { status: 405, .. }))));
     assert!(response.is_empty());
--- a/crates/http/tests/connection_pool.rs
+++ b/crates/http/tests/connection_pool.rs
@@ -57,12 +57,12 @@
         let (connection, host_side) = open(&pool, &listener).await;
         assert_eq!(idle_state(&connection.framed), IdleState::Quiet);
         drop(host_side);
-        assert_eq!(state_once_readable(&connection).await, IdleState::Ended);
+        assert_eq!(state_once_readable(&connection).await, IdleState::Closed);
         pool.put(HOST, connection, None);
         assert!(pool.take(HOST, address).is_none());
         let (connection, mut host_side) = open(&pool, &listener).await;
         host_side.write_all(b"x").await.unwrap();
-        assert_eq!(state_once_readable(&connection).await, IdleState::Spoke);
+        assert_eq!(state_once_readable(&connection).await, IdleState::UnexpectedBytes);
         pool.put(HOST, connection, None);
         assert!(pool.take(HOST, address).is_none());
     });
--- a/crates/http/tests/disconnect.rs
+++ b/crates/http/tests/disconnect.rs
@@ -32,7 +32,7 @@
 async fn next_target(server: &mut Server) -> Option<String> {
     match server.next().await?.ok()? {
         Decoded::Request(request) => Some(request.target),
-        Decoded::Bad(status) => Some(status.to_string()),
+        Decoded::Rejected(status) => Some(status.to_string()),
     }
 }
 
--- a/crates/quota/src/counter.rs
+++ b/crates/quota/src/counter.rs
@@ -23,7 +23,7 @@
 /// claim their own parts of the current windows again with their first adds; the parts of those that died as well are lost.
 /// The predecessor's lease, which is over by then, and this wait make up for the loss: a busy tenant's burst refills at its
 /// rate meanwhile.
-pub const NEW_HOLDER_SILENCE: f64 = 0.4;
+pub const NEW_HOLDER_WAIT: f64 = 0.4;
 
 /// The total of one key, which counts until `expires_at` (seconds, fleet clock).
 #[derive(Clone, Copy)]
--- a/crates/quota/src/counter_client.rs
+++ b/crates/quota/src/counter_client.rs
@@ -36,7 +36,7 @@
     /// Within the counted part of the quota.
     Granted,
     /// Beyond the counted part of the quota, or the counter does not reply; room is expected after this many seconds.
-    Refused(f64),
+    Rejected(f64),
 }
 
 /// A tenant's quota as configured, and the part of it that the counter grants.
@@ -49,7 +49,7 @@
     /// Requests on top of the rate that may come at once.
     pub burst: f64,
     /// Fraction that the counter grants, see [`crate::local_share::QuotaBound::counted_fraction`].
-    pub counted: f64,
+    pub counted_fraction: f64,
 }
 
 /// What the module asked of its driver since it was last collected.
@@ -68,10 +68,10 @@
         self.granted.push(request_id);
     }
     fn reject(&mut self, request_id: u32, retry_after: f64) {
-        self.verdicts.push((request_id, Verdict::Refused(retry_after)));
+        self.verdicts.push((request_id, Verdict::Rejected(retry_after)));
     }
     fn abort(&mut self, request_id: u32) {
-        self.verdicts.push((request_id, Verdict::Refused(0.0)));
+        self.verdicts.push((request_id, Verdict::Rejected(0.0)));
     }
     fn add_to_counter(&mut self, key: u64, amount: f64, lifetime: f64) {
         self.adds.push(CounterAdd { key, amount: amount as f32, lifetime: lifetime as f32 });
@@ -101,9 +101,6 @@
     pending_adds: usize,
 }
 
-/// Earlier name of [`CounterClient`].
-pub type Asker = CounterClient;
-
 impl CounterClient {
     /// A client without quotas; `seed` is for the module's random draws.
     pub fn new(now: f64, seed: u64) -> CounterClient {
@@ -122,7 +119,7 @@
     }
 
     /// Sets the quotas in force. A tenant keeps its plan's index, and with it what is known of its use.
-    pub fn quotas(&mut self, quotas: &[Quota]) {
+    pub fn set_quotas(&mut self, quotas: &[Quota]) {
         for plan in &mut self.plans {
             *plan = PlanLimits::default();
         }
@@ -240,8 +237,8 @@
 
 /// The counted part of a quota as the module's limits.
 fn plan_limits(quota: &Quota) -> PlanLimits {
-    let rate = quota.rate * quota.counted;
-    let burst = quota.burst * quota.counted;
+    let rate = quota.rate * quota.counted_fraction;
+    let burst = quota.burst * quota.counted_fraction;
     PlanLimits {
         rate,
         burst,
--- a/crates/quota/tests/pending_calls.rs
+++ b/crates/quota/tests/pending_calls.rs
@@ -198,9 +198,10 @@
 /// total must not grant the first one's request. Totals that are not finite grant nothing.
 #[test]
 fn lost_reply_grants_nothing_by_another_calls_total() {
-    let quota = |tenant: &str, rate| Quota { tenant: tenant.into(), rate, burst: rate, counted: 1.0 };
+    let quota =
+        |tenant: &str, rate| Quota { tenant: tenant.into(), rate, burst: rate, counted_fraction: 1.0 };
     let mut client = CounterClient::new(1000.0, 1);
-    client.quotas(&[quota("full", 1.0), quota("calm", 50.0)]);
+    client.set_quotas(&[quota("full", 1.0), quota("calm", 50.0)]);
     let (mut counter, mut calls) = (Counter::default(), PendingCalls::default());
     let request = |client: &mut CounterClient, calls: &mut PendingCalls, tenant: &str| {
         let id = client.request(1000.0, tenant, 1.0).unwrap();
--- a/crates/quota/tests/quota_bound.rs
+++ b/crates/quota/tests/quota_bound.rs
@@ -3,7 +3,7 @@
 //! twice and against rejections inside a quota.
 
 use archlink_messages::{CounterAdd, NodeRank};
-use archlink_quota::counter::{Counter, NEW_HOLDER_SILENCE};
+use archlink_quota::counter::{Counter, NEW_HOLDER_WAIT};
 use archlink_quota::counter_client::{CounterClient, Quota, Verdict};
 use archlink_quota::local_share::{LocalShare, QuotaBound};
 use archlink_quota::pending_calls::CallResult;
@@ -30,7 +30,7 @@
     fn new(index: usize, nodes: usize, quota: &Quota) -> DataNode {
         let mut client = CounterClient::new(START, index as u64);
         let counted = BOUND.counted_fraction(quota.rate, quota.burst, nodes as u32);
-        client.quotas(&[Quota { counted, ..quota.clone() }]);
+        client.set_quotas(&[Quota { counted_fraction: counted, ..quota.clone() }]);
         DataNode {
             client,
             share: LocalShare::new(START - BOUND.window),
@@ -108,7 +108,7 @@
 }
 
 fn quota(rate: f64, burst: f64) -> Quota {
-    Quota { tenant: "lab".into(), rate, burst, counted: 0.0 }
+    Quota { tenant: "lab".into(), rate, burst, counted_fraction: 0.0 }
 }
 
 fn allowed(quota: &Quota) -> f64 {
@@ -140,7 +140,7 @@
     for quota in [quota(120.0, 120.0), quota(8.0, 8.0)] {
         let term = |node: usize, now: f64| match now - START {
             t if node < 4 && (3.0..9.0).contains(&t) => 0,
-            t if (7.0..7.1 + NEW_HOLDER_SILENCE).contains(&t) => 0,
+            t if (7.0..7.1 + NEW_HOLDER_WAIT).contains(&t) => 0,
             t if t < 7.0 => 1,
             _ => 2,
         };
--- a/crates/simulation/src/runner/mod.rs
+++ b/crates/simulation/src/runner/mod.rs
@@ -149,7 +149,7 @@
             Action::Start(node) => self.fleet.start(node, false),
             Action::Join(node) => self.fleet.join(node),
             Action::ShutDown { node, then } => {
-                self.fleet.step(node, |control, now| control.leave(now));
+                self.fleet.step(node, |control, now| control.begin_shutdown(now));
                 let deadline = self.fleet.now + MAX_SHUTDOWN_DURATION;
                 self.schedule(MIN_SHUTDOWN_DURATION, Action::FinishShutdown { node, then, deadline });
             }
