--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -1,14 +1,19 @@
-//! The errors of this layer and the small forms that settings and configurations share. Must never guess: what cannot
-//! be read is an error that names the key, what was found and what is allowed.
+//! The error of this package: which key of a settings file or configuration has a value that is not allowed.
 
 use error_stack::Report;
 use std::fmt;
 
-/// Why a text was refused: the key, what stood there, and what may.
+/// Longest quotation of a found value, in characters, so that an error stays one readable line.
+const MAX_FOUND_CHARS: usize = 160;
+
+/// A value that is not allowed. Displays as `KEY: found FOUND, allowed is ALLOWED`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigError {
+    /// Path of the key in the text, for example `RouteTable.r-1.Timeout`.
     pub key: String,
+    /// The value found there, or the parser's description of it; at most 160 characters.
     pub found: String,
+    /// What the key allows.
     pub allowed: &'static str,
 }
 
@@ -20,37 +25,12 @@
 
 impl std::error::Error for ConfigError {}
 
-/// A refusal that names `key`; what was found is cut to a line's length.
-pub fn refuse(
+/// Reports that `key` has the value `found` where `allowed` is expected; a long value is truncated.
+pub fn invalid_value(
     key: impl Into<String>,
     found: impl fmt::Display,
     allowed: &'static str,
 ) -> Report<ConfigError> {
-    const MOST: usize = 160;
-    let found: String = found.to_string().chars().take(MOST).collect();
+    let found: String = found.to_string().chars().take(MAX_FOUND_CHARS).collect();
     Report::new(ConfigError { key: key.into(), found, allowed })
 }
-
-/// `1500ms` or `2.5s` in seconds; none where it is neither, negative or not finite.
-pub fn parse_seconds(text: &str) -> Option<f64> {
-    let (digits, scale) = match text.strip_suffix("ms") {
-        Some(digits) => (digits, 1e-3),
-        None => (text.strip_suffix('s')?, 1.0),
-    };
-    let plain = digits.bytes().all(|b| b.is_ascii_digit() || b == b'.');
-    digits.parse::<f64>().ok().filter(|n| plain && n.is_finite()).map(|n| n * scale)
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn times_carry_their_unit() {
-        assert_eq!(parse_seconds("1500ms"), Some(1.5));
-        assert_eq!(parse_seconds("2.5s"), Some(2.5));
-        for bad in ["", "s", "5", "-1s", "1e3s", "infs", "1 s", "1m"] {
-            assert_eq!(parse_seconds(bad), None, "{bad}");
-        }
-    }
-}
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,11 +1,17 @@
-//! What a process of the system is told: its settings file and the operator's configurations. Owns their names, their
-//! checks and the look-ups in them. Must never open a file or a socket, nor decide what follows from a value.
-#![forbid(unsafe_code)]
+//! Settings file of a process and routing configurations sent by operators: parsing, validation and look-ups.
+//!
+//! - [`Settings`] is read once, at the start of a process, from the settings file.
+//! - [`Configuration`] is a complete set of routes, services and tenants. Operators replace it at run time as a whole.
+//!
+//! Both are parsed from text into checked types in one step; an error names the key, the value found and the allowed
+//! values ([`ConfigError`]). This package does no I/O: callers hand it the text.
 
 mod configuration;
+mod duration;
 mod error;
 mod settings;
 
 pub use configuration::{Configuration, Route, Service, Tenant, WeightedService, version_of};
-pub use error::{ConfigError, parse_seconds};
+pub use duration::parse_seconds;
+pub use error::ConfigError;
 pub use settings::{Settings, TimingBounds};
--- a/crates/config/tests/configuration.rs
+++ b/crates/config/tests/configuration.rs
@@ -1,9 +1,10 @@
-//! A configuration as operators send it: every key that is read, where its value goes, and which key an error names.
+//! A configuration as operators send it: the field that each key is read into, the key and text of each error, and the
+//! look-ups of routes and tenants.
 
 use archlink_config::{Configuration, Route, Service, Tenant, WeightedService};
 use serde_json::{Value, json};
 
-fn whole_text() -> Value {
+fn complete_configuration() -> Value {
     json!({
         "ConfigVersion": "0000001f",
         "RouteTable": {
@@ -31,30 +32,33 @@
 
 #[test]
 fn every_key_of_a_configuration_is_read_into_its_field() {
-    let chart = Configuration::read(whole_text().to_string().as_bytes()).unwrap();
-    assert_eq!((chart.version, chart.keyed), (0x1f, true));
-    assert_eq!((chart.max_body, chart.header_timeout, chart.idle_timeout), (1000, 4.0, 20.5));
+    let configuration = Configuration::read(complete_configuration().to_string().as_bytes()).unwrap();
+    assert_eq!((configuration.version, configuration.keyed), (0x1f, true));
+    assert_eq!(
+        (configuration.max_body, configuration.header_timeout, configuration.idle_timeout),
+        (1000, 4.0, 20.5)
+    );
 
-    let [read, write] = chart.routes.as_slice() else { panic!("{:?}", chart.routes) };
+    let [read, write] = configuration.routes.as_slice() else { panic!("{:?}", configuration.routes) };
     let Route {
         name,
         origin,
-        path_prefix: prefix,
-        idempotent: repeatable,
+        path_prefix,
+        idempotent,
         timeout,
-        latency_target: goal,
-        priority: rank,
-        distribution: shares,
-        max_attempts: attempts,
+        latency_target,
+        priority,
+        distribution,
+        max_attempts,
         public,
-        home_regions: homes,
+        home_regions,
     } = read;
-    assert_eq!((name.as_str(), origin.as_str(), prefix.as_str()), ("read", "reports.example", "/read/"));
-    assert_eq!((*repeatable, *timeout, *goal, *rank), (true, 2.0, 0.5, 2));
-    let share = |service: &str, weight| WeightedService { service: service.into(), weight };
-    assert_eq!(shares, &[share("old", 90.0), share("new", 10.5)]);
-    assert_eq!((*attempts, *public), (3, true));
-    assert_eq!(homes, &["coast", "inland"]);
+    assert_eq!((name.as_str(), origin.as_str(), path_prefix.as_str()), ("read", "reports.example", "/read/"));
+    assert_eq!((*idempotent, *timeout, *latency_target, *priority), (true, 2.0, 0.5, 2));
+    let weighted = |service: &str, weight| WeightedService { service: service.into(), weight };
+    assert_eq!(distribution, &[weighted("old", 90.0), weighted("new", 10.5)]);
+    assert_eq!((*max_attempts, *public), (3, true));
+    assert_eq!(home_regions, &["coast", "inland"]);
     assert_eq!((write.name.as_str(), write.path_prefix.as_str()), ("write", "/write/"));
     assert_eq!(
         (write.idempotent, write.timeout, write.latency_target),
@@ -64,28 +68,23 @@
         (write.priority, write.max_attempts, write.public, write.home_regions.len()),
         (255, 1, false, 0)
     );
-    assert_eq!(write.distribution, [share("old", 1.0)]);
+    assert_eq!(write.distribution, [weighted("old", 1.0)]);
 
-    assert_eq!(chart.services.len(), 2);
-    let Service {
-        name,
-        health_path,
-        max_connections: connections,
-        warm_up_period: cold_period,
-        warm_up_rate: cold_rate,
-    } = &chart.services["old"];
-    assert_eq!((name.as_str(), health_path.as_str(), *connections), ("old", "/alive", 110));
-    assert_eq!((*cold_period, *cold_rate), (3.0, 7.5));
-    let new = &chart.services["new"];
+    assert_eq!(configuration.services.len(), 2);
+    let Service { name, health_path, max_connections, warm_up_period, warm_up_rate } =
+        &configuration.services["old"];
+    assert_eq!((name.as_str(), health_path.as_str(), *max_connections), ("old", "/alive", 110));
+    assert_eq!((*warm_up_period, *warm_up_rate), (3.0, 7.5));
+    let new = &configuration.services["new"];
     assert_eq!(
         (new.name.as_str(), new.health_path.as_str(), new.max_connections),
         ("new", "/health", usize::MAX)
     );
     assert_eq!((new.warm_up_period, new.warm_up_rate), (0.0, 0.0));
 
-    let [lab, guest] = chart.tenants.as_slice() else { panic!("{:?}", chart.tenants) };
-    let Tenant { name, keys, priority: rank, rate, burst, homes } = lab;
-    assert_eq!((name.as_str(), *rank, *rate, *burst), ("lab", Some(4), 76.5, 80.0));
+    let [lab, guest] = configuration.tenants.as_slice() else { panic!("{:?}", configuration.tenants) };
+    let Tenant { name, keys, priority, rate, burst, homes } = lab;
+    assert_eq!((name.as_str(), *priority, *rate, *burst), ("lab", Some(4), 76.5, 80.0));
     assert_eq!(
         (keys.as_slice(), homes.as_slice()),
         (&["key-1".into(), "key-2".into()][..], &["coast".into()][..])
@@ -95,20 +94,23 @@
 }
 
 #[test]
-fn optional_tables_that_are_left_out_have_these_values() {
-    let mut text = whole_text();
+fn missing_optional_tables_have_default_values() {
+    let mut text = complete_configuration();
     for key in ["Limits", "Subscribers"] {
         text.as_object_mut().unwrap().remove(key).unwrap();
     }
-    let chart = Configuration::read(text.to_string().as_bytes()).unwrap();
-    assert_eq!((chart.keyed, chart.tenants.len(), chart.max_body), (false, 0, 64 << 20));
-    assert_eq!((chart.header_timeout, chart.idle_timeout), (3.0, 15.0));
+    let configuration = Configuration::read(text.to_string().as_bytes()).unwrap();
+    assert_eq!(
+        (configuration.keyed, configuration.tenants.len(), configuration.max_body),
+        (false, 0, 64 << 20)
+    );
+    assert_eq!((configuration.header_timeout, configuration.idle_timeout), (3.0, 15.0));
 }
 
 #[test]
-fn a_value_that_is_not_allowed_is_refused_with_its_key_and_what_is_allowed() {
+fn value_that_is_not_allowed_is_rejected_with_key_and_allowed_values() {
     let time = "a time such as 1500ms or 2.5s";
-    for (at, value, key, found, allowed) in [
+    for (pointer, value, key, found, allowed) in [
         ("/ConfigVersion", json!("12x"), "ConfigVersion", "12x", "hexadecimal digits"),
         ("/RouteTable", json!(null), "RouteTable", "nothing", "a table"),
         ("/ServiceTable", json!(null), "ServiceTable", "nothing", "a table"),
@@ -179,29 +181,33 @@
             "a value for each of ColumnNames",
         ),
     ] {
-        let mut text = whole_text();
-        *text.pointer_mut(at).unwrap() = value;
-        let refused = Configuration::read(text.to_string().as_bytes()).unwrap_err();
-        let error = refused.current_context();
-        assert_eq!((error.key.as_str(), error.found.as_str(), error.allowed), (key, found, allowed), "{at}");
+        let mut text = complete_configuration();
+        *text.pointer_mut(pointer).unwrap() = value;
+        let rejected = Configuration::read(text.to_string().as_bytes()).unwrap_err();
+        let error = rejected.current_context();
+        assert_eq!(
+            (error.key.as_str(), error.found.as_str(), error.allowed),
+            (key, found, allowed),
+            "{pointer}"
+        );
     }
-    let refused = Configuration::read(b"\xff").unwrap_err();
+    let rejected = Configuration::read(b"\xff").unwrap_err();
     assert_eq!(
-        (refused.current_context().key.as_str(), refused.current_context().allowed),
+        (rejected.current_context().key.as_str(), rejected.current_context().allowed),
         ("configuration", "UTF-8")
     );
 }
 
 /// A wrong type in a row names the table and the row; elsewhere the error names the key in its text.
 #[test]
-fn a_value_of_another_type_is_refused_with_its_place() {
+fn value_of_wrong_type_is_rejected_with_its_table_and_row_or_key() {
     for table in ["RouteTable", "ServiceTable", "Subscribers"] {
-        let columns = whole_text()[table]["ColumnNames"].as_array().unwrap().len();
+        let columns = complete_configuration()[table]["ColumnNames"].as_array().unwrap().len();
         for column in 0..columns {
-            let mut text = whole_text();
+            let mut text = complete_configuration();
             text[table]["Records"][0][column] = json!({"Unexpected": 1});
-            let refused = Configuration::read(text.to_string().as_bytes()).unwrap_err();
-            let error = refused.current_context();
+            let rejected = Configuration::read(text.to_string().as_bytes()).unwrap_err();
+            let error = rejected.current_context();
             let place = format!("{table}.Records.0");
             assert_eq!(
                 (error.key.as_str(), error.allowed),
@@ -219,31 +225,106 @@
         ("Limits.HeaderTimeout", json!(1)),
         ("Limits.IdleTimeout", json!(1)),
     ] {
-        let mut text = whole_text();
+        let mut text = complete_configuration();
         *text.pointer_mut(&format!("/{}", at.replace('.', "/"))).unwrap() = value;
-        let refused = Configuration::read(text.to_string().as_bytes()).unwrap_err();
-        let error = refused.current_context();
+        let rejected = Configuration::read(text.to_string().as_bytes()).unwrap_err();
+        let error = rejected.current_context();
         assert_eq!((error.key.as_str(), error.allowed), ("configuration", "a whole configuration"));
         assert!(error.found.contains(&format!("{at}:")), "{at}: {error}");
     }
 }
 
-/// A row without a field that each row needs names that field.
 #[test]
-fn a_row_without_a_needed_column_is_refused_by_the_name_of_the_column() {
+fn row_without_required_column_is_rejected_with_the_name_of_the_column() {
     for (table, columns) in [
         ("RouteTable", &["Designation", "Origin", "PathPrefix", "Category"][..]),
         ("ServiceTable", &["Designation"]),
         ("Subscribers", &["Designation"]),
     ] {
         for column in columns {
-            let mut text = whole_text();
+            let mut text = complete_configuration();
             let names = text[table]["ColumnNames"].as_array_mut().unwrap();
             *names.iter_mut().find(|name| *name == column).unwrap() = json!("Other");
-            let refused = Configuration::read(text.to_string().as_bytes()).unwrap_err();
-            let error = refused.current_context();
+            let rejected = Configuration::read(text.to_string().as_bytes()).unwrap_err();
+            let error = rejected.current_context();
             let expected = (format!("{table}.Records.0"), format!("missing field `{column}`"));
             assert_eq!((error.key.clone(), error.found.clone()), expected);
         }
     }
 }
+
+const TWO_ROUTES: &str = r#"{"ConfigVersion":"0000000c","RouteTable":{"ColumnNames":["Designation","Origin",
+    "PathPrefix","Category","Timeout","Target","Precedence","Distribution","MaxAttempts","Public","HomeRegions",
+    "Service"],"Records":[["a","h.example","/a/","idempotent","2000ms","500ms",2,[{"Service":"s","Weight":90},
+    {"Service":"t","Weight":10}],2,false,[],null],["b","h.example","/a/b/","non_idempotent","1s","200ms",0,null,1,
+    true,["r"],"t"]]},"ServiceTable":{"ColumnNames":["Designation","HealthPath","MaxConnections","ColdPeriod",
+    "ColdRateS"],"Records":[["s","/health",110,"3s",7.5],["t","/health",110,"3s",7.5]]},"Subscribers":{
+    "ColumnNames":["Designation","Credentials","RatePerS","BurstSize"],"Records":[["x",["k","l"],76,76],
+    ["y",["m"],null,null]]}}"#;
+
+#[test]
+fn longest_matching_prefix_selects_the_route_and_the_key_its_tenant() {
+    let configuration = Configuration::read(TWO_ROUTES.as_bytes()).unwrap();
+    assert_eq!(configuration.version, 12);
+    let route_name =
+        |path| configuration.route("H.example", path).map(|index| configuration.routes[index].name.as_str());
+    assert_eq!(
+        (route_name("/a/x"), route_name("/a/b/x"), route_name("/a"), route_name("/c/")),
+        (Some("a"), Some("b"), None, None)
+    );
+    assert_eq!(
+        (configuration.tenant("l"), configuration.tenant("m"), configuration.tenant("")),
+        (Some(0), Some(1), None)
+    );
+    assert_eq!(configuration.tenants[1].rate, 0.0);
+}
+
+/// What the operators' page calls invalid is rejected as a whole.
+#[test]
+fn invalid_or_truncated_configuration_is_rejected_with_its_key() {
+    for (from, to, key) in [
+        ("\"Service\":\"t\"", "\"Service\":\"u\"", "RouteTable.a.Service"),
+        ("/a/b/", "/a/", "RouteTable.b.PathPrefix"),
+        ("\"Weight\":10", "\"Weight\":-1", "RouteTable.a.Distribution.Weight"),
+        ("2000ms", "0ms", "RouteTable.a.Timeout"),
+        ("null,1,", "null,0,", "RouteTable.b.MaxAttempts"),
+        ("\"/a/b/\"", "\"a/b/\"", "RouteTable.b.PathPrefix"),
+        ("[\"m\"]", "[\"k\"]", "Subscribers.y.Credentials"),
+        ("0000000c", "12x", "ConfigVersion"),
+        ("[\"y\",", "[\"y\",1,", "Subscribers.Records.1"),
+        ("RouteTable", "Routes", "RouteTable"),
+    ] {
+        let text = TWO_ROUTES.replacen(from, to, 1);
+        let rejected = Configuration::read(text.as_bytes()).unwrap_err();
+        assert_eq!(rejected.current_context().key, key);
+    }
+    for length in (0..TWO_ROUTES.len()).step_by(7) {
+        assert!(Configuration::read(&TWO_ROUTES.as_bytes()[..length]).is_err(), "truncated at {length}");
+    }
+}
+
+/// Operators read the parser's text, which quotes names of types that mirror the file.
+#[test]
+fn parse_errors_keep_their_text() {
+    for (pointer, value, expected) in [
+        (
+            "/RouteTable",
+            json!("x"),
+            "RouteTable: invalid type: string \"x\", expected struct PartialTableFile",
+        ),
+        ("/Limits", json!("x"), "Limits: invalid type: string \"x\", expected struct PartialLimitsFile"),
+        ("/RouteTable/Records/0/7/0", json!("x"), "invalid type: string \"x\", expected struct ShareRow"),
+        (
+            "/RouteTable/Records/0/7/0",
+            json!([]),
+            "invalid length 0, expected struct ShareRow with 2 elements",
+        ),
+    ] {
+        let mut text = complete_configuration();
+        *text.pointer_mut(pointer).unwrap() = value;
+        let rejected = Configuration::read(text.to_string().as_bytes()).unwrap_err();
+        assert!(rejected.current_context().found.contains(expected), "{rejected}");
+    }
+    let rejected = Configuration::read(b"1").unwrap_err();
+    assert!(rejected.current_context().found.contains("expected struct PartialFile"), "{rejected}");
+}
