--- a/crates/control-client/src/lib.rs
+++ b/crates/control-client/src/lib.rs
@@ -1,8 +1,10 @@
-//! A data gateway's core beside its requests: what it knows of configuration, hosts, gateways and duties (`views`, folded
-//! from a journal of what happened), and the session with a control gateway from which it hears all that (`session`). Each
-//! is handed time and words and gives back what to do; neither does I/O or reads a clock, so that a hundred of them can be
-//! played against the control plane's cores.
-#![forbid(unsafe_code)]
+//! A data node's side of the control protocol: its view of the fleet, and its session with one control node.
+//!
+//! - [`fleet_view::FleetView`] holds what the data node knows: configuration, hosts, nodes, lease holders, the cluster clock.
+//! - [`session::Session`] decides which control node to call, when to send heartbeats, what to request, and when to leave.
+//!
+//! Neither does I/O nor reads a clock. A driver passes in the time and the messages, and performs the actions that come
+//! back; tests run a hundred data nodes against the control nodes' own code in simulated time.
 
 pub mod fleet_view;
 pub mod session;
--- a/crates/control-client/src/session.rs
+++ b/crates/control-client/src/session.rs
@@ -1,252 +1,317 @@
-//! A data gateway's session with a control gateway: which one to call, when to hail it, what to pull, and when to leave it
-//! for another. Must never ask for a thing twice while it is on its way, nor stay with a control gateway that is silent or
-//! that no majority answers.
+//! A data node's session with a control node: which one to call, when to send heartbeats, what to request, and when to
+//! leave it for another.
+//!
+//! Invariants:
+//! - Nothing is requested again while an earlier request may still be answered.
+//! - A session ends once its control node doesn't answer, or itself has no quorum, early enough for the next control node
+//!   to confirm the configuration before the lease expires.
+
+mod candidates;
+mod end_reason;
+
+pub use end_reason::{EndReason, SessionEnded};
 
 use crate::fleet_view::{Event, FleetView, ViewChange};
-use archlink_messages::{DataNode, Message, NodeId};
-use std::cmp::Ordering;
+use archlink_messages::{DataNode, Heartbeat, Message, NodeId, StateUpdate};
+use candidates::{Candidate, Distance, sorted_candidates};
 use std::collections::HashMap;
 
-/// Between two signs of life.
-const HAIL_EVERY: f64 = 0.4;
-/// Three hails without an answer: the control gateway is left.
-const SILENT: f64 = 1.3;
-/// A control gateway that no majority has answered for so long is cut off itself: another may not be. Slow disks at a
-/// majority make it wait for less.
-const STALE: f64 = 2.5;
-/// But so much of a lease must be left: the next one may not be reached, or be cut off as well and silent.
-const LEFT: f64 = 1.8;
-/// What was asked for and has not come is asked for again after this.
-const PULL_AGAIN: f64 = 1.0;
-/// After a configuration the next one may wait so long: to read one whole takes a small machine's time from its requests, and
-/// of several in quick succession only the last one counts.
-const CHART_REST: f64 = 0.4;
-/// A control gateway that failed is called after all others for so long.
-const SHUN: f64 = 5.0;
-/// How long a session in another zone stands before a nearer control gateway is tried again.
-const NEARER: f64 = 10.0;
-/// Between the end of one session and the next call.
-const AGAIN: f64 = 0.1;
-/// News is passed on this soon: what comes at once goes in one hail.
-const SOON: f64 = 0.02;
-
-/// How far a control gateway is: the own zone, the own region, elsewhere, or only its address is known.
-const UNPLACED: u8 = 3;
+// All times and durations are in seconds.
+
+/// Between two heartbeats.
+const HEARTBEAT_INTERVAL: f64 = 0.4;
+/// Without an answer for so long, three heartbeats, the control node is left.
+const ANSWER_TIMEOUT: f64 = 1.3;
+/// A control node without a quorum for so long is partitioned itself: another may not be. Slow disks at a majority delay
+/// the quorum's answers by less.
+const QUORUM_TIMEOUT: f64 = 2.5;
+/// Least lease that is left when a control node without a quorum is given up: the next one may be unreachable, or
+/// partitioned too and not answering.
+const MIN_REMAINING_LEASE: f64 = 1.8;
+/// Until a request for updates that was not answered is sent again.
+const UPDATE_REQUEST_TIMEOUT: f64 = 1.0;
+/// Between a configuration and the request for the next one. Parsing a large one takes a small machine's time from its
+/// requests, and of several in quick succession only the last one matters.
+const CONFIGURATION_INTERVAL: f64 = 0.4;
+/// How long a session with a farther control node lasts before a nearer one is tried again.
+const NEARER_NODE_INTERVAL: f64 = 10.0;
+/// Between the end of a session and the next call.
+const RECONNECT_DELAY: f64 = 0.1;
+/// Delay of a heartbeat that carries a change, so that changes at the same time share one.
+const COALESCING_DELAY: f64 = 0.02;
 
 /// What the driver is to do.
 #[derive(Clone, Debug)]
 pub enum SessionAction {
-    /// Open a connection to this control gateway and tell `called` what came of it.
+    /// Open a connection to this control node, and report the result to [`Session::connected`].
     Connect(NodeId),
+    /// Close the connection.
     Disconnect,
+    /// Send a message on the connection.
     Send(Message),
-    /// A line for the log.
-    Warn(String),
+    /// Log a warning.
+    Warn(SessionEnded),
 }
 
-/// Where a data gateway stands, and the control gateways that it was told of at its start.
+/// A data node's place, and the control nodes that its settings name.
 #[derive(Clone, Debug)]
 pub struct LocalNode {
+    /// Number of this data node.
     pub node: NodeId,
+    /// Its zone.
     pub zone: String,
+    /// Its region.
     pub region: String,
+    /// Control nodes to call where no others are known.
     pub seeds: Vec<NodeId>,
 }
 
-struct Standing {
-    node: NodeId,
-    far: u8,
-    began: f64,
-    heard: f64,
-    /// When a majority was last known to answer it.
-    fresh: f64,
-    pulled: f64,
-    /// Nothing is pulled before.
-    rest_until: f64,
-    /// Hails out, by number, with the time of each.
-    sent: HashMap<u64, f64>,
-    hail_at: f64,
+struct EstablishedSession {
+    peer: Candidate,
+    established_at: f64,
+    last_answer_at: f64,
+    /// When a quorum last answered the control node.
+    last_quorum_at: f64,
+    /// When updates were requested that have not arrived yet.
+    update_requested_at: f64,
+    /// No updates are requested before.
+    next_request_at: f64,
+    /// Heartbeats that are not answered yet: serial and time sent.
+    unanswered: HashMap<u64, f64>,
+    next_heartbeat_at: f64,
+}
+
+impl EstablishedSession {
+    fn new(now: f64, peer: Candidate) -> EstablishedSession {
+        EstablishedSession {
+            peer,
+            established_at: now,
+            last_answer_at: now,
+            last_quorum_at: now,
+            update_requested_at: f64::NEG_INFINITY,
+            next_request_at: f64::NEG_INFINITY,
+            unanswered: HashMap::new(),
+            next_heartbeat_at: now,
+        }
+    }
+
+    /// Takes up a heartbeat of the control node, and requests what is missing.
+    fn receive_heartbeat(
+        &mut self,
+        now: f64,
+        heartbeat: Heartbeat,
+        view: &mut FleetView,
+    ) -> (Vec<SessionAction>, Vec<ViewChange>) {
+        let requested_at = self.unanswered.remove(&heartbeat.serial);
+        if requested_at.is_some() {
+            self.last_answer_at = now;
+            self.unanswered.retain(|serial, _| *serial > heartbeat.serial);
+        }
+        let quorum_at = heartbeat.confirmed_age.map_or(f64::NEG_INFINITY, |age| now - age.max(0.0));
+        self.last_quorum_at = self.last_quorum_at.max(quorum_at);
+        let is_behind = view.is_behind(&heartbeat.versions);
+        let changes = view.append(now, Event::Heartbeat { heartbeat, requested_at });
+        if is_behind && self.may_request_updates(now) {
+            self.update_requested_at = now;
+            let request = Message::UpdateRequest(view.versions().clone());
+            return (vec![SessionAction::Send(request)], changes);
+        }
+        (Vec::new(), changes)
+    }
+
+    /// Whether no request is on its way; on a slow link a second one would have the answer sent twice.
+    fn may_request_updates(&self, now: f64) -> bool {
+        now > self.update_requested_at + UPDATE_REQUEST_TIMEOUT && now >= self.next_request_at
+    }
+
+    /// Takes up the updates that were requested.
+    fn receive_updates(
+        &mut self,
+        now: f64,
+        updates: Vec<StateUpdate>,
+        view: &mut FleetView,
+    ) -> Vec<ViewChange> {
+        self.update_requested_at = f64::NEG_INFINITY;
+        // What the control node confirms may be present here only now.
+        self.next_heartbeat_at = now;
+        let changes: Vec<ViewChange> =
+            updates.into_iter().flat_map(|update| view.append(now, Event::Update(update))).collect();
+        if changes.iter().any(|change| matches!(change, ViewChange::Configuration(_))) {
+            self.next_request_at = now + CONFIGURATION_INTERVAL;
+        }
+        changes
+    }
+
+    /// Why the control node has to be left, if it has to.
+    fn failure(&self, now: f64, lease: f64) -> Option<EndReason> {
+        let quorum_timeout = QUORUM_TIMEOUT.min(lease - MIN_REMAINING_LEASE).max(HEARTBEAT_INTERVAL);
+        if now > self.last_answer_at + ANSWER_TIMEOUT {
+            Some(EndReason::AnswerTimeout)
+        } else if now > self.last_quorum_at + quorum_timeout {
+            Some(EndReason::NoQuorum)
+        } else {
+            None
+        }
+    }
+
+    /// Whether to leave for a control node at the distance `nearest`.
+    fn yields_to(&self, now: f64, nearest: Option<Distance>) -> bool {
+        let is_nearer = nearest.is_some_and(|nearest| nearest < self.peer.distance);
+        let is_due = now > self.established_at + NEARER_NODE_INTERVAL;
+        is_nearer && (is_due || self.peer.distance == Distance::Unknown)
+    }
 }
 
 enum Phase {
-    Resting(f64),
-    Calling(NodeId, u8),
-    Standing(Box<Standing>),
+    /// Without a connection, until `reconnect_at`.
+    Idle {
+        reconnect_at: f64,
+    },
+    /// The driver opens a connection.
+    Connecting(Candidate),
+    Established(Box<EstablishedSession>),
 }
 
+/// A data node's session with a control node, or its search for one. Times are seconds on the monotonic clock.
 pub struct Session {
-    place: LocalNode,
+    local: LocalNode,
     phase: Phase,
-    failed: HashMap<NodeId, f64>,
-    serial: u64,
+    /// When a session or call last failed, for each control node.
+    failed_at: HashMap<NodeId, f64>,
+    last_serial: u64,
 }
 
 impl Session {
-    pub fn new(place: LocalNode) -> Session {
-        Session { place, phase: Phase::Resting(f64::NEG_INFINITY), failed: HashMap::new(), serial: 0 }
+    /// Without a connection; the first [`Session::tick`] calls a control node.
+    pub fn new(local: LocalNode) -> Session {
+        let phase = Phase::Idle { reconnect_at: f64::NEG_INFINITY };
+        Session { local, phase, failed_at: HashMap::new(), last_serial: 0 }
     }
 
-    /// Control gateways, those to call first at the front, with how far each is.
-    fn order(&self, now: f64, views: &FleetView) -> Vec<(NodeId, u8)> {
-        let far = |k: &archlink_messages::ControlNode| {
-            if k.zone == self.place.zone { 0 } else { 1 + u8::from(k.region != self.place.region) }
-        };
-        let mut all: Vec<(NodeId, u8)> = views.control_nodes().iter().map(|k| (k.node, far(k))).collect();
-        for &node in self.place.seeds.iter().chain(views.known_control_nodes()) {
-            if !all.iter().any(|(known, _)| *known == node) {
-                all.push((node, UNPLACED));
-            }
-        }
-        // Of several that failed the one that did so first is tried again first: the nearest one would be called again and again,
-        // and one that is cut off names no other control gateway, so that it is the nearest.
-        let since = |node: &NodeId| self.failed.get(node).filter(|at| now < **at + SHUN).copied();
-        // Among equals each data gateway has an order of its own, so that they don't all call the same one.
-        let own = |node: &NodeId| (node ^ self.place.node).wrapping_mul(0x9e37_79b9);
-        let first = |a: &NodeId, b: &NodeId| since(a).partial_cmp(&since(b)).unwrap_or(Ordering::Equal);
-        all.sort_by_key(|(node, far)| (*far, own(node)));
-        all.sort_by(|(a, _), (b, _)| first(a, b));
-        all
-    }
-
-    /// When to call `tick`.
+    /// When to call [`Session::tick`]; infinity while the driver opens a connection.
     pub fn wake_at(&self) -> f64 {
         match &self.phase {
-            Phase::Resting(until) => *until,
-            Phase::Calling(..) => f64::INFINITY,
-            Phase::Standing(standing) => standing.hail_at,
+            Phase::Idle { reconnect_at } => *reconnect_at,
+            Phase::Connecting(_) => f64::INFINITY,
+            Phase::Established(established) => established.next_heartbeat_at,
         }
     }
 
-    /// The control gateway in session with this gateway.
+    /// The control node in session.
     pub fn peer(&self) -> Option<NodeId> {
-        if let Phase::Standing(standing) = &self.phase { Some(standing.node) } else { None }
+        match &self.phase {
+            Phase::Established(established) => Some(established.peer.node),
+            _ => None,
+        }
     }
 
-    /// The control gateways that the settings file names now.
+    /// Replaces the seed nodes, as the settings file names others by now.
     pub fn set_seeds(&mut self, seeds: Vec<NodeId>) {
-        self.place.seeds = seeds;
+        self.local.seeds = seeds;
     }
 
-    /// What a hail carries has changed.
+    /// Sends the next heartbeat soon: what it carries has changed.
     pub fn heartbeat_soon(&mut self, now: f64) {
-        if let Phase::Standing(standing) = &mut self.phase {
-            standing.hail_at = standing.hail_at.min(now + SOON);
+        if let Phase::Established(established) = &mut self.phase {
+            established.next_heartbeat_at = established.next_heartbeat_at.min(now + COALESCING_DELAY);
         }
     }
 
-    fn end(&mut self, now: f64, node: NodeId, why: &str) -> Vec<SessionAction> {
-        self.failed.insert(node, now);
-        self.phase = Phase::Resting(now + AGAIN);
-        let name = std::net::Ipv4Addr::from(node);
-        vec![SessionAction::Disconnect, SessionAction::Warn(format!("session with {name} ended: {why}"))]
-    }
-
-    /// What came of a call.
+    /// Reports the result of [`SessionAction::Connect`]; an error is the reason for the log.
     pub fn connected(&mut self, now: f64, result: Result<(), String>) -> Vec<SessionAction> {
-        let Phase::Calling(node, far) = self.phase else { return Vec::new() };
-        if let Err(why) = result {
-            return self.end(now, node, &why);
+        let Phase::Connecting(candidate) = self.phase else { return Vec::new() };
+        if let Err(reason) = result {
+            return self.end(now, candidate.node, EndReason::Connection(reason));
         }
-        let (began, heard, fresh, hail_at) = (now, now, now, now);
-        let (pulled, rest_until, sent) = (f64::NEG_INFINITY, f64::NEG_INFINITY, HashMap::new());
-        let standing = Standing { node, far, began, heard, fresh, pulled, rest_until, sent, hail_at };
-        self.phase = Phase::Standing(Box::new(standing));
+        self.phase = Phase::Established(Box::new(EstablishedSession::new(now, candidate)));
         Vec::new()
     }
 
-    /// The connection ended.
-    pub fn connection_lost(&mut self, now: f64, why: &str) -> Vec<SessionAction> {
+    /// Reports that the connection ended, with the reason for the log.
+    pub fn connection_lost(&mut self, now: f64, reason: &str) -> Vec<SessionAction> {
         match self.peer() {
-            Some(node) => self.end(now, node, why),
+            Some(peer) => self.end(now, peer, EndReason::Connection(reason.to_string())),
             None => Vec::new(),
         }
     }
 
-    /// A word of the control gateway; what it turned goes with the acts.
+    /// Takes up a message of the control node; returns what to do, and what changed in `view`.
     pub fn step(
         &mut self,
         now: f64,
-        word: Message,
-        views: &mut FleetView,
+        message: Message,
+        view: &mut FleetView,
     ) -> (Vec<SessionAction>, Vec<ViewChange>) {
-        let Phase::Standing(standing) = &mut self.phase else { return Default::default() };
-        match word {
-            Message::Heartbeat(beat) => {
-                let asked = standing.sent.remove(&beat.serial);
-                if asked.is_some() {
-                    standing.heard = now;
-                    standing.sent.retain(|number, _| *number > beat.serial);
-                }
-                let fresh = beat.confirmed_age.map_or(f64::NEG_INFINITY, |age| now - age.max(0.0));
-                standing.fresh = standing.fresh.max(fresh);
-                let lacks = views.is_behind(&beat.versions);
-                let turns = views.append(now, Event::Heartbeat { heartbeat: beat, requested_at: asked });
-                // What is on its way is not asked for twice: a narrow link would carry it twice.
-                if lacks && now > standing.pulled + PULL_AGAIN && now >= standing.rest_until {
-                    standing.pulled = now;
-                    return (
-                        vec![SessionAction::Send(Message::UpdateRequest(views.versions().clone()))],
-                        turns,
-                    );
-                }
-                (Vec::new(), turns)
-            }
-            Message::StateUpdates(pieces) => {
-                standing.pulled = f64::NEG_INFINITY;
-                // What it vouched for may be held only now.
-                standing.hail_at = now;
-                let told = pieces.into_iter().flat_map(|piece| views.append(now, Event::Update(piece)));
-                let turns: Vec<ViewChange> = told.collect();
-                if turns.iter().any(|turn| matches!(turn, ViewChange::Configuration(_))) {
-                    standing.rest_until = now + CHART_REST;
-                }
-                (Vec::new(), turns)
-            }
+        let Phase::Established(established) = &mut self.phase else { return Default::default() };
+        match message {
+            Message::Heartbeat(heartbeat) => established.receive_heartbeat(now, heartbeat, view),
+            Message::StateUpdates(updates) => (Vec::new(), established.receive_updates(now, updates, view)),
             _ => Default::default(),
         }
     }
 
-    /// `pilot` is what this gateway says of itself.
+    /// Does what is due: a call, a heartbeat, or the end of the session. `data_node` describes this node for a heartbeat.
     pub fn tick(
         &mut self,
         now: f64,
-        views: &FleetView,
+        view: &FleetView,
         data_node: impl FnOnce() -> DataNode,
     ) -> Vec<SessionAction> {
         if now < self.wake_at() {
             return Vec::new();
         }
-        if let Phase::Resting(_) = self.phase {
-            let Some(&(node, far)) = self.order(now, views).first() else {
-                self.phase = Phase::Resting(now + AGAIN);
-                return Vec::new();
-            };
-            self.phase = Phase::Calling(node, far);
-            return vec![SessionAction::Connect(node)];
-        }
-        let nearest = self.order(now, views).first().map(|(_, far)| *far);
-        let Phase::Standing(standing) = &mut self.phase else { return Vec::new() };
-        let node = standing.node;
-        if now > standing.heard + SILENT {
-            return self.end(now, node, "it is silent");
+        match self.phase {
+            Phase::Idle { .. } => self.connect(now, view),
+            Phase::Connecting(_) => Vec::new(),
+            Phase::Established(_) => self.send_heartbeat(now, view, data_node),
         }
-        if now > standing.fresh + STALE.min(views.lease() - LEFT).max(HAIL_EVERY) {
-            return self.end(now, node, "no majority answers it");
+    }
+
+    /// Calls the first candidate.
+    fn connect(&mut self, now: f64, view: &FleetView) -> Vec<SessionAction> {
+        let Some(candidate) = self.first_candidate(now, view) else {
+            self.phase = Phase::Idle { reconnect_at: now + RECONNECT_DELAY };
+            return Vec::new();
+        };
+        self.phase = Phase::Connecting(candidate);
+        vec![SessionAction::Connect(candidate.node)]
+    }
+
+    /// Sends a heartbeat, unless the session has to end.
+    fn send_heartbeat(
+        &mut self,
+        now: f64,
+        view: &FleetView,
+        data_node: impl FnOnce() -> DataNode,
+    ) -> Vec<SessionAction> {
+        let nearest = self.first_candidate(now, view).map(|candidate| candidate.distance);
+        let Phase::Established(established) = &mut self.phase else { return Vec::new() };
+        if let Some(reason) = established.failure(now, view.lease()) {
+            let peer = established.peer.node;
+            return self.end(now, peer, reason);
         }
-        let nearer = nearest.is_some_and(|first| first < standing.far);
-        if nearer && (now > standing.began + NEARER || standing.far == UNPLACED) {
-            self.phase = Phase::Resting(now);
+        if established.yields_to(now, nearest) {
+            self.phase = Phase::Idle { reconnect_at: now };
             return vec![SessionAction::Disconnect];
         }
-        self.serial += 1;
-        standing.sent.insert(self.serial, now);
-        standing.hail_at = now + HAIL_EVERY;
-        let (serial, clock, terms) = (self.serial, views.cluster_clock(now), views.leases().to_vec());
+        self.last_serial += 1;
+        established.unanswered.insert(self.last_serial, now);
+        established.next_heartbeat_at = now + HEARTBEAT_INTERVAL;
         vec![SessionAction::Send(Message::SessionHeartbeat {
-            serial,
+            serial: self.last_serial,
             data_node: data_node(),
-            clock,
-            leases: terms,
+            clock: view.cluster_clock(now),
+            leases: view.leases().to_vec(),
         })]
     }
+
+    fn first_candidate(&self, now: f64, view: &FleetView) -> Option<Candidate> {
+        sorted_candidates(now, &self.local, view, &self.failed_at).first().copied()
+    }
+
+    fn end(&mut self, now: f64, peer: NodeId, reason: EndReason) -> Vec<SessionAction> {
+        self.failed_at.insert(peer, now);
+        self.phase = Phase::Idle { reconnect_at: now + RECONNECT_DELAY };
+        vec![SessionAction::Disconnect, SessionAction::Warn(SessionEnded { peer, reason })]
+    }
 }
--- /dev/null
+++ b/crates/control-client/tests/fleet_view.rs
@@ -0,0 +1,124 @@
+//! The fleet view by itself: what confirms a configuration, and messages that are late, repeated or out of order.
+
+use archlink_control_client::fleet_view::{Event, FleetView, ViewChange};
+use archlink_messages::{
+    AcceptedValue, Heartbeat, HostList, LeaseGrant, NodeId, Register, SingletonRole, StateUpdate,
+    VersionVector, VoterSet, patch,
+};
+use std::time::Duration;
+
+/// How long a confirmation is valid, in seconds.
+const LEASE: f64 = 4.3;
+/// Longest search for a smaller case of a failure.
+const SHRINK_TIME: Duration = Duration::from_secs(5);
+
+/// A heartbeat that confirms these versions, asked for at `now`.
+fn heartbeat(
+    now: f64,
+    serial: u64,
+    confirmed_age: f64,
+    versions: VersionVector,
+    leases: Vec<LeaseGrant>,
+) -> Event {
+    let heartbeat = Heartbeat {
+        serial,
+        cluster_clock: 0.0,
+        confirmed_age: Some(confirmed_age),
+        versions,
+        leases,
+        voter_set: VoterSet::default(),
+        recovered: true,
+        suspected: Vec::new(),
+    };
+    Event::Heartbeat { heartbeat, requested_at: Some(now) }
+}
+
+/// A configuration with one route, packed by itself.
+fn packed_configuration(version: u64) -> bytes::Bytes {
+    let text = format!(
+        r#"{{"ConfigVersion":"{version:08x}","RouteTable":{{"ColumnNames":["Designation","Origin","PathPrefix","Category",
+        "Service"],"Records":[["r","h.example","/r/","idempotent","s"]]}},"ServiceTable":{{"ColumnNames":["Designation"],
+        "Records":[["s"]]}}}}"#
+    );
+    patch::compress(text.as_bytes(), b"").unwrap().into()
+}
+
+fn configuration_update(stamp: u64) -> Event {
+    let packed = packed_configuration(stamp - 1);
+    Event::Update(StateUpdate::ConfigurationPatch { stamp, base: 0, packed })
+}
+
+fn evacuations_update(revision: u64) -> Event {
+    let accepted = AcceptedValue { revision, ..AcceptedValue::default() };
+    Event::Update(StateUpdate::Chosen(Register::Evacuations, accepted))
+}
+
+/// Guards against a data node that puts a configuration in force, or counts it as confirmed, while it lacks the evacuated
+/// zones that its control node has; and against a confirmation of a configuration that it has yet to request.
+#[test]
+fn configuration_is_not_confirmed_while_a_version_is_missing() {
+    let mut view = FleetView::new(LEASE);
+    let confirm = |view: &mut FleetView, now: f64, configuration, evacuations| {
+        let versions = VersionVector { configuration, evacuations, ..VersionVector::default() };
+        view.append(now, heartbeat(now, 1, 0.1, versions, Vec::new()));
+        view.is_confirmed(now)
+    };
+    assert!(view.append(1.0, configuration_update(8)).is_empty() && view.configuration().is_none());
+    assert!(!confirm(&mut view, 1.0, 8, 3) && view.configuration().is_none(), "zones are missing");
+    view.append(1.1, evacuations_update(3));
+    assert!(!confirm(&mut view, 1.1, 9, 3), "a configuration is missing");
+    assert!(confirm(&mut view, 1.2, 8, 3) && view.configuration().is_some());
+    // The next one is in force at once, under the confirmation of the last: it can only be newer.
+    assert!(matches!(view.append(2.0, configuration_update(9))[..], [ViewChange::Configuration(_)]));
+    assert!(view.is_confirmed(1.0 + LEASE) && !view.is_confirmed(1.2 + LEASE));
+}
+
+/// One of the four kinds of messages, with the version `n` from 1 to 8.
+fn message(now: f64, kind: u8, n: u64, configurations: &[bytes::Bytes]) -> Event {
+    match kind {
+        0 => {
+            let packed = configurations[n as usize - 1].clone();
+            Event::Update(StateUpdate::ConfigurationPatch { stamp: n, base: 0, packed })
+        }
+        1 => evacuations_update(n),
+        2 => {
+            Event::Update(StateUpdate::HostList(HostList { term: n, version: 9 - n, instances: Vec::new() }))
+        }
+        _ => {
+            let versions = VersionVector { configuration: n, evacuations: n, ..VersionVector::default() };
+            let lease = LeaseGrant { role: SingletonRole::QuotaCounter, holder: n as NodeId, term: n };
+            heartbeat(now, n, 0.0, versions, vec![lease])
+        }
+    }
+}
+
+/// Messages of control nodes late, repeated and out of order: no version goes back, and only what is present is confirmed.
+#[test]
+fn messages_in_any_order_take_no_version_back_and_confirm_only_what_is_present() {
+    const HEARTBEAT: u8 = 3;
+    let configurations: Vec<bytes::Bytes> = (1..9).map(packed_configuration).collect();
+    bolero::check!()
+        .with_iterations(300)
+        .with_shrink_time(SHRINK_TIME)
+        .with_type::<Vec<(u8, u8)>>()
+        .for_each(|messages| {
+            let mut view = FleetView::new(LEASE);
+            let mut now = 1.0;
+            for (kind, n) in messages.iter().map(|(kind, n)| (kind % 4, u64::from(n % 8) + 1)) {
+                now += 1.0;
+                let (before, holder_before) = (view.versions().clone(), view.counter_holder());
+                let was_confirmed = view.is_confirmed(now);
+                view.append(now, message(now, kind, n, &configurations));
+                let after = view.versions();
+                assert!(
+                    after.configuration >= before.configuration && after.evacuations >= before.evacuations
+                );
+                assert!(after.hosts >= before.hosts);
+                assert!(view.counter_holder().map(|(_, term)| term) >= holder_before.map(|(_, term)| term));
+                let is_present = kind == HEARTBEAT && after.configuration == n && after.evacuations >= n;
+                assert!(was_confirmed || !view.is_confirmed(now) || is_present);
+                let in_force = view.configuration();
+                assert!(in_force.is_none_or(|configuration| configuration.version == after.configuration));
+            }
+        });
+}
