--- a/crates/control-client/tests/partitions.rs
+++ b/crates/control-client/tests/partitions.rs
@@ -13,7 +13,7 @@
 const SHRINK_TIME: Duration = Duration::from_secs(5);
 
 /// All in session, with a configuration in force.
-fn settled_fleet() -> SimulatedFleet {
+fn converged_fleet() -> SimulatedFleet {
     let mut fleet = SimulatedFleet::new(DATA_NODES);
     fleet.run(2.0);
     fleet.propose_configuration(4, 1, 10);
@@ -27,7 +27,7 @@
 #[test]
 fn partitioned_control_node_costs_no_data_node_its_lease() {
     for (outbound, inbound) in [(true, true), (true, false), (false, true)] {
-        let mut fleet = settled_fleet();
+        let mut fleet = converged_fleet();
         for node in [6, 1] {
             fleet.set_partitioned(node, 1..=6, outbound, inbound);
             for n in 0..640 {
@@ -48,7 +48,7 @@
 #[test]
 fn flapping_partition_costs_no_data_node_its_lease() {
     for length in [0.7, 1.9, 3.1, 6.0] {
-        let mut fleet = settled_fleet();
+        let mut fleet = converged_fleet();
         for _ in 0..6 {
             for is_partitioned in [true, false] {
                 fleet.set_partitioned(6, 1..=6, is_partitioned, is_partitioned);
@@ -67,7 +67,7 @@
 fn late_starter_puts_nothing_in_force_that_was_replaced_longer_than_a_lease_ago() {
     let mut started = 0;
     for delay in [0.0, 1.0, 3.0, 5.0, 20.0, 60.0] {
-        let mut fleet = settled_fleet();
+        let mut fleet = converged_fleet();
         const LATE: NodeId = 200;
         fleet.set_partitioned(1, 2..=6, true, true);
         fleet.set_partitioned(LATE, 2..=6, true, true);
@@ -197,7 +197,7 @@
 /// knew of none, and the seeds were on the other side.
 #[test]
 fn data_node_in_session_with_a_lone_control_node_remembers_the_others() {
-    let mut fleet = settled_fleet();
+    let mut fleet = converged_fleet();
     let in_session_with_6 = |node: &NodeId| fleet.data_nodes[node].session.peer() == Some(6);
     let data_node = (FIRST_DATA_NODE..).find(in_session_with_6).unwrap();
     fleet.set_partitioned(6, 1..=5, true, true);
