--- a/crates/control-client/src/session/end_reason.rs
+++ b/crates/control-client/src/session/end_reason.rs
@@ -33,8 +33,8 @@
 impl fmt::Display for EndReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            EndReason::AnswerTimeout => f.write_str("it is silent"),
-            EndReason::NoQuorum => f.write_str("no majority answers it"),
+            EndReason::AnswerTimeout => f.write_str("no answer in time"),
+            EndReason::NoQuorum => f.write_str("no quorum answers it"),
             EndReason::Connection(reason) => f.write_str(reason),
         }
     }
--- a/crates/data-plane/src/control_session.rs
+++ b/crates/data-plane/src/control_session.rs
@@ -10,6 +10,7 @@
 use futures_util::{Stream, StreamExt};
 use std::collections::VecDeque;
 use std::io;
+use std::net::Ipv4Addr;
 use std::pin::Pin;
 use std::rc::Rc;
 use std::time::Duration;
@@ -132,7 +133,10 @@
                     actions.extend(session.connection_lost(data_plane.clock.now(), "it does not read"));
                 }
             }
-            SessionAction::Warn(text) => log::warn!(detail = text.as_str(); "control session ended"),
+            SessionAction::Warn(ended) => {
+                let peer = Ipv4Addr::from(ended.peer);
+                log::warn!(peer:% = peer, reason:% = ended.reason; "control session ended");
+            }
         }
     }
 }
--- a/crates/data-plane/src/view_changes.rs
+++ b/crates/data-plane/src/view_changes.rs
@@ -25,7 +25,7 @@
                     self.apply_quotas();
                     self.balancer.borrow_mut().set_data_nodes(self.fleet_view.borrow().data_nodes());
                 }
-                ViewChange::InvalidUpdate(why) => log::error!(error = why.as_str(); "state update rejected"),
+                ViewChange::InvalidUpdate(why) => log::error!(error:% = why; "state update rejected"),
                 ViewChange::ControlNodes | ViewChange::Leases | ViewChange::ConfirmationChanged => {}
             }
         }
