--- a/crates/consensus/src/failure_detector.rs
+++ b/crates/consensus/src/failure_detector.rs
@@ -1,232 +1,248 @@
-//! The failure detector of the voter set: which control gateways are there, since when, and which voters are lost, as this
-//! gateway hears it. Must never take its own silence for another's: who stood still or was cut off has missed the others,
-//! not they it.
+//! Which control nodes are reachable, since when, and which voters have failed, as seen from this node. Each node sends the
+//! voters that it suspects with its heartbeats; a voter has failed once a majority suspects it.
+//!
+//! Invariant: silence counts against another node only while this one was running and in contact with a majority. A process
+//! that was suspended or partitioned has missed the others' messages; they have not failed.
 
 use crate::repair_timing::{HEARTBEAT, RepairTiming};
 use archlink_messages::{NodeId, VoterSet};
 use std::collections::BTreeMap;
 
-/// A majority that was confirmed so long ago, in seconds, still counts as contact: slow disks answer in less.
-const CONTACT: f64 = 3.0;
-/// A gateway of which the last word is older is not heard at the moment.
-const HEARD: f64 = 3.0 * HEARTBEAT;
-/// Several ticks are due in that time, in seconds: without one this process stood still.
-const STOOD_STILL: f64 = 0.5;
-/// Gateways whose presence is kept in mind; the roster knows no more either.
+/// Seconds for which a confirmation by a majority counts as contact with it: slow disks answer within that.
+const CONTACT_WINDOW: f64 = 3.0;
+/// Seconds since its last message after which a node is not active: three heartbeats.
+const ACTIVE_WINDOW: f64 = 3.0 * HEARTBEAT;
+/// Seconds without a check after which this process counts as having been suspended: several ticks are due in that time.
+const SUSPENSION: f64 = 0.5;
+/// Control nodes that are tracked at most; the registry knows no more either. A further one takes the place of one that has
+/// timed out, or is not tracked.
 pub const MAX_PEERS: usize = 64;
 
-/// What is known of another control gateway's presence.
+/// What is known of another control node. Times are in seconds.
 #[derive(Clone, Debug)]
 struct PeerState {
-    /// Since when it is there without a gap.
+    /// Since when it has been reachable without a gap.
     since: f64,
-    last: f64,
-    /// When it last answered as a voter: such a word comes after its disk.
-    answered: f64,
-    whole: bool,
+    last_message: f64,
+    /// When it last replied as an acceptor, which it does after its disk.
+    last_reply: f64,
+    /// The rest is what its last heartbeat reported.
+    recovered: bool,
     epoch: u64,
-    missing: Vec<NodeId>,
+    suspects: Vec<NodeId>,
 }
 
+impl PeerState {
+    fn new(now: f64) -> PeerState {
+        PeerState {
+            since: now,
+            last_message: now,
+            last_reply: now,
+            recovered: false,
+            epoch: 0,
+            suspects: Vec::new(),
+        }
+    }
+}
+
+/// The failure detector of one control node.
 pub struct FailureDetector {
     id: NodeId,
     timing: RepairTiming,
-    began: f64,
-    /// When a majority of the voters was last not heard here, or this process stood still.
+    started_at: f64,
+    /// When this process was last suspended, or received no messages from a majority of the voters.
     isolated_until: f64,
-    /// The same of a majority's answers as voters.
-    quorum_silent_until: f64,
+    /// The same for replies of a majority as acceptors.
+    quorum_unresponsive_until: f64,
     checked_at: f64,
-    /// Is this gateway's own voter whole?
-    whole: bool,
-    /// This gateway is told to end.
+    /// Has this node's own acceptor recovered?
+    recovered: bool,
+    /// Is this node shutting down?
     leaving: bool,
     peers: BTreeMap<NodeId, PeerState>,
 }
 
 impl FailureDetector {
+    /// A detector that has received nothing yet.
     pub fn new(now: f64, id: NodeId, timing: RepairTiming) -> FailureDetector {
-        let (isolated_until, quorum_silent_until, checked_at) = (now, now, now);
-        let peers = BTreeMap::new();
         FailureDetector {
             id,
             timing,
-            began: now,
-            isolated_until,
-            quorum_silent_until,
-            checked_at,
-            whole: false,
+            started_at: now,
+            isolated_until: now,
+            quorum_unresponsive_until: now,
+            checked_at: now,
+            recovered: false,
             leaving: false,
-            peers,
+            peers: BTreeMap::new(),
         }
     }
 
-    /// A word came from that gateway.
+    /// A message came from that node.
     pub fn message_received(&mut self, now: f64, from: NodeId) {
         if from == self.id || (self.peers.len() >= MAX_PEERS && !self.make_room(now, from)) {
             return;
         }
-        let fresh =
-            PeerState { since: now, last: now, answered: now, whole: false, epoch: 0, missing: Vec::new() };
-        let heard = self.peers.entry(from).or_insert(fresh);
-        if now > heard.last + self.timing.silence_timeout {
-            heard.since = now;
+        let peer = self.peers.entry(from).or_insert(PeerState::new(now));
+        if now > peer.last_message + self.timing.silence_timeout {
+            peer.since = now;
         }
-        heard.last = now;
+        peer.last_message = now;
     }
 
-    /// Is there room for that gateway? The one not heard of for longest gives way, if it is silent.
+    /// Is there room for that node? The one that has been silent for longest is evicted, if it has timed out.
     fn make_room(&mut self, now: f64, from: NodeId) -> bool {
         if self.peers.contains_key(&from) {
             return true;
         }
-        let oldest = self.peers.iter().min_by(|a, b| a.1.last.total_cmp(&b.1.last));
-        let Some(node) =
-            oldest.filter(|(_, h)| now > h.last + self.timing.silence_timeout).map(|(node, _)| *node)
-        else {
-            return false;
-        };
+        let oldest = self.peers.iter().min_by(|a, b| a.1.last_message.total_cmp(&b.1.last_message));
+        let timed_out = oldest.filter(|(_, peer)| now > peer.last_message + self.timing.silence_timeout);
+        let Some(node) = timed_out.map(|(node, _)| *node) else { return false };
         self.peers.remove(&node);
         true
     }
 
-    /// It answered as a voter, with what is on its disk.
+    /// That node replied as an acceptor, after a sync of its disk.
     pub fn acceptor_replied(&mut self, now: f64, from: NodeId) {
-        if let Some(heard) = self.peers.get_mut(&from) {
-            heard.answered = now;
+        if let Some(peer) = self.peers.get_mut(&from) {
+            peer.last_reply = now;
         }
     }
 
-    /// What a heartbeat says about its sender: does its disk hold all, which epoch does it go by, whom does it miss?
-    pub fn heartbeat_received(&mut self, from: NodeId, whole: bool, epoch: u64, missing: &[NodeId]) {
-        if let Some(heard) = self.peers.get_mut(&from) {
-            heard.whole = whole;
-            heard.epoch = epoch;
-            heard.missing = missing.iter().take(MAX_PEERS).copied().collect();
+    /// Takes what a heartbeat reports of its sender: whether its acceptor has recovered, its epoch, and the voters that it
+    /// suspects. A node that suspects itself is shutting down.
+    pub fn heartbeat_received(&mut self, from: NodeId, recovered: bool, epoch: u64, suspects: &[NodeId]) {
+        if let Some(peer) = self.peers.get_mut(&from) {
+            peer.recovered = recovered;
+            peer.epoch = epoch;
+            peer.suspects = suspects.iter().take(MAX_PEERS).copied().collect();
         }
     }
 
-    /// Called now and then, with who votes and whether this gateway's voter is whole.
-    pub fn check(&mut self, now: f64, voter_set: &VoterSet, whole: bool) {
-        let stood_still = now > self.checked_at + STOOD_STILL;
+    /// Notes whether this node is in contact with a majority of `voter_set`, and whether its acceptor has `recovered`. To be
+    /// called at short intervals.
+    pub fn check(&mut self, now: f64, voter_set: &VoterSet, recovered: bool) {
+        let was_suspended = now > self.checked_at + SUSPENSION;
         self.checked_at = now;
-        self.whole = whole;
-        let hears = |node: NodeId| node == self.id || self.silence(now, node).is_some_and(|ago| ago < HEARD);
-        if stood_still || !voter_set.has_quorum(hears) {
+        self.recovered = recovered;
+        let is_heard =
+            |node: NodeId| node == self.id || self.silence(now, node).is_some_and(|ago| ago < ACTIVE_WINDOW);
+        if was_suspended || !voter_set.has_quorum(is_heard) {
             self.isolated_until = now;
         }
-        let answers = |node: NodeId| {
-            node == self.id
-                || self
-                    .peers
-                    .get(&node)
-                    .is_some_and(|heard| now < heard.answered + self.timing.silence_timeout)
-        };
-        if stood_still || !voter_set.has_quorum(answers) {
-            self.quorum_silent_until = now;
+        let is_responsive = |peer: &PeerState| now < peer.last_reply + self.timing.silence_timeout;
+        let replies = |node: NodeId| node == self.id || self.peers.get(&node).is_some_and(is_responsive);
+        if was_suspended || !voter_set.has_quorum(replies) {
+            self.quorum_unresponsive_until = now;
         }
     }
 
+    /// This node is shutting down.
     pub fn leave(&mut self) {
         self.leaving = true;
     }
 
-    /// Seconds since a word of it came; none where none ever did.
+    /// Seconds since its last message; `None` where none ever came.
     pub fn silence(&self, now: f64, node: NodeId) -> Option<f64> {
-        if node == self.id { Some(0.0) } else { self.peers.get(&node).map(|heard| now - heard.last) }
+        if node == self.id { Some(0.0) } else { self.peers.get(&node).map(|peer| now - peer.last_message) }
     }
 
-    /// Does its disk hold all that it ever promised? None where it didn't say.
+    /// Does its disk have all that it ever promised? `None` where the node is not known.
     pub fn is_recovered(&self, node: NodeId) -> Option<bool> {
-        if node == self.id { Some(self.whole) } else { self.peers.get(&node).map(|heard| heard.whole) }
+        if node == self.id { Some(self.recovered) } else { self.peers.get(&node).map(|peer| peer.recovered) }
     }
 
+    /// Did a message come from it within the reachable window?
     pub fn is_reachable(&self, now: f64, node: NodeId) -> bool {
         self.silence(now, node).is_some_and(|ago| ago < self.timing.reachable_window)
     }
 
-    /// Does it say that it ends?
+    /// Does it report that it is shutting down?
     pub fn is_leaving(&self, node: NodeId) -> bool {
         if node == self.id {
             self.leaving
         } else {
-            self.peers.get(&node).is_some_and(|h| h.missing.contains(&node))
+            self.peers.get(&node).is_some_and(|peer| peer.suspects.contains(&node))
         }
     }
 
-    /// There, and with all that its disk ever promised.
+    /// Reachable, and with all that its disk ever promised.
     pub fn is_healthy(&self, now: f64, node: NodeId) -> bool {
         self.is_reachable(now, node) && self.is_recovered(node) == Some(true)
     }
 
-    /// Heard of just now, and whole.
+    /// Recovered, and heard from within three heartbeats.
     pub fn is_active(&self, now: f64, node: NodeId) -> bool {
-        self.is_recovered(node) == Some(true) && self.silence(now, node).is_some_and(|ago| ago < HEARD)
+        self.is_recovered(node) == Some(true)
+            && self.silence(now, node).is_some_and(|ago| ago < ACTIVE_WINDOW)
     }
 
-    /// Is it known to go by that epoch or a later one?
+    /// Is it known to have adopted that epoch or a later one?
     pub fn has_reached_epoch(&self, node: NodeId, epoch: u64) -> bool {
-        node == self.id || self.peers.get(&node).is_some_and(|heard| heard.epoch >= epoch)
+        node == self.id || self.peers.get(&node).is_some_and(|peer| peer.epoch >= epoch)
     }
 
-    /// Gateways without a vote that could take a seat now, those that have been there for longest first.
+    /// Control nodes that are no voters and could become voters now, the one reachable for longest first.
     pub fn spare_nodes(&self, now: f64, voter_set: &VoterSet) -> Vec<NodeId> {
-        let fits = |(node, _): &(&NodeId, &PeerState)| {
+        let is_spare = |(node, _): &(&NodeId, &PeerState)| {
             !voter_set.contains(**node) && self.is_reachable(now, **node) && !self.is_leaving(**node)
         };
-        let mut spares: Vec<(&NodeId, &PeerState)> = self.peers.iter().filter(fits).collect();
+        let mut spares: Vec<(&NodeId, &PeerState)> = self.peers.iter().filter(is_spare).collect();
         spares.sort_by(|a, b| a.1.since.total_cmp(&b.1.since));
         spares.into_iter().map(|(node, _)| *node).collect()
     }
 
-    /// Has it been there for long?
+    /// Has it been reachable for long enough to become a voter for the sake of zones alone?
     pub fn is_stable(&self, now: f64, node: NodeId) -> bool {
-        self.peers.get(&node).is_some_and(|heard| now > heard.since + self.timing.stable_after)
+        self.peers.get(&node).is_some_and(|peer| now > peer.since + self.timing.stable_after)
     }
 
-    /// Voters that are to be replaced as far as this gateway can tell: not heard of, or not answering, for too long while a
-    /// majority was; and itself, where it is told to end.
+    /// Voters that this node suspects to have failed; and itself, where it is shutting down, whether it is a voter or not: a
+    /// node that is no voter reports so that it becomes none.
     pub fn suspected(&self, now: f64, voter_set: &VoterSet) -> Vec<NodeId> {
-        if now > self.checked_at + STOOD_STILL {
+        if now > self.checked_at + SUSPENSION {
             return Vec::new();
         }
-        let last = |node: &NodeId| self.peers.get(node).map_or(self.began, |heard| heard.last);
-        let answered = |node: &NodeId| self.peers.get(node).map_or(self.began, |heard| heard.answered);
-        let lost = |node: &NodeId| match *node == self.id {
+        let is_suspected = |node: &NodeId| match *node == self.id {
             true => self.leaving,
-            false => {
-                now > last(node).max(self.isolated_until) + self.timing.silence_timeout
-                    || now > answered(node).max(self.quorum_silent_until) + self.timing.unresponsive_timeout
-            }
+            false => self.has_timed_out(now, *node),
         };
-        let mut missing: Vec<NodeId> = voter_set.all_voters().into_iter().filter(lost).collect();
-        // One without a seat says so as well: it is not to get one.
-        if self.leaving && !missing.contains(&self.id) {
-            missing.push(self.id);
+        let mut suspected: Vec<NodeId> = voter_set.all_voters().into_iter().filter(is_suspected).collect();
+        if self.leaving && !suspected.contains(&self.id) {
+            suspected.push(self.id);
         }
-        missing
+        suspected
+    }
+
+    /// Did no message, or no reply as an acceptor, come from it for too long, while a majority's did?
+    fn has_timed_out(&self, now: f64, node: NodeId) -> bool {
+        let peer = self.peers.get(&node);
+        let last_message = peer.map_or(self.started_at, |peer| peer.last_message);
+        let last_reply = peer.map_or(self.started_at, |peer| peer.last_reply);
+        now > last_message.max(self.isolated_until) + self.timing.silence_timeout
+            || now > last_reply.max(self.quorum_unresponsive_until) + self.timing.unresponsive_timeout
     }
 
-    /// Does `node`, which is heard, say so of `old`? This gateway is asked by `missing`.
-    fn says_missing(&self, now: f64, node: NodeId, old: NodeId) -> bool {
-        self.peers.get(&node).is_some_and(|heard| heard.missing.contains(&old))
-            && self.is_reachable(now, node)
+    /// Does `peer`, which is reachable, report that it suspects `voter`?
+    fn peer_suspects(&self, now: f64, peer: NodeId, voter: NodeId) -> bool {
+        self.peers.get(&peer).is_some_and(|state| state.suspects.contains(&voter))
+            && self.is_reachable(now, peer)
     }
 
-    /// Seats that enough of the others miss, or whose gateways say themselves that they end.
+    /// Voters that a majority suspects, not counting themselves, and those that are shutting down.
     pub fn failed_voters(&self, now: f64, voter_set: &VoterSet) -> Vec<NodeId> {
-        let mine = self.suspected(now, voter_set);
-        let misses = |node: NodeId, old: NodeId| {
-            if node == self.id { mine.contains(&old) } else { self.says_missing(now, node, old) }
+        let own_suspects = self.suspected(now, voter_set);
+        let suspects = |node: NodeId, voter: NodeId| {
+            if node == self.id { own_suspects.contains(&voter) } else { self.peer_suspects(now, node, voter) }
         };
-        let lost = |old: &NodeId| {
-            misses(*old, *old) || voter_set.has_quorum(|node| node != *old && misses(node, *old))
+        let has_failed = |voter: &NodeId| {
+            suspects(*voter, *voter) || voter_set.has_quorum(|node| node != *voter && suspects(node, *voter))
         };
-        voter_set.voters.iter().copied().filter(lost).collect()
+        voter_set.voters.iter().copied().filter(has_failed).collect()
     }
 
-    /// A majority that is confirmed lately, and in this epoch, which began then.
-    pub fn has_quorum_contact(now: f64, confirmed: Option<f64>, stood: f64) -> bool {
-        confirmed.is_some_and(|at| at > stood.max(now - CONTACT))
+    /// Has a majority confirmed something lately, and within the current epoch, which began at `epoch_started`?
+    pub fn has_quorum_contact(now: f64, confirmed: Option<f64>, epoch_started: f64) -> bool {
+        confirmed.is_some_and(|at| at > epoch_started.max(now - CONTACT_WINDOW))
     }
 }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,7 +1,22 @@
-//! The cores of the control plane: registers, duties, roster. Each is handed time, messages and disk results and gives
-//! back what to send, write and tell; none does I/O or reads a clock, so that any number of them can be played against
-//! each other. `control.rs` shows the whole life of one control gateway.
-#![forbid(unsafe_code)]
+//! The agreement core of the control plane: pure state machines, without I/O and without a clock.
+//!
+//! A few registers (configuration, evacuated zones, the voter set itself) each have one value under a proposal number.
+//! There is no log and no leader: any control node may propose, and a majority of the voters decides. The terms are those
+//! of the literature:
+//!
+//! - [`acceptor`] and [`proposer`]: single-value Paxos for each register, repeated with growing proposal numbers
+//!   (L. Lamport, "Paxos Made Simple", 2001, section 2).
+//! - [`membership`]: change of the voter set through a joint epoch in which both sets have to agree
+//!   (D. Ongaro, "Consensus: Bridging Theory and Practice", 2014, section 4.3); [`failure_detector`] says which voters
+//!   have failed, and [`repair_timing`] how long the repair may take.
+//! - [`leases`]: singleton roles, each held by one control node at a time
+//!   (C. Gray and D. Cheriton, "Leases", SOSP 1989, section 2).
+//!
+//! Time (seconds of a local monotonic clock), messages and the completion of writes go in; [`Effect`]s come out, in order.
+//! Random numbers come from a seed, so that a run can be replayed.
+
+mod effect;
+mod errors;
 
 pub mod acceptor;
 pub mod failure_detector;
@@ -10,67 +25,27 @@
 pub mod proposer;
 pub mod repair_timing;
 
-use archlink_messages::{AcceptorState, LeaseGrant, Message, NodeId, Register, VersionDigest, VoterSet};
-
-/// What a core wants done.
-#[derive(Clone, Debug)]
-pub enum Effect {
-    Send(NodeId, Message),
-    /// Bring this to disk, synced, in the order of the acts; only then send the words.
-    Store(DurableRecord, Vec<(NodeId, Message)>),
-    /// A register's chosen value is newer than before.
-    Learned(Register),
-    /// What became of the operator's order with this token.
-    ProposalResolved(u64, Outcome),
-}
-
-/// What became of an order.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
-    /// It holds: a majority of disks has it, or what makes it alter nothing.
-    Chosen,
-    /// It may or may not come to be: the same order sent again tells.
-    Unknown,
-    /// Another text stands under its number, and this is the one; nothing was altered.
-    VersionConflict(VersionDigest),
-    /// It was not begun, and never will be.
-    Rejected(MembershipError),
-}
+pub use effect::{DurableRecord, Effect};
+pub use errors::{MembershipError, Outcome};
 
-/// Why an order about who votes is refused.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum MembershipError {
-    /// Who votes isn't known here yet.
-    Unknown,
-    /// Another change is under way.
-    ChangeInProgress,
-    /// The one that is to go has no seat.
-    NotAVoter,
-    /// The one that is to come has a seat already.
-    AlreadyAVoter,
-    /// The one that is to come isn't heard of.
-    Unreachable,
-    /// Too many voters are not there, or not whole.
-    NotRecovered,
-    /// The epoch that the order names is not the one that stands.
-    WrongEpoch,
-}
+use archlink_messages::NodeId;
 
-/// An operator's order about who votes.
+/// An operator's request to change the voter set.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipChange {
-    /// `new` takes the seat of `old`, by agreement.
-    Replace { old: NodeId, new: NodeId },
-    /// This gateway founds anew with those seats, as a majority of the set of `epoch` is gone for good.
-    ForceNewGeneration { epoch: u64, voters: Vec<NodeId> },
-}
-
-/// What a voter has changed of what it keeps.
-#[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct DurableRecord {
-    pub acceptors: Vec<(Register, AcceptorState)>,
-    /// Duties granted in a new term.
-    pub grants: Vec<LeaseGrant>,
-    /// Who votes, where that changed.
-    pub voter_set: Option<VoterSet>,
+    /// `new` becomes a voter in place of `old`, by agreement of both voter sets.
+    Replace {
+        /// The voter that is removed.
+        old: NodeId,
+        /// The control node that takes its place.
+        new: NodeId,
+    },
+    /// This node starts a new generation of the voter set without agreement, since a majority of the voters of `epoch` is
+    /// lost for good (etcd: `--force-new-cluster`).
+    ForceNewGeneration {
+        /// The epoch whose voter set is given up.
+        epoch: u64,
+        /// The voters of the new generation, besides this node.
+        voters: Vec<NodeId>,
+    },
 }
--- a/crates/consensus/src/proposer/change.rs
+++ b/crates/consensus/src/proposer/change.rs
@@ -1,6 +1,7 @@
-//! What an order makes of a register's newest value, and what its caller is told once that is chosen. Owns the line of
-//! numbers under which configurations were taken. Must never let a second text stand, or be acknowledged, under a number
-//! of that line.
+//! What a change makes of a register's newest value, and the outcome that its caller gets once the result is chosen.
+//!
+//! Invariant: of the versions that a configuration remembers ([`MAX_RECENT_VERSIONS`]), no second text is chosen or
+//! acknowledged under the same one.
 
 use crate::Outcome;
 use archlink_messages::{
@@ -9,31 +10,38 @@
 };
 use bytes::Bytes;
 
-/// Numbers that are kept in mind, with what was taken under each: more than operators send while one of them may still
-/// come again, and 1.4 kB beside each configuration. An older number counts as one that was never seen: it is
+/// How many versions a configuration remembers, each with the digest of its text: more than operators send while one of them
+/// may still be repeated, and 1.4 kB beside each configuration. An older version counts as one that was never seen: it is
 /// acknowledged and alters nothing.
 pub const MAX_RECENT_VERSIONS: usize = 64;
 
-/// What is to become of a register.
+/// A change to be proposed on a register.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// The higher version stays. `digest` is of the text as the operator sent it: what makes another call the same one.
+    /// A configuration. Of two versions the higher one is kept.
     Configuration {
+        /// The operator's version number.
         version: u64,
+        /// Digest of the text as the operator sent it: it tells a repeated request from a conflicting one.
         digest: [u8; 16],
+        /// The configuration as it is to be stored.
         text: Bytes,
     },
+    /// A zone is evacuated, or taken into service again.
     Evacuation {
+        /// The zone's name.
         zone: String,
+        /// Is it to be evacuated?
         on: bool,
     },
-    /// What a majority can't agree on is brought to one value.
+    /// Brings a register on which voters may differ to one value, its newest, under the current epoch.
     Commit(Register),
-    /// The next epoch of the set of voters, if the epoch before it stands.
+    /// The next epoch of the voter set, provided that the epoch before it is the newest one.
     VoterSet(VoterSet),
 }
 
 impl Change {
+    /// The register that it changes.
     pub fn register(&self) -> Register {
         match self {
             Change::Configuration { .. } => Register::Configuration,
@@ -43,59 +51,80 @@
         }
     }
 
-    /// What the register is to hold under `ballot`, and what that means for the caller; none where there is nothing at all.
+    /// The value to be accepted under `proposal`, given the `newest` one, and the outcome once that is chosen. `None` where
+    /// the register has no value and gets none.
     pub(super) fn apply(
         &self,
         newest: Option<&AcceptedValue>,
         proposal: ProposalNumber,
     ) -> Option<(AcceptedValue, Outcome)> {
-        let as_before = || newest.map(|held| AcceptedValue { proposal, ..held.clone() });
-        let chosen = |held: Option<AcceptedValue>| Some((held?, Outcome::Chosen));
+        let unchanged = || newest.map(|value| AcceptedValue { proposal, ..value.clone() });
         match self {
             Change::Configuration { version, digest, text } => {
-                let mark = VersionDigest { version: *version, digest: *digest };
-                let marks = newest.map(|held| held.recent_versions.as_slice()).unwrap_or_default();
-                if let Some(taken) = marks.iter().find(|taken| taken.version == *version) {
-                    let outcome =
-                        if *taken == mark { Outcome::Chosen } else { Outcome::VersionConflict(*taken) };
-                    return Some((as_before()?, outcome));
+                let digest = VersionDigest { version: *version, digest: *digest };
+                match apply_configuration(newest, digest, text, proposal) {
+                    Ok(value) => Some((value, Outcome::Chosen)),
+                    Err(outcome) => Some((unchanged()?, outcome)),
                 }
-                if newest.is_some_and(|held| held.revision > *version) {
-                    return chosen(as_before());
-                }
-                let last = &marks[marks.len().saturating_sub(MAX_RECENT_VERSIONS - 1)..];
-                let marks = last.iter().copied().chain([mark]).collect();
-                chosen(Some(AcceptedValue {
-                    proposal,
-                    revision: version + 1,
-                    value: text.clone(),
-                    recent_versions: marks,
-                }))
             }
             Change::Evacuation { zone, on } => {
-                let mut zones = newest.map(|held| decode_evacuated_zones(&held.value)).unwrap_or_default();
-                if *on == zones.contains(zone) && newest.is_some() {
-                    return chosen(as_before());
-                }
-                if *on {
-                    zones.insert(zone.clone())
-                } else {
-                    zones.remove(zone)
-                };
-                let stamp = newest.map_or(0, |held| held.revision) + 1;
-                chosen(Some(AcceptedValue {
-                    proposal,
-                    revision: stamp,
-                    value: encode_evacuated_zones(zones),
-                    recent_versions: Vec::new(),
-                }))
+                let value = apply_evacuation(newest, zone, *on, proposal).or_else(unchanged)?;
+                Some((value, Outcome::Chosen))
             }
-            // The first set is on no register: it stands until another is chosen.
-            Change::VoterSet(next) if newest.map_or(1, |held| held.revision) + 1 == next.epoch => {
-                let (stamp, value) = (next.epoch, next.to_bytes());
-                chosen(Some(AcceptedValue { proposal, revision: stamp, value, recent_versions: Vec::new() }))
+            // The first voter set is in no register: it is epoch 1 until another one is chosen.
+            Change::VoterSet(next) if newest.map_or(1, |value| value.revision) + 1 == next.epoch => {
+                let (revision, value) = (next.epoch, next.to_bytes());
+                let value = AcceptedValue { proposal, revision, value, recent_versions: Vec::new() };
+                Some((value, Outcome::Chosen))
             }
-            Change::Commit(_) | Change::VoterSet(_) => chosen(as_before()),
+            Change::Commit(_) | Change::VoterSet(_) => Some((unchanged()?, Outcome::Chosen)),
         }
     }
 }
+
+/// The new value, or the outcome where the newest value stays: the version was taken before, or is below the newest one.
+fn apply_configuration(
+    newest: Option<&AcceptedValue>,
+    digest: VersionDigest,
+    text: &Bytes,
+    proposal: ProposalNumber,
+) -> Result<AcceptedValue, Outcome> {
+    let recent = newest.map(|value| value.recent_versions.as_slice()).unwrap_or_default();
+    if let Some(taken) = recent.iter().find(|taken| taken.version == digest.version) {
+        return Err(if *taken == digest { Outcome::Chosen } else { Outcome::VersionConflict(*taken) });
+    }
+    if newest.is_some_and(|value| value.revision > digest.version) {
+        return Err(Outcome::Chosen);
+    }
+    let remembered = &recent[recent.len().saturating_sub(MAX_RECENT_VERSIONS - 1)..];
+    Ok(AcceptedValue {
+        proposal,
+        revision: digest.version + 1,
+        value: text.clone(),
+        recent_versions: remembered.iter().copied().chain([digest]).collect(),
+    })
+}
+
+/// The new value; `None` where the zone already is as it is to be.
+fn apply_evacuation(
+    newest: Option<&AcceptedValue>,
+    zone: &str,
+    on: bool,
+    proposal: ProposalNumber,
+) -> Option<AcceptedValue> {
+    let mut zones = newest.map(|value| decode_evacuated_zones(&value.value)).unwrap_or_default();
+    if on == zones.contains(zone) && newest.is_some() {
+        return None;
+    }
+    if on {
+        zones.insert(zone.to_string());
+    } else {
+        zones.remove(zone);
+    }
+    Some(AcceptedValue {
+        proposal,
+        revision: newest.map_or(0, |value| value.revision) + 1,
+        value: encode_evacuated_zones(zones),
+        recent_versions: Vec::new(),
+    })
+}
--- a/crates/consensus/src/proposer/quorum_read.rs
+++ b/crates/consensus/src/proposer/quorum_read.rs
@@ -1,211 +1,239 @@
-//! Since when a majority has confirmed what is held here: the question which ballots the voters hold, and what follows
-//! from their answers. Owns when it is asked. Must never count an answer for a time later than its question was asked, nor
-//! one to a question of another life or epoch; nor must questions, however many are wanted, keep each other from being
-//! answered.
+//! Since when a majority has confirmed what is known here: read requests ask the voters which proposal numbers they have
+//! accepted. The role is that of the read index (Ongaro, section 6.4): a read at time t is served once a majority has replied
+//! to a request that was sent at t or later.
+//!
+//! Invariants:
+//!
+//! - A reply counts from the time at which its request was sent, never later; a reply to a request of another incarnation or
+//!   epoch doesn't count.
+//! - Readers share requests: however many there are, a request is not displaced before it can be answered.
 
 use archlink_messages::{NodeId, ProposalNumber, REGISTERS, Register, VoterSet};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Between two questions whether what is held here is the newest.
+/// Seconds between two read requests while no reader waits.
 const READ_INTERVAL: f64 = 0.4;
-/// The same while nothing is confirmed: after a start the links come up one by one, and nobody can be served before.
+/// The same while nothing is confirmed: after a start the links are set up one by one, and nobody is served before.
 const STARTUP_READ_INTERVAL: f64 = 0.1;
-/// While a reader waits and no majority has answered: a lost answer costs it no more, and slow disks are not asked oftener.
+/// The same while a reader waits and no majority has replied: it bounds the cost of a lost reply, and the load on slow disks.
 const READ_RETRY: f64 = 0.1;
-/// A reader has given up by then (`LIFE` of a change is as long).
+/// Seconds after which a reader has given up; as long as [`super::PROPOSAL_TIMEOUT`].
 const READER_TIMEOUT: f64 = 0.9;
-/// Questions that may still be answered, 16 bytes each: 25 s of them while a majority answers none, many times the slowest
-/// answer from which a lease could follow.
+/// Requests that may still be answered, 16 bytes each. At one every [`READ_RETRY`] it is 25 s of them, many times the slowest
+/// reply that a lease could depend on.
 const MAX_OUTSTANDING: usize = 256;
-/// An older answer counts no more: a voter that lost its disk since, and read from others, is back after more than this
-/// (`voter::FORGET`), and what it had accepted may be accepted by another one only then.
+/// Seconds after which a reply no longer counts. A voter that lost its disk since, and copied the state of others, is back
+/// after more than this (`acceptor::state_transfer::LOST_DISK_SILENCE`), and only then may another voter accept what it had
+/// accepted.
 const REPLY_LIFETIME: f64 = 2.0;
-/// What a majority names and is not held here is fetched again after this.
+/// Seconds until a value that a majority reports is fetched again.
 const FETCH_RETRY: f64 = 0.25;
-/// Answers to questions asked longer ago are not put together with later ones to know what a majority holds: a voter that
-/// answered may have lost its disk since, and be back (2.5 s later at the soonest) without what it had accepted.
+/// Replies to requests sent longer ago, in seconds, are not combined with later ones to see what a majority has accepted: a
+/// voter that replied may have lost its disk since, and be back (after 2.5 s at the soonest) without what it had accepted.
 const AGREEMENT_WINDOW: f64 = 2.4;
-/// So many times in a row a majority answered, each with something else: nobody is about to finish it.
+/// After so many majorities of replies in a row without a common number, no proposer is about to finish.
 const MAX_DISAGREEMENTS: u32 = 2;
+/// Bits of a serial number that are drawn: few bytes on the wire, and still no two incarnations alike.
+const SERIAL_BITS: u32 = 40;
 
-/// A voter's newest answer, by when its question was asked.
+/// A request that may still be answered.
+#[derive(Clone, Copy, Debug)]
+struct ReadRequest {
+    serial: u64,
+    sent_at: f64,
+}
+
+/// A voter's newest reply, with the time at which its request was sent.
 #[derive(Clone, Debug)]
 struct ReadReply {
-    at: f64,
+    requested_at: f64,
     proposals: BTreeMap<Register, ProposalNumber>,
 }
 
+/// The last value that was fetched from a voter.
+#[derive(Clone, Copy, Debug)]
+struct Fetch {
+    proposal: ProposalNumber,
+    sent_at: f64,
+}
+
+/// Read requests, the replies to them, and what follows.
 #[derive(Clone, Debug)]
 pub(super) struct QuorumRead {
-    /// By chance in each life: an answer to an earlier life's question fits none of this one.
+    /// Starts at random in each incarnation: a reply to an earlier one's request matches no request of this one.
     serial: u64,
-    /// Serial and time of each question that may still be answered, the newest at the back.
-    outstanding: VecDeque<(u64, f64)>,
+    /// The newest at the back.
+    outstanding: VecDeque<ReadRequest>,
     replies: BTreeMap<NodeId, ReadReply>,
     confirmed: BTreeMap<Register, f64>,
     /// When the last reader came that is not served yet.
     reader_since: Option<f64>,
-    fetched: BTreeMap<Register, (ProposalNumber, f64)>,
+    fetches: BTreeMap<Register, Fetch>,
     disagreements: BTreeMap<Register, u32>,
     checked_at: f64,
 }
 
 impl QuorumRead {
-    pub fn new(chance: u64) -> QuorumRead {
-        // Few bytes on the wire, and still no two lives alike.
-        const BITS: u32 = 40;
+    /// `random` is a number drawn for this incarnation.
+    pub fn new(random: u64) -> QuorumRead {
         QuorumRead {
-            serial: chance >> (u64::BITS - BITS),
+            serial: random >> (u64::BITS - SERIAL_BITS),
             outstanding: VecDeque::new(),
             replies: BTreeMap::new(),
             confirmed: BTreeMap::new(),
             reader_since: None,
-            fetched: BTreeMap::new(),
+            fetches: BTreeMap::new(),
             disagreements: BTreeMap::new(),
             checked_at: f64::NEG_INFINITY,
         }
     }
 
-    /// Another epoch: nothing that was answered in the one before counts.
+    /// A new epoch has begun: replies of the one before don't count.
     pub fn reset_epoch(&mut self) {
         self.outstanding.clear();
         self.replies.clear();
-        self.fetched.clear();
+        self.fetches.clear();
         self.disagreements.clear();
     }
 
+    /// Since when the value known here is confirmed to be the newest.
     pub fn confirmed(&self, register: Register) -> Option<f64> {
         self.confirmed.get(&register).copied()
     }
 
-    /// A register is at another content than before, of which nothing is confirmed.
+    /// The register has other content than before, which is not confirmed yet.
     pub fn invalidate(&mut self, register: Register) {
         self.confirmed.remove(&register);
     }
 
     fn last_request_at(&self) -> f64 {
-        self.outstanding.back().map_or(f64::NEG_INFINITY, |(_, at)| *at)
+        self.outstanding.back().map_or(f64::NEG_INFINITY, |request| request.sent_at)
     }
 
     fn quorum_replied_since(&self, voter_set: &VoterSet, at: f64) -> bool {
-        voter_set.has_quorum(|node| self.replies.get(&node).is_some_and(|answer| answer.at >= at))
+        voter_set.has_quorum(|node| self.replies.get(&node).is_some_and(|reply| reply.requested_at >= at))
     }
 
-    /// Somebody wants to know what holds from now on. All that come while a question is out share the next one.
+    /// A reader needs a confirmation at `now` or later. All that come while a request is out share the next one.
     pub fn request_confirmation(&mut self, now: f64) {
         if self.last_request_at() < now {
             self.reader_since = Some(now);
         }
     }
 
-    /// Is it time for a question?
+    /// Is it time for a request? With a reader waiting: once a majority has replied to the one before, or after a short wait.
     pub fn due(&mut self, now: f64, voter_set: &VoterSet) -> bool {
-        let confirmed = |at| REGISTERS.iter().all(|r| self.confirmed(*r).is_some_and(|c| c >= at));
-        self.reader_since = self.reader_since.filter(|&at| now <= at + READER_TIMEOUT && !confirmed(at));
-        let asked = self.last_request_at();
-        let every = match self.reader_since {
-            Some(at) if asked < at && self.quorum_replied_since(voter_set, asked) => return true,
+        let all_confirmed =
+            |at| REGISTERS.iter().all(|register| self.confirmed(*register).is_some_and(|since| since >= at));
+        self.reader_since = self.reader_since.filter(|&at| now <= at + READER_TIMEOUT && !all_confirmed(at));
+        let last = self.last_request_at();
+        let interval = match self.reader_since {
+            Some(at) if last < at && self.quorum_replied_since(voter_set, last) => return true,
             Some(_) => READ_RETRY,
             None => self.interval(),
         };
-        now >= asked + every
+        now >= last + interval
     }
 
     fn interval(&self) -> f64 {
         if self.confirmed(Register::Configuration).is_some() { READ_INTERVAL } else { STARTUP_READ_INTERVAL }
     }
 
-    /// The number of the next question.
+    /// Notes that a request is sent, and returns its serial number.
     pub fn next_request(&mut self, now: f64) -> u64 {
         self.serial += 1;
-        self.outstanding.push_back((self.serial, now));
+        self.outstanding.push_back(ReadRequest { serial: self.serial, sent_at: now });
         if self.outstanding.len() > MAX_OUTSTANDING {
             self.outstanding.pop_front();
         }
         self.serial
     }
 
-    /// Registers on which the voters stay apart; looked at before each question.
+    /// Registers on which the voters stay diverged; to be called before each request.
     pub fn diverged_registers(&mut self, now: f64, voter_set: &VoterSet) -> Vec<Register> {
         if now < self.checked_at + self.interval() || !self.quorum_replied_since(voter_set, self.checked_at) {
             return Vec::new();
         }
         self.checked_at = now;
-        let mut apart = Vec::new();
+        let mut diverged = Vec::new();
         for register in REGISTERS {
-            let mut named = self.replies.values().filter_map(|a| a.proposals.get(&register));
-            if named.any(|proposal| self.quorum_holds(now, voter_set, register, *proposal)) {
+            let mut reported = self.replies.values().filter_map(|reply| reply.proposals.get(&register));
+            if reported.any(|proposal| self.quorum_accepted(now, voter_set, register, *proposal)) {
                 self.disagreements.remove(&register);
                 continue;
             }
-            let split = self.disagreements.entry(register).or_default();
-            *split += 1;
-            if *split >= MAX_DISAGREEMENTS {
-                *split = 0;
-                apart.push(register);
+            let disagreements = self.disagreements.entry(register).or_default();
+            *disagreements += 1;
+            if *disagreements >= MAX_DISAGREEMENTS {
+                *disagreements = 0;
+                diverged.push(register);
             }
         }
-        apart
+        diverged
     }
 
-    /// Answers that are too old to be counted with newer ones are dropped.
+    /// Drops replies that are too old to be counted with newer ones.
     pub fn expire_replies(&mut self, now: f64) {
-        self.replies.retain(|_, answer| now < answer.at + REPLY_LIFETIME);
+        self.replies.retain(|_, reply| now < reply.requested_at + REPLY_LIFETIME);
     }
 
-    /// Takes a voter's answer; false where it tells nothing new.
+    /// Takes a voter's reply; false where it matches no request or is not newer than the one before.
     pub fn receive_reply(
         &mut self,
         from: NodeId,
         serial: u64,
         proposals: &[(Register, ProposalNumber)],
     ) -> bool {
-        let Some(&(_, at)) = self.outstanding.iter().find(|(number, _)| *number == serial) else {
+        let Some(request) = self.outstanding.iter().find(|request| request.serial == serial) else {
             return false;
         };
-        if self.replies.get(&from).is_some_and(|known| known.at >= at) {
+        let requested_at = request.sent_at;
+        if self.replies.get(&from).is_some_and(|known| known.requested_at >= requested_at) {
             return false;
         }
-        self.replies.insert(from, ReadReply { at, proposals: proposals.iter().copied().collect() });
+        self.replies.insert(from, ReadReply { requested_at, proposals: proposals.iter().copied().collect() });
         true
     }
 
-    /// Does a majority hold this ballot, by their newest answers?
-    pub fn quorum_holds(
+    /// Has a majority accepted this number, by their newest replies?
+    pub fn quorum_accepted(
         &self,
         now: f64,
         voter_set: &VoterSet,
         register: Register,
         proposal: ProposalNumber,
     ) -> bool {
-        let named = |answer: &ReadReply| answer.proposals.get(&register) == Some(&proposal);
-        let fresh = |answer: &ReadReply| now < answer.at + AGREEMENT_WINDOW && named(answer);
-        voter_set.has_quorum(|node| self.replies.get(&node).is_some_and(fresh))
+        let reports = |reply: &ReadReply| {
+            now < reply.requested_at + AGREEMENT_WINDOW && reply.proposals.get(&register) == Some(&proposal)
+        };
+        voter_set.has_quorum(|node| self.replies.get(&node).is_some_and(reports))
     }
 
-    /// `mine` is held here, and chosen. It is confirmed from the time on since which a majority was asked and named nothing
-    /// greater, each voter to whichever question: had a newer one been chosen before that, one of them would have.
-    pub fn confirm(&mut self, voter_set: &VoterSet, register: Register, mine: ProposalNumber) {
-        let since = |answer: &ReadReply| {
-            let theirs = answer.proposals.get(&register)?;
-            (*theirs <= mine).then_some(answer.at)
+    /// `ours` is the number of the chosen value known here. It is confirmed from the latest time since which a majority was
+    /// sent requests and reported nothing greater, each voter in whichever reply: had a newer value been chosen before that
+    /// time, one of them would have reported it.
+    pub fn confirm(&mut self, voter_set: &VoterSet, register: Register, ours: ProposalNumber) {
+        let confirms_since = |reply: &ReadReply| {
+            let theirs = reply.proposals.get(&register)?;
+            (*theirs <= ours).then_some(reply.requested_at)
         };
-        let mut times: Vec<f64> = self.replies.values().filter_map(since).collect();
+        let mut times: Vec<f64> = self.replies.values().filter_map(confirms_since).collect();
         times.sort_by(|a, b| b.total_cmp(a));
-        let known = |node, at| self.replies.get(&node).and_then(since).is_some_and(|since| since >= at);
-        if let Some(at) = times.into_iter().find(|at| voter_set.has_quorum(|node| known(node, *at))) {
+        let confirms =
+            |node, at| self.replies.get(&node).and_then(confirms_since).is_some_and(|since| since >= at);
+        if let Some(at) = times.into_iter().find(|at| voter_set.has_quorum(|node| confirms(node, *at))) {
             let confirmed = self.confirmed.entry(register).or_insert(at);
             *confirmed = confirmed.max(at);
         }
     }
 
-    /// May this ballot's value be fetched now? Not over and over: it may be long on its way.
+    /// May the value under this number be fetched now? Not while it may still be on its way.
     pub fn may_fetch(&mut self, now: f64, register: Register, proposal: ProposalNumber) -> bool {
-        let again = |(b, at): &(ProposalNumber, f64)| *b != proposal || now >= at + FETCH_RETRY;
-        let may = self.fetched.get(&register).is_none_or(again);
-        if may {
-            self.fetched.insert(register, (proposal, now));
+        let is_due = |last: &Fetch| last.proposal != proposal || now >= last.sent_at + FETCH_RETRY;
+        let may_fetch = self.fetches.get(&register).is_none_or(is_due);
+        if may_fetch {
+            self.fetches.insert(register, Fetch { proposal, sent_at: now });
         }
-        may
+        may_fetch
     }
 }
