--- a/crates/consensus/src/acceptor.rs
+++ b/crates/consensus/src/acceptor.rs
@@ -1,11 +1,13 @@
-//! One voter's side of the registers: promises and accepted values ("Paxos Made Simple", section 2.2, phases 1b and 2b).
+//! One voter's side of the registers: promises and accepted values ("Paxos Made Simple", section 2.2, phases
+//! 1b and 2b).
 //!
 //! Invariants:
 //!
 //! - No reply reports state that is not on disk yet ([`Effect::Store`]).
-//! - An acceptor that lost its disk has forgotten its promises, and takes no part until `state_transfer` has recovered
-//!   them from a majority of the others. The same is true of a node that joins the voter set. A node that is no voter and
-//!   lost its disk recovers too, so that it can become one at once, also after all nodes were killed.
+//! - An acceptor that lost its disk has forgotten its promises, and takes no part until `state_transfer` has
+//!   recovered them from a majority of the others. The same is true of a node that joins the voter set. A
+//!   node that is no voter and lost its disk recovers too, so that it can become one at once, also after all
+//!   nodes were killed.
 
 mod state_transfer;
 
@@ -24,8 +26,8 @@
     registers: BTreeMap<Register, AcceptorState>,
     recovery: RecoveryState,
     serial: u64,
-    /// Registers whose value this acceptor may only have copied from others, after it had promised a later proposal. It
-    /// passes the value on, but doesn't count among those that accepted it.
+    /// Registers whose value this acceptor may only have copied from others, after it had promised a later
+    /// proposal. It passes the value on, but doesn't count among those that accepted it.
     transferred: BTreeSet<Register>,
 }
 
@@ -60,8 +62,9 @@
         };
     }
 
-    /// Sets the serial number of this incarnation's state transfer requests, drawn at random. A late reply to a request of
-    /// an earlier incarnation may report state from before that incarnation promised more; its serial doesn't match.
+    /// Sets the serial number of this incarnation's state transfer requests, drawn at random. A late reply to
+    /// a request of an earlier incarnation may report state from before that incarnation promised more; its
+    /// serial doesn't match.
     pub fn set_request_serial(&mut self, serial: u64) {
         self.serial = serial;
     }
@@ -73,8 +76,9 @@
         }
     }
 
-    /// Marks values below the promise as transferred. The value may have been copied, or accepted before the promise: the
-    /// disk doesn't tell, so the first is assumed. A value under the very number that was promised may be counted either way.
+    /// Marks values below the promise as transferred. The value may have been copied, or accepted before the
+    /// promise: the disk doesn't tell, so the first is assumed. A value under the very number that was
+    /// promised may be counted either way.
     fn mark_transferred(&mut self) {
         let below_promise = |state: &AcceptorState| {
             state.accepted.as_ref().is_some_and(|accepted| accepted.proposal < state.promised)
@@ -159,7 +163,8 @@
         self.persist_then_reply(register, from, reply)
     }
 
-    /// Replies with the proposal number accepted for each register, leaving out those for which it doesn't count.
+    /// Replies with the proposal number accepted for each register, leaving out those for which it doesn't
+    /// count.
     fn receive_read(&self, from: NodeId, serial: u64) -> Vec<Effect> {
         let accepted_number = |register: &Register| {
             let accepted = self.registers.get(register).and_then(|state| state.accepted.as_ref());
@@ -218,8 +223,9 @@
         vec![Effect::Store(DurableRecord::default(), vec![(to, self.voter_set.message(reply))])]
     }
 
-    /// Takes the voter set of a forced new generation, as the value under the first proposal number of that generation,
-    /// which is higher than all numbers before. The other registers stay as they are, to be committed in the new generation.
+    /// Takes the voter set of a forced new generation, as the value under the first proposal number of that
+    /// generation, which is higher than all numbers before. The other registers stay as they are, to be
+    /// committed in the new generation.
     pub fn force_new_generation(&mut self, value: AcceptedValue) {
         let state = AcceptorState { promised: value.proposal, accepted: Some(value) };
         self.registers.insert(Register::VoterSet, state);
--- a/crates/consensus/src/acceptor/state_transfer.rs
+++ b/crates/consensus/src/acceptor/state_transfer.rs
@@ -1,21 +1,24 @@
-//! How an acceptor without its state gets it back: it copies the state of a majority of the voters other than itself.
+//! How an acceptor without its state gets it back: it copies the state of a majority of the voters other than
+//! itself.
 //!
-//! A reply counts whenever it comes. It was given after [`LOST_DISK_SILENCE`], when every proposal that counted a reply from
-//! before the loss had timed out. Since then its sender has only promised and accepted more, in majorities without this
-//! acceptor. Such a majority and the next one that includes this acceptor intersect in another voter.
+//! A reply counts whenever it comes. It was given after [`LOST_DISK_SILENCE`], when every proposal that
+//! counted a reply from before the loss had timed out. Since then its sender has only promised and accepted
+//! more, in majorities without this acceptor. Such a majority and the next one that includes this acceptor
+//! intersect in another voter.
 
 use archlink_messages::{AcceptorState, NodeId, Register, VoterSet};
 use std::collections::BTreeMap;
 
 /// Seconds from the loss of the disk to the first request: longer than any proposal lives
-/// (`proposer::INTERNAL_PROPOSAL_TIMEOUT`) by clocks whose rates differ by a quarter, delayed replies to its first phase
-/// included. An acceptor that forgot a promise is back only when the proposal that it made it to is over, and so can't be
-/// counted twice.
+/// (`proposer::INTERNAL_PROPOSAL_TIMEOUT`) by clocks whose rates differ by a quarter, delayed replies to its
+/// first phase included. An acceptor that forgot a promise is back only when the proposal that it made it to
+/// is over, and so can't be counted twice.
 const LOST_DISK_SILENCE: f64 = 2.5;
-/// Seconds to a second request, doubled for each one after. Two message delays and two slow syncs fit in, and a large
-/// configuration on a narrow link is not sent again while it is still arriving.
+/// Seconds to a second request, doubled for each one after. Two message delays and two slow syncs fit in, and
+/// a large configuration on a narrow link is not sent again while it is still arriving.
 const TRANSFER_RETRY: f64 = 0.75;
-/// The longest wait for a retry, in seconds. It bounds the time lost after a partition on links that are not set up anew.
+/// The longest wait for a retry, in seconds. It bounds the time lost after a partition on links that are not
+/// set up anew.
 const TRANSFER_RETRY_MAX: f64 = 4.0;
 
 /// Does an acceptor have its state?
@@ -23,13 +26,15 @@
 pub(super) enum RecoveryState {
     /// All that it ever promised and accepted is on its disk.
     Recovered,
-    /// It is to become a voter: all that it promised is on its disk, but not what the present voters have accepted.
+    /// It is to become a voter: all that it promised is on its disk, but not what the present voters have
+    /// accepted.
     Joining(StateTransfer),
     /// Its disk was lost, and its promises with it.
     LostDisk(StateTransfer),
 }
 
 impl RecoveryState {
+    /// The transfer in progress.
     pub fn transfer_mut(&mut self) -> Option<&mut StateTransfer> {
         match self {
             RecoveryState::Recovered => None,
@@ -54,6 +59,7 @@
 }
 
 impl StateTransfer {
+    /// A transfer of which nothing was requested yet, after a loss or a joining at `since`.
     pub fn starting_at(since: f64) -> StateTransfer {
         StateTransfer { since, requests: BTreeMap::new(), received: BTreeMap::new() }
     }
@@ -63,10 +69,12 @@
         StateTransfer::starting_at(self.since)
     }
 
+    /// Was a request sent to that node?
     pub fn has_requested(&self, node: NodeId) -> bool {
         self.requests.contains_key(&node)
     }
 
+    /// A request to that node, or the reply, may be lost: the next one is due at once.
     pub fn link_reset(&mut self, node: NodeId) {
         if let Some(request) = self.requests.get_mut(&node) {
             request.sent_at = f64::NEG_INFINITY;
@@ -94,8 +102,9 @@
         due
     }
 
-    /// Takes a reply. Once a majority of the sources has replied, returns all that they sent: whatever this acceptor had
-    /// promised or accepted that counts, one of these has; and none of them votes in an earlier epoch any more.
+    /// Takes a reply. Once a majority of the sources has replied, returns all that they sent: whatever this
+    /// acceptor had promised or accepted that counts, one of these has; and none of them votes in an earlier
+    /// epoch any more.
     pub fn receive(
         &mut self,
         from: NodeId,
@@ -110,8 +119,9 @@
     }
 }
 
-/// Whose state is to be read: that of a majority of the voters, without the incoming ones. This is enough also for a node
-/// that is one of the incoming ones: whatever is chosen in a joint epoch, a majority of the voters promised and accepted too.
+/// Whose state is to be read: that of a majority of the voters, without the incoming ones. This is enough
+/// also for a node that is one of the incoming ones: whatever is chosen in a joint epoch, a majority of the
+/// voters promised and accepted too.
 pub(super) fn sources(voter_set: &VoterSet) -> VoterSet {
     VoterSet { incoming: Vec::new(), ..voter_set.clone() }
 }
--- a/crates/consensus/src/effect.rs
+++ b/crates/consensus/src/effect.rs
@@ -8,12 +8,12 @@
 /// The order of effects:
 ///
 /// 1. Records of [`Effect::Store`] reach the disk in the order in which the effects were returned.
-/// 2. The messages of a `Store` are sent only after its record, and every record before it, is synced to disk. An empty
-///    record has no bytes of its own: its messages wait for the records before it.
+/// 2. The messages of a `Store` are sent only after its record, and every record before it, is synced to
+///    disk. An empty record has no bytes of its own: its messages wait for the records before it.
 /// 3. [`Effect::Send`] waits for no disk.
 ///
-/// Invariant: an acceptor's reply is never sent before the state that it reports is durable ("Paxos Made Simple",
-/// section 2.5: an acceptor records its response in stable storage before sending it).
+/// Invariant: an acceptor's reply is never sent before the state that it reports is durable ("Paxos Made
+/// Simple", section 2.5: an acceptor records its response in stable storage before sending it).
 #[derive(Clone, Debug)]
 pub enum Effect {
     /// Send the message to that node, at once.
--- a/crates/consensus/src/errors.rs
+++ b/crates/consensus/src/errors.rs
@@ -6,7 +6,8 @@
 /// How a proposal ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The change is chosen: a majority has it on disk; or it alters nothing, and what it asks for is chosen already.
+    /// The change is chosen: a majority has it on disk; or it alters nothing, and what it asks for is chosen
+    /// already.
     Chosen,
     /// Not known: the change may or may not be chosen later. Sending the same request again tells.
     Unknown,
--- a/crates/consensus/src/failure_detector.rs
+++ b/crates/consensus/src/failure_detector.rs
@@ -1,8 +1,10 @@
-//! Which control nodes are reachable, since when, and which voters have failed, as seen from this node. Each node sends the
-//! voters that it suspects with its heartbeats; a voter has failed once a majority suspects it.
+//! Which control nodes are reachable, since when, and which voters have failed, as seen from this node. Each
+//! node sends the voters that it suspects with its heartbeats; a voter has failed once a majority suspects
+//! it.
 //!
-//! Invariant: silence counts against another node only while this one was running and in contact with a majority. A process
-//! that was suspended or partitioned has missed the others' messages; they have not failed.
+//! Invariant: silence counts against another node only while this one was running and in contact with a
+//! majority. A process that was suspended or partitioned has missed the others' messages; they have not
+//! failed.
 
 use crate::repair_timing::{HEARTBEAT, RepairTiming};
 use archlink_messages::{NodeId, VoterSet};
@@ -12,10 +14,11 @@
 const CONTACT_WINDOW: f64 = 3.0;
 /// Seconds since its last message after which a node is not active: three heartbeats.
 const ACTIVE_WINDOW: f64 = 3.0 * HEARTBEAT;
-/// Seconds without a check after which this process counts as having been suspended: several ticks are due in that time.
+/// Seconds without a check after which this process counts as having been suspended: several ticks are due in
+/// that time.
 const SUSPENSION: f64 = 0.5;
-/// Control nodes that are tracked at most; the registry knows no more either. A further one takes the place of one that has
-/// timed out, or is not tracked.
+/// Control nodes that are tracked at most; the registry knows no more either. A further one takes the place
+/// of one that has timed out, or is not tracked.
 pub const MAX_PEERS: usize = 64;
 
 /// What is known of another control node. Times are in seconds.
@@ -109,8 +112,8 @@
         }
     }
 
-    /// Takes what a heartbeat reports of its sender: whether its acceptor has recovered, its epoch, and the voters that it
-    /// suspects. A node that suspects itself is shutting down.
+    /// Takes what a heartbeat reports of its sender: whether its acceptor has recovered, its epoch, and the
+    /// voters that it suspects. A node that suspects itself is shutting down.
     pub fn heartbeat_received(&mut self, from: NodeId, recovered: bool, epoch: u64, suspects: &[NodeId]) {
         if let Some(peer) = self.peers.get_mut(&from) {
             peer.recovered = recovered;
@@ -119,8 +122,8 @@
         }
     }
 
-    /// Notes whether this node is in contact with a majority of `voter_set`, and whether its acceptor has `recovered`. To be
-    /// called at short intervals.
+    /// Notes whether this node is in contact with a majority of `voter_set`, and whether its acceptor has
+    /// `recovered`. To be called at short intervals.
     pub fn check(&mut self, now: f64, voter_set: &VoterSet, recovered: bool) {
         let was_suspended = now > self.checked_at + SUSPENSION;
         self.checked_at = now;
@@ -197,8 +200,8 @@
         self.peers.get(&node).is_some_and(|peer| now > peer.since + self.timing.stable_after)
     }
 
-    /// Voters that this node suspects to have failed; and itself, where it is shutting down, whether it is a voter or not: a
-    /// node that is no voter reports so that it becomes none.
+    /// Voters that this node suspects to have failed; and itself, where it is shutting down, whether it is a
+    /// voter or not: a node that is no voter reports so that it becomes none.
     pub fn suspected(&self, now: f64, voter_set: &VoterSet) -> Vec<NodeId> {
         if now > self.checked_at + SUSPENSION {
             return Vec::new();
@@ -241,7 +244,8 @@
         voter_set.voters.iter().copied().filter(has_failed).collect()
     }
 
-    /// Has a majority confirmed something lately, and within the current epoch, which began at `epoch_started`?
+    /// Has a majority confirmed something lately, and within the current epoch, which began at
+    /// `epoch_started`?
     pub fn has_quorum_contact(now: f64, confirmed: Option<f64>, epoch_started: f64) -> bool {
         confirmed.is_some_and(|at| at > epoch_started.max(now - CONTACT_WINDOW))
     }
--- a/crates/consensus/src/leases.rs
+++ b/crates/consensus/src/leases.rs
@@ -1,10 +1,11 @@
-//! Leases for singleton roles: which control node has a role, and until when (Gray and Cheriton, section 2; here a majority of
-//! the voters takes the place of the server).
+//! Leases for singleton roles: which control node has a role, and until when (Gray and Cheriton, section 2;
+//! here a majority of the voters takes the place of the server).
 //!
-//! A node requests a lease for a new term from all voters, and has the lease once a majority has granted it. It renews the
-//! lease in time, names a successor when it leaves, and stops by its own clock before the voters' grants expire. A voter
-//! records a new term on disk before it grants it; renewals are not recorded: a voter that restarts assumes that its last
-//! grant was made just now, and so knows which node may still rely on it. Terms only grow, and serve as fencing tokens.
+//! A node requests a lease for a new term from all voters, and has the lease once a majority has granted it.
+//! It renews the lease in time, names a successor when it leaves, and stops by its own clock before the
+//! voters' grants expire. A voter records a new term on disk before it grants it; renewals are not recorded:
+//! a voter that restarts assumes that its last grant was made just now, and so knows which node may still
+//! rely on it. Terms only grow, and serve as fencing tokens.
 //!
 //! Parts: `granting` (the voter's side), `requesting` (the holder's side).
 //!
@@ -19,8 +20,9 @@
 use requesting::{LeaseRequest, RequestKind};
 use std::collections::BTreeMap;
 
-/// Seconds for which a grant is valid. Four renewals fit in, so that lost messages cost no lease. A failed holder's role is
-/// without a holder for about as long, and requests that need its counter are decided by local shares meanwhile.
+/// Seconds for which a grant is valid. Four renewals fit in, so that lost messages cost no lease. A failed
+/// holder's role is without a holder for about as long, and requests that need its counter are decided by
+/// local shares meanwhile.
 pub const LEASE_DURATION: f64 = 0.8;
 
 /// No node has this number: a grant that is given back names no successor.
@@ -41,7 +43,7 @@
 #[derive(Clone, Copy)]
 struct KnownHolder {
     grant: LeaseGrant,
-    heard_at: f64,
+    reported_at: f64,
 }
 
 /// The leases of one control node, as a voter that grants them and as a node that holds them.
@@ -65,8 +67,8 @@
 }
 
 impl Leases {
-    /// `grants` are the last grants of this node's earlier incarnation, from its disk. `seed` has to differ between
-    /// incarnations.
+    /// `grants` are the last grants of this node's earlier incarnation, from its disk. `seed` has to differ
+    /// between incarnations.
     pub fn new(now: f64, id: NodeId, seed: u64, grants: &[LeaseGrant]) -> Leases {
         // Drawn, so that a grant for an earlier incarnation's request matches no request of this one.
         let serial = oorandom::Rand64::new(u128::from(seed.rotate_left(1))).rand_u64();
@@ -99,7 +101,8 @@
         self.leases.get(&role).copied().filter(|lease| now < lease.valid_until)
     }
 
-    /// The holder of each role as far as known here. Leases held by this node go before what other nodes report.
+    /// The holder of each role as far as known here. Leases held by this node go before what other nodes
+    /// report.
     pub fn holders(&self, now: f64) -> Vec<LeaseGrant> {
         let own_grant = |role| {
             self.held_lease(now, role).map(|lease| LeaseGrant { role, holder: self.id, term: lease.term })
@@ -110,7 +113,8 @@
             .collect()
     }
 
-    /// Takes a report of a role's holder, which a majority has granted. From the holder itself it also shows that it is alive.
+    /// Takes a report of a role's holder, which a majority has granted. From the holder itself it also shows
+    /// that it is alive.
     pub fn learn_holder(&mut self, now: f64, from: NodeId, grant: LeaseGrant) {
         if self.is_released(&grant) {
             return;
@@ -119,7 +123,7 @@
             known.grant.term < grant.term || (known.grant.term == grant.term && from == grant.holder)
         };
         if self.known_holders.get(&grant.role).is_none_or(is_newer) {
-            self.known_holders.insert(grant.role, KnownHolder { grant, heard_at: now });
+            self.known_holders.insert(grant.role, KnownHolder { grant, reported_at: now });
         }
     }
 
@@ -127,8 +131,8 @@
         self.released_terms.get(&grant.role).is_some_and(|released| grant.term <= *released)
     }
 
-    /// Renews leases, gives up requests that have timed out, and requests leases for roles without a holder. To be called at
-    /// short intervals.
+    /// Renews leases, gives up requests that have timed out, and requests leases for roles without a holder.
+    /// To be called at short intervals.
     pub fn tick(&mut self, now: f64) -> Vec<Effect> {
         if self.leaving || !self.voter_set.is_known() {
             return Vec::new();
@@ -161,7 +165,8 @@
         }
     }
 
-    /// A holder has released its lease, or a node gives back grants of a term that it did not win ([`NO_SUCCESSOR`]).
+    /// A holder has released its lease, or a node gives back grants of a term that it did not win
+    /// ([`NO_SUCCESSOR`]).
     fn receive_release(
         &mut self,
         now: f64,
--- a/crates/consensus/src/leases/granting.rs
+++ b/crates/consensus/src/leases/granting.rs
@@ -7,7 +7,9 @@
 /// The last grant for a role.
 #[derive(Clone, Copy)]
 pub(super) struct GrantedLease {
+    /// To whom it was granted.
     pub holder: NodeId,
+    /// In which term.
     pub term: u64,
     /// No other node is granted a lease before, by the local clock.
     pub until: f64,
@@ -16,13 +18,15 @@
 }
 
 impl Leases {
-    /// Takes a grant of an earlier incarnation, or one that other voters report: it may still be valid for its full duration.
+    /// Takes a grant of an earlier incarnation, or one that other voters report: it may still be valid for
+    /// its full duration.
     pub fn restore_grant(&mut self, now: f64, grant: LeaseGrant) {
         let LeaseGrant { role, holder, term } = grant;
         if self.granted.get(&role).is_none_or(|last| last.term < term) {
             self.granted
                 .insert(role, GrantedLease { holder, term, until: now + LEASE_DURATION, persisted: true });
-            // A lease of this node has ended with the earlier incarnation: no other node can have it sooner than this one.
+            // A lease of this node has ended with the earlier incarnation: no other node can have it sooner
+            // than this one.
             if holder == self.id {
                 self.retry_at.insert(role, now);
             }
@@ -39,8 +43,9 @@
         self.granted.iter().map(to_grant).collect()
     }
 
-    /// Grants, renews or denies. Another node's grant is waited out, and a new term is above all terms before it. A node that
-    /// requests a new term while it holds a grant has given up its lease, or lost it with an earlier incarnation.
+    /// Grants, renews or denies. Another node's grant is waited out, and a new term is above all terms before
+    /// it. A node that requests a new term while it holds a grant has given up its lease, or lost it with an
+    /// earlier incarnation.
     pub(super) fn receive_request(
         &mut self,
         now: f64,
@@ -75,8 +80,8 @@
         vec![Effect::Store(record, vec![(holder, granted), (self.id, persisted)])]
     }
 
-    /// Renews a grant. A renewal that counted before the term is on disk could be forgotten with it, and another node be
-    /// granted the next term.
+    /// Renews a grant. A renewal that counted before the term is on disk could be forgotten with it, and
+    /// another node be granted the next term.
     fn renew(&mut self, now: f64, grant: LeaseGrant, serial: u64) -> Vec<Effect> {
         let granted = self.voter_set.message(ConsensusMessage::LeaseGranted(grant, serial));
         let Some(last) = self.granted.get_mut(&grant.role) else { return Vec::new() };
--- a/crates/consensus/src/leases/requesting.rs
+++ b/crates/consensus/src/leases/requesting.rs
@@ -7,17 +7,18 @@
 
 /// Seconds between two renewals.
 const RENEWAL_INTERVAL: f64 = 0.2;
-/// The part of the lease duration for which the holder relies on it: its clock's rate and the voters' differ by far less than
-/// the rest.
+/// The part of the lease duration for which the holder relies on it: its clock's rate and the voters' differ
+/// by far less than the rest.
 const HOLDER_SAFETY_FACTOR: f64 = 0.95;
-/// Seconds after which a request without a majority has lost: two message delays between the most distant regions and a slow
-/// sync fit in.
+/// Seconds after which a request without a majority has lost: two message delays between the most distant
+/// regions and a slow sync fit in.
 const REQUEST_TIMEOUT: f64 = 0.12;
-/// The longest wait, in seconds, before a node's next request for a role without a holder. It is drawn, so that one of several
-/// nodes wins.
+/// The longest wait, in seconds, before a node's next request for a role without a holder. It is drawn, so
+/// that one of several nodes wins.
 const REQUEST_JITTER: f64 = 0.25;
-/// Seconds between the voters' turns to request a role that has just become free; another voter is first in each term. Two at
-/// once split the grants and both lose, which costs more than a turn of a voter that has failed as well.
+/// Seconds between the voters' turns to request a role that has just become free; another voter is first in
+/// each term. Two at once split the grants and both lose, which costs more than a turn of a voter that has
+/// failed as well.
 const TURN_INTERVAL: f64 = 0.07;
 /// The part of a turn before the first one: all grants for the failed holder expire in it.
 const FIRST_TURN_DELAY: f64 = 0.4;
@@ -38,7 +39,8 @@
     serial: u64,
     sent_at: f64,
     granted_by: BTreeSet<NodeId>,
-    /// Sent by a named successor: a voter that denies it may not have received the release yet, and is sent it once more.
+    /// Sent by a named successor: a voter that denies it may not have received the release yet, and is sent
+    /// it once more.
     named_successor: bool,
 }
 
@@ -65,7 +67,8 @@
         effects
     }
 
-    /// Gives back what a request without a majority was granted: if each voter kept granting to itself, none would win.
+    /// Gives back what a request without a majority was granted: if each voter kept granting to itself, none
+    /// would win.
     fn give_up_timed_out_request(&mut self, now: f64, role: SingletonRole) -> Vec<Effect> {
         if !self.requests.get(&role).is_some_and(|request| now >= request.sent_at + REQUEST_TIMEOUT) {
             return Vec::new();
@@ -82,7 +85,7 @@
         self.known_holders.get(&role).is_some_and(|known| {
             known.grant.holder != self.id
                 && now
-                    < known.heard_at.max(granted_at)
+                    < known.reported_at.max(granted_at)
                         + LEASE_DURATION
                         + TURN_INTERVAL * self.turns_to_wait(&known.grant)
         })
@@ -120,8 +123,8 @@
         self.voter_set.all_voters().into_iter().map(|node| Effect::Send(node, message.clone())).collect()
     }
 
-    /// Gives back the grants of a term that was not won. Invariant: that term is never requested again, since this release,
-    /// should it come late, would end a grant that was won.
+    /// Gives back the grants of a term that was not won. Invariant: that term is never requested again, since
+    /// this release, should it come late, would end a grant that was won.
     fn release_grants(&mut self, role: SingletonRole) -> Vec<Effect> {
         let Some(LeaseRequest { term, granted_by, .. }) = self.requests.remove(&role) else {
             return Vec::new();
@@ -153,11 +156,11 @@
         let renewed = self.leases.get(&grant.role).filter(|lease| lease.term == grant.term);
         let since = renewed.map_or(now, |lease| lease.since);
         self.leases.insert(grant.role, Lease { term: grant.term, since, valid_until });
-        self.known_holders.insert(grant.role, KnownHolder { grant, heard_at: now });
+        self.known_holders.insert(grant.role, KnownHolder { grant, reported_at: now });
     }
 
-    /// What one voter granted doesn't tell who the holder is, as that node may have lost. Only its term counts: the next request
-    /// is above it.
+    /// What one voter granted doesn't tell who the holder is, as that node may have lost. Only its term
+    /// counts: the next request is above it.
     pub(super) fn receive_denial(&mut self, now: f64, grant: LeaseGrant) -> Vec<Effect> {
         self.raise_highest_term(grant.role, grant.term);
         match self.requests.get(&grant.role) {
@@ -185,7 +188,8 @@
         effects
     }
 
-    /// Requests a released lease if this node is the named successor; otherwise leaves that node time to do so.
+    /// Requests a released lease if this node is the named successor; otherwise leaves that node time to do
+    /// so.
     pub(super) fn make_way_for(&mut self, now: f64, released: &LeaseGrant, successor: NodeId) -> Vec<Effect> {
         let role = released.role;
         if successor != self.id {
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -1,17 +1,19 @@
-//! When the voter set changes. The voter set is a register like the others: each next one is proposed by this module and
-//! agreed on through [`Proposer`](crate::proposer::Proposer).
+//! When the voter set changes. The voter set is a register like the others: each next one is proposed by this
+//! module and agreed on through [`Proposer`](crate::proposer::Proposer).
 //!
-//! From one set to another it goes through a joint epoch, in which a majority of each set is needed (Ongaro, section 4.3).
-//! A joint epoch ends only after three things (`joint`):
+//! From one set to another it goes through a joint epoch, in which a majority of each set is needed (Ongaro,
+//! section 4.3). A joint epoch ends only after three things (`joint`):
 //!
 //! - every register was committed in it,
 //! - each joining node has reported that its disk has all of them,
 //! - no lease that was granted before it can still be valid.
 //!
-//! Then nodes that missed the change can't form a majority with anybody. Parts: `begin` (when a change starts, and who
-//! starts it), `joint` (when it ends), `plan` (which set is wanted), `requests` (operators' requests).
+//! Then nodes that missed the change can't form a majority with anybody. Parts: `begin` (when a change
+//! starts, and who starts it), `joint` (when it ends), `plan` (which set is wanted), `requests` (operators'
+//! requests).
 //!
-//! Invariants: a joint epoch is never ended on what was seen in another epoch, and no change begins while one is in progress.
+//! Invariants: a joint epoch is never ended on what was seen in another epoch, and no change begins while one
+//! is in progress.
 
 mod begin;
 mod joint;
@@ -52,7 +54,8 @@
 pub struct MembershipContext<'a> {
     /// All control nodes that are known, with their zones.
     pub control_nodes: &'a [ControlNode],
-    /// Since when the voter set is confirmed by a majority ([`Proposer::confirmed`](crate::proposer::Proposer::confirmed)).
+    /// Since when the voter set is confirmed by a majority
+    /// ([`Proposer::confirmed`](crate::proposer::Proposer::confirmed)).
     pub confirmed: Option<f64>,
     /// The same for all registers: the earliest of these times.
     pub all_confirmed: Option<f64>,
@@ -113,9 +116,9 @@
         }
     }
 
-    /// May proposals be made and leases be held? At a first start with fewer seed nodes than voters are wanted, only once the
-    /// set has been changed: nothing is ever chosen by those few. It follows from the epoch alone, so that all nodes agree on
-    /// it, also after a restart.
+    /// May proposals be made and leases be held? At a first start with fewer seed nodes than voters are
+    /// wanted, only once the set has been changed: nothing is ever chosen by those few. It follows from the
+    /// epoch alone, so that all nodes agree on it, also after a restart.
     pub fn is_established(&self) -> bool {
         self.voter_set.epoch > 2 || self.target_size <= self.voter_set.voters.len()
     }
@@ -160,9 +163,9 @@
         self.failure_detector.leave();
     }
 
-    /// May this node shut down without harm to the voter set? As a voter, if no node could replace it and all other voters are
-    /// healthy. Otherwise once all voters that are reachable know the set: a node that alone could report the new set must not
-    /// end with that knowledge.
+    /// May this node shut down without harm to the voter set? As a voter, if no node could replace it and all
+    /// other voters are healthy. Otherwise once all voters that are reachable know the set: a node that alone
+    /// could report the new set must not end with that knowledge.
     pub fn may_shut_down(&self, now: f64) -> bool {
         let detector = &self.failure_detector;
         if self.voter_set.contains(self.id) {
@@ -175,9 +178,9 @@
         reachable.all(|node| detector.has_reached_epoch(*node, self.voter_set.epoch))
     }
 
-    /// Advances the change in progress or begins one. Returns the requests that ended, and what is to be proposed through
-    /// [`Proposer::propose_internal`](crate::proposer::Proposer::propose_internal), each with its token. To be called at short
-    /// intervals.
+    /// Advances the change in progress or begins one. Returns the requests that ended, and what is to be
+    /// proposed through [`Proposer::propose_internal`](crate::proposer::Proposer::propose_internal), each
+    /// with its token. To be called at short intervals.
     pub fn tick(&mut self, now: f64, context: &MembershipContext) -> (Vec<Effect>, Vec<(u64, Change)>) {
         self.failure_detector.check(now, &self.voter_set, context.recovered);
         self.expire_failed_joins(now);
--- a/crates/consensus/src/membership/begin.rs
+++ b/crates/consensus/src/membership/begin.rs
@@ -5,14 +5,16 @@
 use crate::proposer::Change;
 use archlink_messages::{NodeId, VoterSet};
 
-/// Seconds between the seed nodes' turns to begin the first change: two at once reject each other's proposals.
+/// Seconds between the seed nodes' turns to begin the first change: two at once reject each other's
+/// proposals.
 const INITIAL_STAGGER: f64 = 0.3;
-/// Seconds for which the seed nodes wait for other nodes at the first start: a process is up within a second, its links within
-/// another.
+/// Seconds for which the seed nodes wait for other nodes at the first start: a process is up within a second,
+/// its links within another.
 const INITIAL_WAIT: f64 = 2.5;
 
 impl Membership {
-    /// The first change: from the seed nodes to as many voters as are wanted, or to the seed nodes alone where no others come.
+    /// The first change: from the seed nodes to as many voters as are wanted, or to the seed nodes alone
+    /// where no others come.
     pub(super) fn begin_initial_change(
         &mut self,
         now: f64,
@@ -28,8 +30,8 @@
         self.begin_in_turn(now, INITIAL_STAGGER, &proposers, next)
     }
 
-    /// Begins a change to the voters `next` once it is this node's turn among `proposers`, whose turns are `stagger` seconds
-    /// apart.
+    /// Begins a change to the voters `next` once it is this node's turn among `proposers`, whose turns are
+    /// `stagger` seconds apart.
     fn begin_in_turn(
         &mut self,
         now: f64,
--- a/crates/consensus/src/membership/joint.rs
+++ b/crates/consensus/src/membership/joint.rs
@@ -6,16 +6,18 @@
 use archlink_messages::{NodeId, ProposalNumber, REGISTERS, Register, VoterSet};
 use std::collections::BTreeMap;
 
-/// Seconds from the first commit in a joint epoch until no lease granted before it is valid. At that commit a majority of the
-/// voters that granted leases is in the joint epoch and grants none in the old one; the clocks' rates may differ by a quarter
-/// until the last such lease has expired.
+/// Seconds from the first commit in a joint epoch until no lease granted before it is valid. At that commit a
+/// majority of the voters that granted leases is in the joint epoch and grants none in the old one; the
+/// clocks' rates may differ by a quarter until the last such lease has expired.
 const OLD_LEASES_EXPIRED: f64 = 1.25 * LEASE_DURATION;
-/// Seconds after which a joining node that has not taken all registers is left out and the change rolled back, also where no
-/// other node could be tried. A large configuration over a narrow link onto a slow disk takes half of it.
+/// Seconds after which a joining node that has not taken all registers is left out and the change rolled
+/// back, also where no other node could be tried. A large configuration over a narrow link onto a slow disk
+/// takes half of it.
 const JOINING_TIMEOUT_WITHOUT_SPARES: f64 = 10.0;
 /// The same at the first start, where there is nothing to take and everybody waits.
 const INITIAL_JOINING_TIMEOUT: f64 = 3.0;
-/// Seconds between two commits of the registers for a joining node that can accept them now and missed the one before.
+/// Seconds between two commits of the registers for a joining node that can accept them now and missed the
+/// one before.
 const RECOMMIT_INTERVAL: f64 = 0.3;
 
 /// What was seen in the current epoch. Invariant: nothing of it is carried into another epoch.
@@ -29,6 +31,7 @@
 }
 
 impl JointProgress {
+    /// Nothing was seen yet in the epoch that begins now.
     pub fn new(now: f64) -> JointProgress {
         JointProgress {
             committed: BTreeMap::new(),
@@ -39,7 +42,8 @@
     }
 
     fn record_commit(&mut self, now: f64, register: Register, number: ProposalNumber) {
-        // The first commit shows already that a majority of the old set grants no lease in the old epoch any more.
+        // The first commit shows already that a majority of the old set grants no lease in the old epoch any
+        // more.
         if self.committed.is_empty() {
             self.first_commit_at = now;
         }
@@ -71,7 +75,8 @@
         }
     }
 
-    /// A proposal of the membership has ended; `chosen` gives the number under which a register is known to be chosen now.
+    /// A proposal of the membership has ended; `chosen` gives the number under which a register is known to
+    /// be chosen now.
     pub fn proposal_resolved(
         &mut self,
         now: f64,
@@ -103,8 +108,8 @@
         is_lost || now >= self.epoch_started + timeout
     }
 
-    /// Seconds for which this node leaves the end of a change to others: the first active voter ends it, whoever began it.
-    /// `None` where this node takes no part.
+    /// Seconds for which this node leaves the end of a change to others: the first active voter ends it,
+    /// whoever began it. `None` where this node takes no part.
     fn finish_delay(&self, now: f64) -> Option<f64> {
         let is_able = |node: &NodeId| {
             self.failure_detector.is_active(now, *node) && !self.failure_detector.is_leaving(*node)
@@ -147,8 +152,8 @@
         REGISTERS.into_iter().filter_map(|register| self.propose_commit(register)).collect()
     }
 
-    /// Seconds for which a lease of the epoch before may be valid after the first commit. Before the first change there is none
-    /// if nothing was ever chosen, as a majority of the old set says.
+    /// Seconds for which a lease of the epoch before may be valid after the first commit. Before the first
+    /// change there is none if nothing was ever chosen, as a majority of the old set says.
     fn old_lease_duration(&self, context: &MembershipContext) -> f64 {
         let nothing_chosen = !context.leases_known
             && self.joint.was_empty(Register::Configuration)
--- a/crates/consensus/src/membership/plan.rs
+++ b/crates/consensus/src/membership/plan.rs
@@ -1,5 +1,5 @@
-//! Which voter set is wanted: as many voters as are needed to tolerate the losses that are to be tolerated, none of them
-//! failed, from as many zones as possible.
+//! Which voter set is wanted: as many voters as are needed to tolerate the losses that are to be tolerated,
+//! none of them failed, from as many zones as possible.
 //!
 //! Invariant: no set is asked for of which a majority can't be reached.
 
@@ -22,8 +22,8 @@
     nodes.iter().map(|&node| zone(control_nodes, node)).collect::<BTreeSet<_>>().len()
 }
 
-/// `voters` and as many of `candidates` as make `size` in all, each from a zone with the fewest; the first candidate where
-/// zones make no difference.
+/// `voters` and as many of `candidates` as make `size` in all, each from a zone with the fewest; the first
+/// candidate where zones make no difference.
 fn fill(voters: &[NodeId], candidates: &[NodeId], control_nodes: &[ControlNode], size: usize) -> Vec<NodeId> {
     let mut filled = voters.to_vec();
     while filled.len() < size {
@@ -56,7 +56,8 @@
         (odd > voters.len()).then(|| fill(voters, spares, control_nodes, odd))
     }
 
-    /// The voters that should be, where those are others than now and can be had; `failed` are voters to be replaced.
+    /// The voters that should be, where those are others than now and can be had; `failed` are voters to be
+    /// replaced.
     pub(super) fn plan(
         &self,
         now: f64,
@@ -73,7 +74,8 @@
         } else {
             self.without_failed(failed, &spares, control_nodes)
         };
-        // It will be known soon whether a voter that was not heard from lately has failed: one change is better than two.
+        // It will be known soon whether a voter that was not heard from lately has failed: one change is
+        // better than two.
         let all_decided =
             voters.iter().all(|node| failed.contains(node) || self.failure_detector.is_reachable(now, *node));
         (all_decided && next != *voters && self.can_change(now, &next)).then_some(next)
@@ -87,7 +89,8 @@
         spares
     }
 
-    /// Spares in place of failed voters. A failed voter that no spare can replace stays: a smaller set tolerates no more.
+    /// Spares in place of failed voters. A failed voter that no spare can replace stays: a smaller set
+    /// tolerates no more.
     fn without_failed(
         &self,
         failed: &[NodeId],
@@ -111,8 +114,8 @@
         (is_ready && next.len() > voters.len() && self.can_change(now, &next)).then_some(next)
     }
 
-    /// One voter of a zone with several gives way to a stable spare of a zone with none, so that the loss of a zone costs fewer
-    /// voters.
+    /// One voter of a zone with several gives way to a stable spare of a zone with none, so that the loss of
+    /// a zone costs fewer voters.
     fn spread(&self, now: f64, spares: &[NodeId], control_nodes: &[ControlNode]) -> Option<Vec<NodeId>> {
         let voters = &self.voter_set.voters;
         let stable: Vec<NodeId> =
--- a/crates/consensus/src/membership/requests.rs
+++ b/crates/consensus/src/membership/requests.rs
@@ -7,7 +7,8 @@
 
 /// Seconds after which a request ends as unknown: its caller waits hardly longer. The change goes on.
 const REQUEST_TIMEOUT: f64 = 2.5;
-/// Seconds for which the nodes named at a forced new generation are waited for; then those that are reachable become voters.
+/// Seconds for which the nodes named at a forced new generation are waited for; then those that are reachable
+/// become voters.
 const NAMED_NODES_WAIT: f64 = 5.0;
 
 /// A request to replace a voter, in progress.
@@ -45,27 +46,31 @@
 
 /// Nodes that an operator named as voters of a new generation, and that are none yet.
 pub(super) struct NamedNodes {
+    /// At most [`MAX_PEERS`].
     pub nodes: Vec<NodeId>,
     since: f64,
 }
 
 impl NamedNodes {
+    /// No nodes are named.
     pub fn none(now: f64) -> NamedNodes {
         NamedNodes { nodes: Vec::new(), since: now }
     }
 
+    /// Removes those that are voters now.
     pub fn remove_voters(&mut self, voter_set: &VoterSet) {
         self.nodes.retain(|node| !voter_set.contains(*node));
     }
 
+    /// Are nodes that can't be reached waited for no longer?
     pub fn wait_is_over(&self, now: f64) -> bool {
         now > self.since + NAMED_NODES_WAIT
     }
 }
 
 impl Membership {
-    /// An operator asks for `new` to be a voter in place of `old`. Returns the outcome if it ends at once; otherwise it ends as
-    /// [`Effect::ProposalResolved`] with this `token`.
+    /// An operator asks for `new` to be a voter in place of `old`. Returns the outcome if it ends at once;
+    /// otherwise it ends as [`Effect::ProposalResolved`] with this `token`.
     pub fn replace(&mut self, now: f64, token: u64, old: NodeId, new: NodeId) -> Option<Outcome> {
         let mut next: Vec<NodeId> =
             self.voter_set.voters.iter().filter(|node| **node != old).copied().collect();
@@ -114,8 +119,9 @@
         Ok(ReplaceCheck::Start)
     }
 
-    /// This node has started a new generation with itself as the only voter; `named` are the voters that an operator wants in
-    /// it. The request ends once all registers are committed in the new generation, which is after this node's disk has it.
+    /// This node has started a new generation with itself as the only voter; `named` are the voters that an
+    /// operator wants in it. The request ends once all registers are committed in the new generation, which
+    /// is after this node's disk has it.
     pub fn generation_forced(&mut self, now: f64, token: u64, named: Vec<NodeId>) {
         self.generation_request = Some(GenerationRequest { token, deadline: now + REQUEST_TIMEOUT });
         self.named = NamedNodes { nodes: named, since: now };
--- a/crates/consensus/src/proposer.rs
+++ b/crates/consensus/src/proposer.rs
@@ -1,11 +1,13 @@
 //! The proposer's side of the registers, and what this node has learned of their values.
 //!
-//! A change is a sequence of attempts, each under a proposal number of its own ("Paxos Made Simple", section 2.2): a majority
-//! promises and reports what it has accepted; the change is applied to the newest of that; a majority accepts the result. Any
-//! control node may propose, and each change starts from the value that was chosen last.
+//! A change is a sequence of attempts, each under a proposal number of its own ("Paxos Made Simple", section
+//! 2.2): a majority promises and reports what it has accepted; the change is applied to the newest of that; a
+//! majority accepts the result. Any control node may propose, and each change starts from the value that was
+//! chosen last.
 //!
-//! The concerns: `queue` (proposals waiting for their turn), `attempt` (the two phases), `reads` and `quorum_read`
-//! (since when a majority has confirmed what is known here), `change` (what a change makes of a value).
+//! The concerns: `queue` (proposals waiting for their turn), `attempt` (the two phases), `reads` and
+//! `quorum_read` (since when a majority has confirmed what is known here), `change` (what a change makes of a
+//! value).
 //!
 //! Invariant: a value is learned as chosen only when a majority has it on disk under one proposal number.
 
@@ -70,8 +72,8 @@
         self.chosen.get(&register)
     }
 
-    /// Since when [`Proposer::chosen`] is confirmed to be the newest value: the time at which the read request was sent that a
-    /// majority replied to.
+    /// Since when [`Proposer::chosen`] is confirmed to be the newest value: the time at which the read
+    /// request was sent that a majority replied to.
     pub fn confirmed(&self, register: Register) -> Option<f64> {
         self.quorum_read.confirmed(register)
     }
@@ -83,7 +85,8 @@
         if known.is_some_and(|known| known.proposal >= value.proposal) {
             return Vec::new();
         }
-        // In a forced new generation the revision may go back, and a revision may come again with other content.
+        // In a forced new generation the revision may go back, and a revision may come again with other
+        // content.
         let is_newer = known
             .is_none_or(|known| known.ordering_key() != value.ordering_key() || known.value != value.value);
         if known.is_some_and(|known| known.generation() != value.generation()) {
@@ -121,8 +124,8 @@
         }
     }
 
-    /// Retries and ends proposals whose time has come, and sends the read request that is due. To be called at short
-    /// intervals.
+    /// Retries and ends proposals whose time has come, and sends the read request that is due. To be called
+    /// at short intervals.
     pub fn tick(&mut self, now: f64) -> Vec<Effect> {
         let mut effects = Vec::new();
         // A register with both a proposal in progress and pending ones comes up twice.
--- a/crates/consensus/src/proposer/attempt.rs
+++ b/crates/consensus/src/proposer/attempt.rs
@@ -1,19 +1,20 @@
-//! The proposal in progress on a register: its two phases ("Paxos Made Simple", section 2.2), retries and back-off.
+//! The proposal in progress on a register: its two phases ("Paxos Made Simple", section 2.2), retries and
+//! back-off.
 
 use super::{PendingProposal, Proposer};
 use crate::{Effect, Outcome};
 use archlink_messages::{AcceptedValue, ConsensusMessage, NodeId, ProposalNumber, Register};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Seconds after which voters that have not replied are sent the request again, under the same number: the message may be
-/// lost; and where only the disk is slow, the reply to the first request counts.
+/// Seconds after which voters that have not replied are sent the request again, under the same number: the
+/// message may be lost; and where only the disk is slow, the reply to the first request counts.
 const RESEND_INTERVAL: f64 = 0.35;
 /// The shortest back-off after a rejection, in seconds: about one message delay within a region.
 const MIN_BACKOFF: f64 = 0.01;
 /// What is added to it at most, in seconds, by the first rejection of a caller's proposal.
 const BACKOFF_JITTER: f64 = 0.12;
-/// The same of the node's own proposals, whatever the number of rejections: callers' proposals without a pause would otherwise
-/// hold up a change of the voter set.
+/// The same of the node's own proposals, whatever the number of rejections: callers' proposals without a
+/// pause would otherwise hold up a change of the voter set.
 const INTERNAL_BACKOFF_JITTER: f64 = 0.03;
 /// The jitter doubles with each rejection, for the sake of slow disks; so many times at most.
 const MAX_BACKOFF_DOUBLINGS: u32 = 2;
@@ -25,17 +26,21 @@
     BackingOff { until: f64 },
     /// Phase 1: the promises received, each with the value that its voter has accepted.
     Preparing { promises: BTreeMap<NodeId, Option<AcceptedValue>> },
-    /// Phase 2: the value proposed, the outcome reported once it is chosen, and the voters that have accepted it.
+    /// Phase 2: the value proposed, the outcome reported once it is chosen, and the voters that have accepted
+    /// it.
     Accepting { value: AcceptedValue, outcome: Outcome, accepted_by: BTreeSet<NodeId> },
 }
 
 /// The proposal in progress on a register.
 #[derive(Clone, Debug)]
 pub(super) struct ActiveProposal {
+    /// What is proposed, for whom, and until when.
     pub proposal: PendingProposal,
     /// The number of this attempt; the default while backing off, which no reply has.
     pub number: ProposalNumber,
+    /// When the phase began, or its request was last sent.
     pub phase_started: f64,
+    /// How far this attempt has come.
     pub phase: ProposalPhase,
     /// Attempts that a competing proposal has cost.
     pub rejections: u32,
@@ -65,7 +70,8 @@
         self.broadcast(prepare)
     }
 
-    /// Sends the request of the phase in progress again, to those that have not replied. A withdrawn proposal ends instead.
+    /// Sends the request of the phase in progress again, to those that have not replied. A withdrawn proposal
+    /// ends instead.
     fn resend(&mut self, now: f64, register: Register) -> Vec<Effect> {
         let Some(active) = self.active.get_mut(&register) else { return Vec::new() };
         if active.withdrawn {
@@ -87,7 +93,8 @@
         missing.map(|node| Effect::Send(node, request.clone())).collect()
     }
 
-    /// Phase 2a, once a majority has promised: applies the change to the newest value that any of them has accepted.
+    /// Phase 2a, once a majority has promised: applies the change to the newest value that any of them has
+    /// accepted.
     pub(super) fn receive_promise(
         &mut self,
         now: f64,
@@ -103,7 +110,8 @@
         let is_expired = active.is_expired(now);
         let ProposalPhase::Preparing { promises } = &mut active.phase else { return Vec::new() };
         promises.insert(from, accepted.clone());
-        // A process that was suspended may be here long after the deadline, when a promise may be forgotten with its disk.
+        // A process that was suspended may be here long after the deadline, when a promise may be forgotten
+        // with its disk.
         if !voter_set.has_quorum(|node| promises.contains_key(&node)) || is_expired {
             return Vec::new();
         }
@@ -144,7 +152,8 @@
         effects
     }
 
-    /// A competing proposal has a higher number: backs off for a random time, so that one of the two gets through.
+    /// A competing proposal has a higher number: backs off for a random time, so that one of the two gets
+    /// through.
     pub(super) fn receive_reject(
         &mut self,
         now: f64,
--- a/crates/consensus/src/proposer/change.rs
+++ b/crates/consensus/src/proposer/change.rs
@@ -1,7 +1,8 @@
-//! What a change makes of a register's newest value, and the outcome that its caller gets once the result is chosen.
+//! What a change makes of a register's newest value, and the outcome that its caller gets once the result is
+//! chosen.
 //!
-//! Invariant: of the versions that a configuration remembers ([`MAX_RECENT_VERSIONS`]), no second text is chosen or
-//! acknowledged under the same one.
+//! Invariant: of the versions that a configuration remembers ([`MAX_RECENT_VERSIONS`]), no second text is
+//! chosen or acknowledged under the same one.
 
 use crate::Outcome;
 use archlink_messages::{
@@ -10,9 +11,9 @@
 };
 use bytes::Bytes;
 
-/// How many versions a configuration remembers, each with the digest of its text: more than operators send while one of them
-/// may still be repeated, and 1.4 kB beside each configuration. An older version counts as one that was never seen: it is
-/// acknowledged and alters nothing.
+/// How many versions a configuration remembers, each with the digest of its text: more than operators send
+/// while one of them may still be repeated, and 1.4 kB beside each configuration. An older version counts as
+/// one that was never seen: it is acknowledged and alters nothing.
 pub const MAX_RECENT_VERSIONS: usize = 64;
 
 /// A change to be proposed on a register.
@@ -51,8 +52,8 @@
         }
     }
 
-    /// The value to be accepted under `proposal`, given the `newest` one, and the outcome once that is chosen. `None` where
-    /// the register has no value and gets none.
+    /// The value to be accepted under `proposal`, given the `newest` one, and the outcome once that is
+    /// chosen. `None` where the register has no value and gets none.
     pub(super) fn apply(
         &self,
         newest: Option<&AcceptedValue>,
@@ -82,7 +83,8 @@
     }
 }
 
-/// The new value, or the outcome where the newest value stays: the version was taken before, or is below the newest one.
+/// The new value, or the outcome where the newest value stays: the version was taken before, or is below the
+/// newest one.
 fn apply_configuration(
     newest: Option<&AcceptedValue>,
     digest: VersionDigest,
--- a/crates/consensus/src/proposer/queue.rs
+++ b/crates/consensus/src/proposer/queue.rs
@@ -5,10 +5,11 @@
 use archlink_messages::{ProposalNumber, Register};
 use std::collections::VecDeque;
 
-/// Seconds until a proposal of a caller ends as unknown: callers try another node after a second without a reply.
+/// Seconds until a proposal of a caller ends as unknown: callers try another node after a second without a
+/// reply.
 pub const PROPOSAL_TIMEOUT: f64 = 0.9;
-/// The same for proposals of the node itself, for which no caller waits. Shorter than the silence of an acceptor that lost its
-/// disk (`acceptor::state_transfer::LOST_DISK_SILENCE`), by clocks whose rates differ.
+/// The same for proposals of the node itself, for which no caller waits. Shorter than the silence of an
+/// acceptor that lost its disk (`acceptor::state_transfer::LOST_DISK_SILENCE`), by clocks whose rates differ.
 const INTERNAL_PROPOSAL_TIMEOUT: f64 = 1.9;
 /// Pending proposals on one register. A further one ends as unknown at once.
 const MAX_PENDING: usize = 64;
@@ -16,9 +17,11 @@
 /// A proposal that has not been started.
 #[derive(Clone, Debug)]
 pub(super) struct PendingProposal {
+    /// What is proposed.
     pub change: Change,
     /// Under which the outcome is reported; `None` where nobody waits for it.
     pub token: Option<u64>,
+    /// When it ends as unknown, in seconds of the local monotonic clock.
     pub deadline: f64,
     /// Proposed by the node itself; no caller waits.
     pub internal: bool,
@@ -32,8 +35,9 @@
         self.enqueue(now, PendingProposal { change, token: Some(token), deadline, internal: false })
     }
 
-    /// Proposes a change of the node itself. It has more time than a caller's, and goes before all pending ones: a change of
-    /// the voter set has to complete whatever the load. Its caller has one at a time on each register.
+    /// Proposes a change of the node itself. It has more time than a caller's, and goes before all pending
+    /// ones: a change of the voter set has to complete whatever the load. Its caller has one at a time on
+    /// each register.
     pub fn propose_internal(&mut self, now: f64, change: Change, token: u64) -> Vec<Effect> {
         let register = change.register();
         let deadline = now + INTERNAL_PROPOSAL_TIMEOUT;
@@ -42,8 +46,8 @@
         self.start_next(now, register)
     }
 
-    /// The caller is gone. A proposal that no voter was asked to accept is dropped, and others are not retried, so that they
-    /// can't undo what comes after them.
+    /// The caller is gone. A proposal that no voter was asked to accept is dropped, and others are not
+    /// retried, so that they can't undo what comes after them.
     pub fn withdraw(&mut self, token: u64) {
         for pending in self.pending.values_mut() {
             pending.retain(|proposal| proposal.token != Some(token));
@@ -55,6 +59,7 @@
         });
     }
 
+    /// Adds a proposal behind the pending ones; ends it as unknown where there are [`MAX_PENDING`].
     pub(super) fn enqueue(&mut self, now: f64, proposal: PendingProposal) -> Vec<Effect> {
         let register = proposal.change.register();
         let pending = self.pending.entry(register).or_default();
--- a/crates/consensus/src/proposer/quorum_read.rs
+++ b/crates/consensus/src/proposer/quorum_read.rs
@@ -1,11 +1,11 @@
-//! Since when a majority has confirmed what is known here: read requests ask the voters which proposal numbers they have
-//! accepted. The role is that of the read index (Ongaro, section 6.4): a read at time t is served once a majority has replied
-//! to a request that was sent at t or later.
+//! Since when a majority has confirmed what is known here: read requests ask the voters which proposal
+//! numbers they have accepted. The role is that of the read index (Ongaro, section 6.4): a read at time t is
+//! served once a majority has replied to a request that was sent at t or later.
 //!
 //! Invariants:
 //!
-//! - A reply counts from the time at which its request was sent, never later; a reply to a request of another incarnation or
-//!   epoch doesn't count.
+//! - A reply counts from the time at which its request was sent, never later; a reply to a request of another
+//!   incarnation or epoch doesn't count.
 //! - Readers share requests: however many there are, a request is not displaced before it can be answered.
 
 use archlink_messages::{NodeId, ProposalNumber, REGISTERS, Register, VoterSet};
@@ -13,23 +13,26 @@
 
 /// Seconds between two read requests while no reader waits.
 const READ_INTERVAL: f64 = 0.4;
-/// The same while nothing is confirmed: after a start the links are set up one by one, and nobody is served before.
+/// The same while nothing is confirmed: after a start the links are set up one by one, and nobody is served
+/// before.
 const STARTUP_READ_INTERVAL: f64 = 0.1;
-/// The same while a reader waits and no majority has replied: it bounds the cost of a lost reply, and the load on slow disks.
+/// The same while a reader waits and no majority has replied: it bounds the cost of a lost reply, and the
+/// load on slow disks.
 const READ_RETRY: f64 = 0.1;
 /// Seconds after which a reader has given up; as long as [`super::PROPOSAL_TIMEOUT`].
 const READER_TIMEOUT: f64 = 0.9;
-/// Requests that may still be answered, 16 bytes each. At one every [`READ_RETRY`] it is 25 s of them, many times the slowest
-/// reply that a lease could depend on.
+/// Requests that may still be answered, 16 bytes each. At one every [`READ_RETRY`] it is 25 s of them, many
+/// times the slowest reply that a lease could depend on.
 const MAX_OUTSTANDING: usize = 256;
-/// Seconds after which a reply no longer counts. A voter that lost its disk since, and copied the state of others, is back
-/// after more than this (`acceptor::state_transfer::LOST_DISK_SILENCE`), and only then may another voter accept what it had
-/// accepted.
+/// Seconds after which a reply no longer counts. A voter that lost its disk since, and copied the state of
+/// others, is back after more than this (`acceptor::state_transfer::LOST_DISK_SILENCE`), and only then may
+/// another voter accept what it had accepted.
 const REPLY_LIFETIME: f64 = 2.0;
 /// Seconds until a value that a majority reports is fetched again.
 const FETCH_RETRY: f64 = 0.25;
-/// Replies to requests sent longer ago, in seconds, are not combined with later ones to see what a majority has accepted: a
-/// voter that replied may have lost its disk since, and be back (after 2.5 s at the soonest) without what it had accepted.
+/// Replies to requests sent longer ago, in seconds, are not combined with later ones to see what a majority
+/// has accepted: a voter that replied may have lost its disk since, and be back (after 2.5 s at the soonest)
+/// without what it had accepted.
 const AGREEMENT_WINDOW: f64 = 2.4;
 /// After so many majorities of replies in a row without a common number, no proposer is about to finish.
 const MAX_DISAGREEMENTS: u32 = 2;
@@ -60,7 +63,8 @@
 /// Read requests, the replies to them, and what follows.
 #[derive(Clone, Debug)]
 pub(super) struct QuorumRead {
-    /// Starts at random in each incarnation: a reply to an earlier one's request matches no request of this one.
+    /// Starts at random in each incarnation: a reply to an earlier one's request matches no request of this
+    /// one.
     serial: u64,
     /// The newest at the back.
     outstanding: VecDeque<ReadRequest>,
@@ -114,14 +118,16 @@
         voter_set.has_quorum(|node| self.replies.get(&node).is_some_and(|reply| reply.requested_at >= at))
     }
 
-    /// A reader needs a confirmation at `now` or later. All that come while a request is out share the next one.
+    /// A reader needs a confirmation at `now` or later. All that come while a request is out share the next
+    /// one.
     pub fn request_confirmation(&mut self, now: f64) {
         if self.last_request_at() < now {
             self.reader_since = Some(now);
         }
     }
 
-    /// Is it time for a request? With a reader waiting: once a majority has replied to the one before, or after a short wait.
+    /// Is it time for a request? With a reader waiting: once a majority has replied to the one before, or
+    /// after a short wait.
     pub fn due(&mut self, now: f64, voter_set: &VoterSet) -> bool {
         let all_confirmed =
             |at| REGISTERS.iter().all(|register| self.confirmed(*register).is_some_and(|since| since >= at));
@@ -209,9 +215,9 @@
         voter_set.has_quorum(|node| self.replies.get(&node).is_some_and(reports))
     }
 
-    /// `ours` is the number of the chosen value known here. It is confirmed from the latest time since which a majority was
-    /// sent requests and reported nothing greater, each voter in whichever reply: had a newer value been chosen before that
-    /// time, one of them would have reported it.
+    /// `ours` is the number of the chosen value known here. It is confirmed from the latest time since which
+    /// a majority was sent requests and reported nothing greater, each voter in whichever reply: had a newer
+    /// value been chosen before that time, one of them would have reported it.
     pub fn confirm(&mut self, voter_set: &VoterSet, register: Register, ours: ProposalNumber) {
         let confirms_since = |reply: &ReadReply| {
             let theirs = reply.proposals.get(&register)?;
--- a/crates/consensus/src/proposer/reads.rs
+++ b/crates/consensus/src/proposer/reads.rs
@@ -1,4 +1,5 @@
-//! Reads: sending the requests that [`QuorumRead`](super::quorum_read::QuorumRead) plans, and acting on the replies.
+//! Reads: sending the requests that [`QuorumRead`](super::quorum_read::QuorumRead) plans, and acting on the
+//! replies.
 
 use super::queue::{PROPOSAL_TIMEOUT, PendingProposal};
 use super::{Change, Proposer};
@@ -6,14 +7,16 @@
 use archlink_messages::{AcceptedValue, ConsensusMessage, NodeId, ProposalNumber, Register};
 
 impl Proposer {
-    /// Asks for a confirmation at `now` or later of what is known here. The voters are sent a read request at once, or as soon
-    /// as a majority has replied to the one before: any number of calls costs one request a round trip.
+    /// Asks for a confirmation at `now` or later of what is known here. The voters are sent a read request at
+    /// once, or as soon as a majority has replied to the one before: any number of calls costs one request a
+    /// round trip.
     pub fn request_confirmation(&mut self, now: f64) -> Vec<Effect> {
         self.quorum_read.request_confirmation(now);
         self.send_read_request(now)
     }
 
-    /// Sends the read request that is due. Registers on which the voters have stayed diverged are committed first.
+    /// Sends the read request that is due. Registers on which the voters have stayed diverged are committed
+    /// first.
     pub(super) fn send_read_request(&mut self, now: f64) -> Vec<Effect> {
         if !self.voter_set.is_known() || !self.quorum_read.due(now, &self.voter_set) {
             return Vec::new();
@@ -32,6 +35,7 @@
         effects
     }
 
+    /// Confirms what a reply confirms, and fetches a newer value that a majority has accepted.
     pub(super) fn receive_read_reply(
         &mut self,
         now: f64,
@@ -59,7 +63,8 @@
         effects
     }
 
-    /// Learns a fetched value if a majority has reported its number: one voter alone doesn't prove that it is chosen.
+    /// Learns a fetched value if a majority has reported its number: one voter alone doesn't prove that it is
+    /// chosen.
     pub(super) fn receive_fetched_value(
         &mut self,
         now: f64,
--- a/crates/consensus/src/repair_timing.rs
+++ b/crates/consensus/src/repair_timing.rs
@@ -1,13 +1,15 @@
-//! How long the parts of a repair of the voter set may take, derived from the operators' bound `CatchUp`: after a machine is
-//! lost for good, the next loss may come `CatchUp` seconds after the start of its replacement. `docs/control.md` has the
-//! inequality.
+//! How long the parts of a repair of the voter set may take, derived from the operators' bound `CatchUp`:
+//! after a machine is lost for good, the next loss may come `CatchUp` seconds after the start of its
+//! replacement. `docs/control.md` has the inequality.
 
 /// Seconds between two heartbeats of a control node.
 pub const HEARTBEAT: f64 = 0.3;
-/// The silence timeout is never less than so many heartbeats: a connection that was reset is up again after one or two.
+/// The silence timeout is never less than so many heartbeats: a connection that was reset is up again after
+/// one or two.
 const MIN_MISSED_HEARTBEATS: f64 = 3.0;
 
-/// Parts of `CatchUp`. Detection, the change itself and the transfer to the joining node together stay below it.
+/// Parts of `CatchUp`. Detection, the change itself and the transfer to the joining node together stay below
+/// it.
 const SILENCE_SHARE: f64 = 0.3;
 /// As [`SILENCE_SHARE`]. A slow disk is given the whole bound.
 const UNRESPONSIVE_SHARE: f64 = 1.0;
@@ -29,15 +31,18 @@
     pub silence_timeout: f64,
     /// A node whose last message is older is not reachable: it isn't counted on.
     pub reachable_window: f64,
-    /// A voter whose messages come, but no reply as an acceptor for so long, is suspected: its disk hangs or is full.
+    /// A voter whose messages come, but no reply as an acceptor for so long, is suspected: its disk hangs or
+    /// is full.
     pub unresponsive_timeout: f64,
     /// A joining node that has not taken all registers by then is left out, if another one can be tried.
     pub joining_timeout: f64,
     /// The first of the healthy voters begins a change, the next one so much later, and so on.
     pub begin_stagger: f64,
-    /// The same for the end of a change. Much longer than ending it takes, as two at once reject each other's proposals.
+    /// The same for the end of a change. Much longer than ending it takes, as two at once reject each other's
+    /// proposals.
     pub finish_stagger: f64,
-    /// A node that has been reachable for so long is stable: only such a one becomes a voter for the sake of zones alone.
+    /// A node that has been reachable for so long is stable: only such a one becomes a voter for the sake of
+    /// zones alone.
     pub stable_after: f64,
 }
 
--- a/crates/consensus/tests/late_messages.rs
+++ b/crates/consensus/tests/late_messages.rs
@@ -1,5 +1,5 @@
-//! Messages that come very late, and a disk that is lost meanwhile: sequences that the models found, each played on the cores
-//! themselves and nothing else, so that the test decides the order of messages.
+//! Messages that come very late, and a disk that is lost meanwhile: sequences that the models found, each
+//! played on the cores themselves and nothing else, so that the test decides the order of messages.
 
 use archlink_consensus::acceptor::Acceptor;
 use archlink_consensus::proposer::{Change, Proposer};
@@ -45,9 +45,9 @@
     acceptor
 }
 
-/// Guards against a change that is acknowledged although a disk with it is lost: one voter accepted it, lost its disk and
-/// copied the state of the others, and only then the second voter accepted it; a proposer that was suspended meanwhile counted
-/// both.
+/// Guards against a change that is acknowledged although a disk with it is lost: one voter accepted it, lost
+/// its disk and copied the state of the others, and only then the second voter accepted it; a proposer that
+/// was suspended meanwhile counted both.
 #[test]
 fn acceptances_count_only_until_the_proposal_times_out() {
     let mut proposer = Proposer::new(4, 1);
@@ -69,15 +69,16 @@
     assert!(!effects.iter().any(chosen), "{effects:?}");
 }
 
-/// Guards against two chosen values: voter 1 promised a later proposal, forgot that with its disk, copied an earlier value from
-/// voter 2 and reported it as accepted; with voter 2 that is a majority. The later proposal's messages, delayed on their way,
-/// were accepted by a majority all the same.
+/// Guards against two chosen values: voter 1 promised a later proposal, forgot that with its disk, copied an
+/// earlier value from voter 2 and reported it as accepted; with voter 2 that is a majority. The later
+/// proposal's messages, delayed on their way, were accepted by a majority all the same.
 #[test]
 fn a_value_copied_after_a_lost_disk_does_not_count_against_a_forgotten_promise() {
     let (early, late) = (proposal(1, 4), proposal(2, 3));
     let (mut second, mut third) = (acceptor(2, Some(BTreeMap::new())), acceptor(3, Some(BTreeMap::new())));
-    // The early proposal is accepted by voter 2 alone, and given up. The late one has promises of voter 1, whose disk is lost
-    // right after, and of voter 3: neither has accepted anything, so it may propose any value, and its messages are on their way.
+    // The early proposal is accepted by voter 2 alone, and given up. The late one has promises of voter 1,
+    // whose disk is lost right after, and of voter 3: neither has accepted anything, so it may propose any
+    // value, and its messages are on their way.
     second.step(4, &ConsensusMessage::Prepare(REGISTER, early));
     second.step(4, &ConsensusMessage::Accept(REGISTER, accepted_value(early, "early")));
     third.step(3, &ConsensusMessage::Prepare(REGISTER, late));
@@ -96,8 +97,9 @@
     }
     let reports = |acceptor: &mut Acceptor, proposal| {
         let replies = consensus_messages(&acceptor.step(4, &ConsensusMessage::ReadRequest(1)));
-        replies.iter().any(|reply| {
-            matches!(reply, ConsensusMessage::ReadReply(_, proposals) if proposals.contains(&(REGISTER, proposal)))
+        replies.iter().any(|reply| match reply {
+            ConsensusMessage::ReadReply(_, proposals) => proposals.contains(&(REGISTER, proposal)),
+            _ => false,
         })
     };
     let early_chosen = reports(&mut first, early) && reports(&mut second, early);
--- a/crates/consensus/tests/leases/abstract_model.rs
+++ b/crates/consensus/tests/leases/abstract_model.rs
@@ -1,6 +1,6 @@
-//! Grants as an abstract model: durations in ticks that each clock counts down by itself, without points in time; messages that
-//! come late or never; voters that restart, one lost disk, a change of the voter set with its joint epoch. The simulation
-//! checks the code itself for the same property.
+//! Grants as an abstract model: durations in ticks that each clock counts down by itself, without points in
+//! time; messages that come late or never; voters that restart, one lost disk, a change of the voter set with
+//! its joint epoch. The simulation checks the code itself for the same property.
 
 use stateright::{Checker, Model, Property};
 
@@ -11,7 +11,8 @@
 const VOTER_SETS: [&[NodeSet]; 3] = [&[0b0111], &[0b0111, 0b1011], &[0b1011]];
 /// A grant's duration on a voter's clock, which may run one tick ahead in that time.
 const GRANT_DURATION: u8 = 3;
-/// A lease's duration on its holder's clock, which may run one tick behind in that time: 3 - 1 and 1 + 1 are the same.
+/// A lease's duration on its holder's clock, which may run one tick behind in that time: 3 - 1 and 1 + 1 are
+/// the same.
 const LEASE_DURATION: u8 = 1;
 /// The joint epoch lasts so long from when a majority is in it.
 const JOINT_EPOCH_WAIT: u8 = 2;
--- a/crates/consensus/tests/leases/main.rs
+++ b/crates/consensus/tests/leases/main.rs
@@ -1,5 +1,5 @@
-//! Leases: sequences of messages in which the models found a fault once, and an abstract model of grants that is checked
-//! exhaustively.
+//! Leases: sequences of messages in which the models found a fault once, and an abstract model of grants that
+//! is checked exhaustively.
 
 mod abstract_model;
 
@@ -19,8 +19,9 @@
     })
 }
 
-/// Guards against two holders: a node that is no voter gave back the grants of a term, requested that term again and won; the
-/// message that gave them back came late, or twice, and freed a voter that the holder counted on.
+/// Guards against two holders: a node that is no voter gave back the grants of a term, requested that term
+/// again and won; the message that gave them back came late, or twice, and freed a voter that the holder
+/// counted on.
 #[test]
 fn a_term_that_was_given_back_is_not_requested_again() {
     let mut leases = Leases::new(0.0, 4, 1, &[]);
@@ -37,8 +38,9 @@
     assert!(terms.len() > 3 && terms.windows(2).all(|pair| pair[0] < pair[1]), "{terms:?}");
 }
 
-/// Guards against two holders: a voter renewed a term while its record still waited for a slow disk, lost that record with its
-/// power, and granted another node the next term while the holder counted on the renewal.
+/// Guards against two holders: a voter renewed a term while its record still waited for a slow disk, lost
+/// that record with its power, and granted another node the next term while the holder counted on the
+/// renewal.
 #[test]
 fn a_renewal_waits_for_the_disk_until_the_term_is_on_it() {
     let mut leases = Leases::new(0.0, 1, 1, &[]);
--- a/crates/consensus/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -1,7 +1,7 @@
-//! All interleavings of a small instance: three voters, two proposers that use one version number, one lost disk, one time-out
-//! after which all late messages may still arrive. The states are those of the acceptors and proposers themselves; only the
-//! network is simulated: any message on its way may come next, or never. The planted fault, an acceptor that lost its disk and
-//! is counted, has to be found.
+//! All interleavings of a small instance: three voters, two proposers that use one version number, one lost
+//! disk, one time-out after which all late messages may still arrive. The states are those of the acceptors
+//! and proposers themselves; only the network is simulated: any message on its way may come next, or never.
+//! The planted fault, an acceptor that lost its disk and is counted, has to be found.
 
 use archlink_consensus::acceptor::Acceptor;
 use archlink_consensus::proposer::{Change, Proposer};
@@ -17,7 +17,8 @@
 const VOTERS: [NodeId; 3] = [1, 2, 3];
 /// The node whose disk is lost.
 const LOST: NodeId = 1;
-/// Seconds of the time-out: longer than any proposal lives, and than an acceptor that lost its disk is silent.
+/// Seconds of the time-out: longer than any proposal lives, and than an acceptor that lost its disk is
+/// silent.
 const TIMEOUT: f64 = 5.0;
 const CHECKER_THREADS: usize = 4;
 
@@ -112,7 +113,8 @@
                 Effect::Learned(_) | Effect::ProposalResolved(..) => {}
             }
         }
-        // A message to a node that doesn't act on it is dropped, and the order of those in flight makes no difference.
+        // A message to a node that doesn't act on it is dropped, and the order of those in flight makes no
+        // difference.
         let proposers = &self.proposers;
         let is_ignored = |InFlight { to, message, .. }: &InFlight| {
             matches!(message, Message::Consensus(_, message) if is_for_proposer(message))
@@ -257,7 +259,8 @@
     }
 }
 
-/// States checked in each of two orders: breadth first covers both proposers' attempts, depth first the recovery.
+/// States checked in each of two orders: breadth first covers both proposers' attempts, depth first the
+/// recovery.
 const CHECKED_STATES: usize = 30_000;
 
 fn check_states(states: usize) {
--- a/crates/consensus/tests/registers/main.rs
+++ b/crates/consensus/tests/registers/main.rs
@@ -1,8 +1,8 @@
-//! The rule by which the voter set may change, as an abstract model that is checked exhaustively: acceptors with an epoch and,
-//! for each of two registers, a promised and an accepted proposal; one of the registers is the voter set itself. Any number
-//! of proposers, whose messages come late, twice or never and who may stop at any step; one lost disk. There are no times and
-//! no texts: a value is the sequence of the attempts that wrote it. `model.rs` and the simulation check the code itself for the
-//! same properties.
+//! The rule by which the voter set may change, as an abstract model that is checked exhaustively: acceptors
+//! with an epoch and, for each of two registers, a promised and an accepted proposal; one of the registers is
+//! the voter set itself. Any number of proposers, whose messages come late, twice or never and who may stop
+//! at any step; one lost disk. There are no times and no texts: a value is the sequence of the attempts that
+//! wrote it. `model.rs` and the simulation check the code itself for the same properties.
 
 mod model;
 mod state;
@@ -14,7 +14,8 @@
 
 const CHECKER_THREADS: usize = 4;
 
-/// Which part of the model is checked: attempts on each register, changes of the voter set, and whether a disk may be lost.
+/// Which part of the model is checked: attempts on each register, changes of the voter set, and whether a
+/// disk may be lost.
 type Instance = ([usize; 2], usize, bool);
 
 fn checked_model(
--- a/crates/consensus/tests/registers/model.rs
+++ b/crates/consensus/tests/registers/model.rs
@@ -16,8 +16,9 @@
 /// What is checked, and with which fault.
 pub struct CheckedModel {
     pub planted_fault: PlantedFault,
-    /// Attempts on each register. Without any on the second one, its values are chosen by nobody in particular, in one
-    /// sequence; that they are in one sequence is checked separately, without attempts on the first one.
+    /// Attempts on each register. Without any on the second one, its values are chosen by nobody in
+    /// particular, in one sequence; that they are in one sequence is checked separately, without attempts on
+    /// the first one.
     pub attempts: [usize; 2],
     /// Changes of the voter set, one after the other.
     pub changes: usize,
@@ -48,7 +49,8 @@
         }
     }
 
-    /// The attempt's goal is decided by the promise that completes a majority; before that it makes no difference.
+    /// The attempt's goal is decided by the promise that completes a majority; before that it makes no
+    /// difference.
     fn promise_actions(
         &self,
         state: &State,
--- a/crates/consensus/tests/registers/state.rs
+++ b/crates/consensus/tests/registers/state.rs
@@ -244,7 +244,8 @@
         for (transferred, sent) in acceptor.transferred.iter_mut().zip(sent) {
             *transferred = transferred.merge(sent);
         }
-        // Whoever promised together with it was a majority of both sets: a majority of either set beside it meets that.
+        // Whoever promised together with it was a majority of both sets: a majority of either set beside it
+        // meets that.
         let received = acceptor.received;
         let has_voters = VoterSet { incoming: 0, ..voter_set }.has_quorum(received);
         let has_incoming = voter_set.incoming != 0
@@ -254,7 +255,8 @@
         }
     }
 
-    /// By then all attempts to which it replied before the loss have timed out: its replies are not counted any more.
+    /// By then all attempts to which it replied before the loss have timed out: its replies are not counted
+    /// any more.
     fn end_attempts_before_loss(&mut self, node: usize) {
         for attempt in self.attempts.iter_mut().flatten() {
             match attempt {
--- a/crates/consensus/tests/registers/types.rs
+++ b/crates/consensus/tests/registers/types.rs
@@ -79,9 +79,9 @@
     RollBack,
 }
 
-/// An attempt goes on as soon as a majority has promised: a promise that is not counted only binds its acceptor, and whatever
-/// may happen then may happen without it too. So its goal is decided at that moment, and of the promises the newest value is
-/// all that has to be kept.
+/// An attempt goes on as soon as a majority has promised: a promise that is not counted only binds its
+/// acceptor, and whatever may happen then may happen without it too. So its goal is decided at that moment,
+/// and of the promises the newest value is all that has to be kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Attempt {
     Unused,
@@ -150,6 +150,7 @@
     LostDiskVotes,
     /// A joining node is counted as having accepted what it has not.
     JoiningNodeCounts,
-    /// What an acceptor copied after the loss of its disk counts as accepted, also below what the senders promised since.
+    /// What an acceptor copied after the loss of its disk counts as accepted, also below what the senders
+    /// promised since.
     TransferredValueCounts,
 }
--- a/crates/consensus/tests/repair_timing.rs
+++ b/crates/consensus/tests/repair_timing.rs
@@ -2,7 +2,8 @@
 
 use archlink_consensus::repair_timing::{HEARTBEAT, RepairTiming};
 
-/// `CatchUp` of the deployments, and one much shorter: the silence timeout is never shorter than a few heartbeats.
+/// `CatchUp` of the deployments, and one much shorter: the silence timeout is never shorter than a few
+/// heartbeats.
 #[test]
 fn durations_grow_with_the_bound_and_stay_above_a_few_heartbeats() {
     let (short, usual, long) =
