--- a/crates/balancer/src/admission_queue.rs
+++ b/crates/balancer/src/admission_queue.rs
@@ -1,7 +1,7 @@
 //! Early rejection where hosts are full: what would be answered late is rejected at once, with the time to come back.
 //!
 //! For each service and region the admitted fraction of the requests moves so that answers take `HOST_TIME_SHARE` (0.9) of the
-//! latency target (`docs/system.md`, "The door"). It moves by time and not by answers, as a data node that admits few hears
+//! latency target (`docs/system.md`, "Admission queue"). It moves by time and not by answers, as a data node that admits few hears
 //! few; it shrinks by a part of itself and grows by a part of all (additive increase, multiplicative decrease), so that data
 //! nodes that hear much and little come to rest at the same fraction.
 
--- a/crates/balancer/src/outlier.rs
+++ b/crates/balancer/src/outlier.rs
@@ -1,5 +1,5 @@
 //! Outlier ejection of one host, by what its connections show. No health checks are sent: their answers may be wrong either
-//! way, and each costs the host a slot (`docs/system.md`, "Ill hosts").
+//! way, and each costs the host a slot (`docs/system.md`, "Unhealthy hosts").
 //!
 //! A host that is not reached is ejected, for twice as long each time in a row; afterwards one request at a time finds out
 //! whether it answers. One that is reached and fails costs more the more it fails, and one that has answered nothing for
--- a/crates/balancer/src/slow_start.rs
+++ b/crates/balancer/src/slow_start.rs
@@ -7,7 +7,7 @@
 //! ```
 //!
 //! It is split among the data nodes by rank for each host, without a message: where there are more data nodes than
-//! requests, some have one each, others for another host (`docs/system.md`, "Cold hosts").
+//! requests, some have one each, others for another host (`docs/system.md`, "Warm-up").
 
 use archlink_messages::{NodeId, NodeRank};
 use std::collections::{HashMap, VecDeque};
--- a/crates/bench-adapter/src/instances.rs
+++ b/crates/bench-adapter/src/instances.rs
@@ -13,17 +13,29 @@
 
 /// Codes of events.
 mod code {
+    /// A new instance, with its settings and seed.
     pub const START: u8 = 0;
+    /// A host list for an instance, or the failure of its subscription.
     pub const HOST_LIST_UPDATE: u8 = 1;
+    /// A client's request.
     pub const REQUEST: u8 = 2;
+    /// A streamed response has started.
     pub const ATTEMPT_STARTED: u8 = 3;
+    /// The end of an attempt.
     pub const ATTEMPT_ENDED: u8 = 4;
+    /// A client disconnected.
     pub const CLIENT_DISCONNECTED: u8 = 5;
+    /// An instance's timer fired.
     pub const TIMER: u8 = 6;
+    /// The end of a probe.
     pub const PROBE_FINISHED: u8 = 7;
+    /// Bytes from another gateway.
     pub const PEER_MESSAGE: u8 = 8;
+    /// An instance ends.
     pub const STOP: u8 = 9;
+    /// The counter's reply to one add.
     pub const COUNTER_REPLY: u8 = 10;
+    /// A host list that later updates name.
     pub const HOST_LIST: u8 = 11;
 }
 
--- a/crates/bench-adapter/src/reader.rs
+++ b/crates/bench-adapter/src/reader.rs
@@ -33,18 +33,22 @@
         self
     }
 
+    /// One byte.
     pub fn u8(&mut self, field: &'static str) -> Result<u8, WireError> {
         Ok(self.take::<1>(field)?[0])
     }
 
+    /// Two bytes, little-endian.
     pub fn u16(&mut self, field: &'static str) -> Result<u16, WireError> {
         Ok(u16::from_le_bytes(self.take(field)?))
     }
 
+    /// Four bytes, little-endian.
     pub fn u32(&mut self, field: &'static str) -> Result<u32, WireError> {
         Ok(u32::from_le_bytes(self.take(field)?))
     }
 
+    /// Eight bytes, little-endian.
     pub fn u64(&mut self, field: &'static str) -> Result<u64, WireError> {
         Ok(u64::from_le_bytes(self.take(field)?))
     }
--- a/crates/bench-adapter/src/writer.rs
+++ b/crates/bench-adapter/src/writer.rs
@@ -7,16 +7,27 @@
 
 /// Codes of actions.
 pub mod code {
+    /// Send a request to a host.
     pub const START_ATTEMPT: u8 = 0;
+    /// Answer that nothing ran.
     pub const REJECT: u8 = 1;
+    /// Answer that it may have run.
     pub const ABORT: u8 = 2;
+    /// Cancel an attempt.
     pub const CANCEL_ATTEMPT: u8 = 3;
+    /// Set the instance's timer.
     pub const SET_TIMER: u8 = 4;
+    /// Probe a host.
     pub const PROBE: u8 = 5;
+    /// Bytes for other gateways.
     pub const SEND_TO_PEERS: u8 = 7;
+    /// A line for the log.
     pub const LOG: u8 = 8;
+    /// The instance panicked; the text says why.
     pub const PANIC: u8 = 9;
+    /// Subscribe to host lists.
     pub const SUBSCRIBE: u8 = 10;
+    /// Add to a counter key.
     pub const ADD_TO_COUNTER: u8 = 12;
 }
 
@@ -63,22 +74,27 @@
         self
     }
 
+    /// One byte.
     pub fn u8(self, value: u8) -> Self {
         self.put(&[value])
     }
 
+    /// Two bytes, little-endian.
     pub fn u16(self, value: u16) -> Self {
         self.put(&value.to_le_bytes())
     }
 
+    /// Four bytes, little-endian.
     pub fn u32(self, value: u32) -> Self {
         self.put(&value.to_le_bytes())
     }
 
+    /// Eight bytes, little-endian.
     pub fn u64(self, value: u64) -> Self {
         self.put(&value.to_le_bytes())
     }
 
+    /// Four bytes, IEEE 754, little-endian.
     pub fn f32(self, value: f32) -> Self {
         self.put(&value.to_le_bytes())
     }
--- a/crates/consensus/src/proposer.rs
+++ b/crates/consensus/src/proposer.rs
@@ -68,7 +68,7 @@
     }
 
     /// The newest value that is known here to be chosen.
-    pub fn chosen(&self, register: Register) -> Option<&AcceptedValue> {
+    pub fn committed(&self, register: Register) -> Option<&AcceptedValue> {
         self.chosen.get(&register)
     }
 
--- a/crates/control-client/src/fleet_view/updates.rs
+++ b/crates/control-client/src/fleet_view/updates.rs
@@ -16,7 +16,7 @@
 impl FleetView {
     pub(super) fn apply_update(&mut self, now: f64, update: StateUpdate) -> Option<ViewChange> {
         match update {
-            StateUpdate::ConfigurationPatch { stamp, base, packed }
+            StateUpdate::ConfigurationPatch { revision: stamp, base, patch: packed }
                 if stamp > self.versions.configuration =>
             {
                 self.patch_configuration(now, stamp, base, &packed)
@@ -33,7 +33,7 @@
             }
             // A patch against another list than the present one was made for an earlier request: the next heartbeat has the
             // list requested again.
-            StateUpdate::HostListPatch { stamp, base, packed }
+            StateUpdate::HostListPatch { revision: stamp, base, patch: packed }
                 if stamp > self.versions.hosts && base == self.versions.hosts =>
             {
                 Some(self.patch_hosts(stamp, &packed))
--- a/crates/control-client/src/session.rs
+++ b/crates/control-client/src/session.rs
@@ -188,7 +188,7 @@
         vec![SessionAction::Send(Message::SessionHeartbeat {
             serial: self.last_serial,
             data_node: data_node(),
-            clock: view.cluster_clock(now),
+            cluster_clock: view.cluster_clock(now),
             leases: view.leases().to_vec(),
         })]
     }
--- a/crates/control-client/tests/simulated_fleet/mod.rs
+++ b/crates/control-client/tests/simulated_fleet/mod.rs
@@ -195,7 +195,7 @@
             }
             Effect::Learned(Register::Configuration) => {
                 let control_node = self.control_nodes.get_mut(&node).unwrap();
-                let chosen = control_node.control.proposer.chosen(Register::Configuration).unwrap();
+                let chosen = control_node.control.proposer.committed(Register::Configuration).unwrap();
                 let text = patch::decompress(&chosen.value, b"").unwrap();
                 control_node.update_delivery.configuration_learned(chosen.ordering_key(), text);
                 self.broadcast_heartbeat(node);
@@ -220,7 +220,7 @@
 
     fn deliver_to_control_node(&mut self, node: NodeId, from: NodeId, message: Message) {
         match message {
-            Message::SessionHeartbeat { serial, data_node, clock, .. } => {
+            Message::SessionHeartbeat { serial, data_node, cluster_clock: clock, .. } => {
                 let now = self.now;
                 let Some(control_node) = self.control_nodes.get_mut(&node) else { return };
                 control_node.sessions.insert(from, now);
--- a/crates/control-node/src/node/voter_set.rs
+++ b/crates/control-node/src/node/voter_set.rs
@@ -56,12 +56,12 @@
         // The proposal was about one register; the highest proposal number of all registers would serve as
         // well.
         self.membership.proposal_resolved(now, token, outcome, |register| {
-            proposer.chosen(register).map(|value| value.proposal)
+            proposer.committed(register).map(|value| value.proposal)
         });
     }
 
     fn chosen_later_voter_set(&self) -> Option<VoterSet> {
-        let value = self.proposer.chosen(Register::VoterSet)?;
+        let value = self.proposer.committed(Register::VoterSet)?;
         if value.revision <= self.voter_set.epoch {
             return None;
         }
@@ -85,7 +85,7 @@
             Some(self.proposer.confirmed(*register)?.min(earliest))
         });
         let is_stale = |register: &Register| {
-            self.proposer.chosen(*register).is_some_and(|value| !self.is_current_generation(value))
+            self.proposer.committed(*register).is_some_and(|value| !self.is_current_generation(value))
         };
         MembershipContext {
             control_nodes,
@@ -105,7 +105,7 @@
 
     /// The register's chosen value, if it is of the current generation.
     pub(super) fn current_value(&self, register: Register) -> Option<&AcceptedValue> {
-        self.proposer.chosen(register).filter(|value| self.is_current_generation(value))
+        self.proposer.committed(register).filter(|value| self.is_current_generation(value))
     }
 
     /// Begins a membership change. It resolves as [`Effect::ProposalResolved`] with this `token`, which must
--- a/crates/control-node/src/update_delivery.rs
+++ b/crates/control-node/src/update_delivery.rs
@@ -49,8 +49,8 @@
         let stamp = value.ordering_key();
         let is_newest = self.configurations.newest() == Some(stamp);
         match self.configurations.patch(base).filter(|_| is_newest) {
-            Some(packed) => StateUpdate::ConfigurationPatch { stamp, base, packed },
-            None => StateUpdate::ConfigurationPatch { stamp, base: 0, packed: value.value },
+            Some(packed) => StateUpdate::ConfigurationPatch { revision: stamp, base, patch: packed },
+            None => StateUpdate::ConfigurationPatch { revision: stamp, base: 0, patch: value.value },
         }
     }
 
@@ -60,7 +60,7 @@
             self.host_lists.insert(stamp, hosts.to_bytes());
         }
         match self.host_lists.patch(base) {
-            Some(packed) => StateUpdate::HostListPatch { stamp, base, packed },
+            Some(packed) => StateUpdate::HostListPatch { revision: stamp, base, patch: packed },
             None => StateUpdate::HostList(hosts),
         }
     }
--- a/crates/control-node/tests/cluster.rs
+++ b/crates/control-node/tests/cluster.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 fn configuration_revision(fleet: &Fleet, node: NodeId) -> Option<u64> {
-    fleet.live[&node].proposer.chosen(Register::Configuration).map(|value| value.revision)
+    fleet.live[&node].proposer.committed(Register::Configuration).map(|value| value.revision)
 }
 
 #[test]
--- a/crates/control-node/tests/machine_replacement.rs
+++ b/crates/control-node/tests/machine_replacement.rs
@@ -47,7 +47,7 @@
     let nodes: Vec<NodeId> = fleet.live.keys().copied().collect();
     nodes.into_iter().all(|node| {
         let (token, acknowledged) = (1_000_000 + fleet.steps, fleet.checks.acknowledged());
-        let chosen = fleet.live[&node].proposer.chosen(Register::Configuration);
+        let chosen = fleet.live[&node].proposer.committed(Register::Configuration);
         let revision = chosen.map_or(0, |value| value.revision);
         fleet.replace(node, token, 1000 + fleet.now as u64 * 100 + u64::from(node));
         fleet.run(1.0);
--- a/crates/control-node/tests/membership/first_start.rs
+++ b/crates/control-node/tests/membership/first_start.rs
@@ -47,7 +47,7 @@
         assert_eq!(fleet.done.get(&1), Some(&Outcome::Unknown));
         let five_voters = |fleet: &Fleet| fleet.live.values().all(|node| node.voter_set().voters.len() == 5);
         assert!(run_until(&mut fleet, 0.6, five_voters));
-        assert!(fleet.live.values().all(|node| node.proposer.chosen(Register::Configuration).is_none()));
+        assert!(fleet.live.values().all(|node| node.proposer.committed(Register::Configuration).is_none()));
         fleet.run(0.1);
         check_cluster(&mut fleet, &format!("seed {seed}"));
     }
--- a/crates/control-node/tests/membership/main.rs
+++ b/crates/control-node/tests/membership/main.rs
@@ -37,7 +37,7 @@
 }
 
 fn configuration_revision(fleet: &Fleet, node: NodeId) -> Option<u64> {
-    fleet.live[&node].proposer.chosen(Register::Configuration).map(|value| value.revision)
+    fleet.live[&node].proposer.committed(Register::Configuration).map(|value| value.revision)
 }
 
 /// The voter set that all running nodes have, which is no joint one.
--- a/crates/control-node/tests/membership/proposals.rs
+++ b/crates/control-node/tests/membership/proposals.rs
@@ -64,5 +64,5 @@
         proposer.step(now, node, &ConsensusMessage::ReadReply(serial, accepted.to_vec()));
     }
     proposer.step(3.0, 2, &ConsensusMessage::FetchedValue(Register::Configuration, value));
-    assert_eq!(proposer.chosen(Register::Configuration), None);
+    assert_eq!(proposer.committed(Register::Configuration), None);
 }
--- a/crates/control-node/tests/quorum_reads.rs
+++ b/crates/control-node/tests/quorum_reads.rs
@@ -31,7 +31,7 @@
 }
 
 fn configuration_revision(proposer: &Proposer) -> u64 {
-    proposer.chosen(Register::Configuration).map_or(0, |value| value.revision)
+    proposer.committed(Register::Configuration).map_or(0, |value| value.revision)
 }
 
 struct Reply {
@@ -244,7 +244,7 @@
         let fetches = !proposer.step(now, 2, &read_reply(serial, 5)).is_empty();
         proposer.step(now, 2, &ConsensusMessage::FetchedValue(Register::Configuration, value(5)));
         assert_eq!(
-            (fetches, proposer.chosen(Register::Configuration).is_some()),
+            (fetches, proposer.committed(Register::Configuration).is_some()),
             (is_quorum, is_quorum),
             "{seconds_apart} s apart"
         );
--- a/crates/control-node/tests/simulated_network/configuration_versions.rs
+++ b/crates/control-node/tests/simulated_network/configuration_versions.rs
@@ -220,7 +220,8 @@
             "{version} was never chosen, or long ago"
         );
     }
-    let value = network.nodes[&1].proposer.chosen(Register::Configuration).expect("a configuration").clone();
+    let value =
+        network.nodes[&1].proposer.committed(Register::Configuration).expect("a configuration").clone();
     assert_eq!((value.revision, value.recent_versions.len()), (newest + 1, MAX_RECENT_VERSIONS));
     assert_eq!(value.value, format!("text {MAX_RECENT_VERSIONS}"));
 }
@@ -256,7 +257,7 @@
             network.frozen_until.clear();
             network.run(4.0);
             for control_node in network.nodes.values() {
-                let value = control_node.proposer.chosen(Register::Evacuations).expect("a set of zones");
+                let value = control_node.proposer.committed(Register::Evacuations).expect("a set of zones");
                 assert!(decode_evacuated_zones(&value.value).is_empty(), "the evacuation is back");
             }
         });
@@ -317,7 +318,7 @@
     }
     network.accepts_lost.clear();
     network.run(2.0);
-    let value = network.nodes[&1].proposer.chosen(Register::Evacuations).expect("a set of zones");
+    let value = network.nodes[&1].proposer.committed(Register::Evacuations).expect("a set of zones");
     assert!(decode_evacuated_zones(&value.value).is_empty(), "undone by a withdrawn proposal");
 }
 
@@ -400,6 +401,6 @@
         let effects = proposer.step(1.0 + woke_after, 2, &accepted);
         let resolved =
             effects.iter().any(|effect| matches!(effect, Effect::ProposalResolved(1, Outcome::Chosen)));
-        assert_eq!((resolved, proposer.chosen(register).is_some()), (acknowledged, acknowledged));
+        assert_eq!((resolved, proposer.committed(register).is_some()), (acknowledged, acknowledged));
     }
 }
--- a/crates/control-node/tests/simulated_network/network.rs
+++ b/crates/control-node/tests/simulated_network/network.rs
@@ -270,7 +270,7 @@
 
     /// Revision of a node's chosen value of a register, 0 where it knows none.
     pub fn revision(&self, node: NodeId, register: Register) -> u64 {
-        self.nodes[&node].proposer.chosen(register).map_or(0, |value| value.revision)
+        self.nodes[&node].proposer.committed(register).map_or(0, |value| value.revision)
     }
 }
 
--- a/crates/control-node/tests/simulated_network/quorum_contact.rs
+++ b/crates/control-node/tests/simulated_network/quorum_contact.rs
@@ -354,7 +354,7 @@
         [(1, 8, "older", true), (2, 9, "another", true), (3, 9, "another", false)]
     {
         assert_eq!(learn(&mut network, value(1, round, revision, text)), is_new, "{text}");
-        let chosen = network.nodes[&1].proposer.chosen(Register::Configuration).expect("a value");
+        let chosen = network.nodes[&1].proposer.committed(Register::Configuration).expect("a value");
         assert_eq!((chosen.revision, chosen.value.as_ref()), (revision, text.as_bytes()));
         assert!(network.nodes[&1].versions(network.now).configuration > before.configuration);
     }
--- a/crates/control-plane/src/admin/commands.rs
+++ b/crates/control-plane/src/admin/commands.rs
@@ -59,7 +59,7 @@
 /// The version in force, as far as this node knows. For a value from before versions were recorded beside it the digest is
 /// computed from the text.
 fn version_in_force(node: &Node) -> Option<VersionDigest> {
-    let accepted = node.with_state(|state, _| state.proposer.chosen(Register::Configuration).cloned())?;
+    let accepted = node.with_state(|state, _| state.proposer.committed(Register::Configuration).cloned())?;
     let version = accepted.revision.saturating_sub(1);
     let recorded = accepted.recent_versions.last().copied().filter(|recent| recent.version == version);
     recorded.or_else(|| {
--- a/crates/control-plane/src/admin/queries.rs
+++ b/crates/control-plane/src/admin/queries.rs
@@ -91,7 +91,7 @@
 /// The hosts, and the evacuated zones.
 pub fn hosts(node: &Node) -> Value {
     node.with_state(|state, _| {
-        let evacuations = state.proposer.chosen(Register::Evacuations);
+        let evacuations = state.proposer.committed(Register::Evacuations);
         let zones = evacuations.map(|accepted| decode_evacuated_zones(&accepted.value)).unwrap_or_default();
         let list = state.host_list();
         let hosts: Vec<Value> = (list.instances.iter())
--- a/crates/control-plane/src/server/node/effects.rs
+++ b/crates/control-plane/src/server/node/effects.rs
@@ -50,7 +50,7 @@
 
     fn apply_committed(&self, register: Register) {
         let state = self.state.borrow();
-        let Some(accepted) = state.proposer.chosen(register) else { return };
+        let Some(accepted) = state.proposer.committed(register) else { return };
         log::info!(register:? = register, revision = accepted.revision; "value committed");
         if register == Register::Configuration && !self.apply_configuration(accepted) {
             return;
--- a/crates/control-plane/src/server/node/quorum_contact.rs
+++ b/crates/control-plane/src/server/node/quorum_contact.rs
@@ -68,7 +68,7 @@
         self.step(|state, now| state.proposer.request_confirmation(now));
         let confirmed =
             |state: &ControlNodeState| state.proposer.confirmed(register).is_some_and(|at| at >= started_at);
-        self.wait_for(limit, |state, _| confirmed(state).then(|| state.proposer.chosen(register).cloned()))
+        self.wait_for(limit, |state, _| confirmed(state).then(|| state.proposer.committed(register).cloned()))
             .await
     }
 }
--- a/crates/control-plane/src/server/peer_identity/tests.rs
+++ b/crates/control-plane/src/server/peer_identity/tests.rs
@@ -11,7 +11,7 @@
     Message::SessionHeartbeat {
         serial,
         data_node: DataNode { node, zone, region, client_address: ADDRESS, ready: true },
-        clock: 0.0,
+        cluster_clock: 0.0,
         leases: vec![],
     }
 }
@@ -25,7 +25,7 @@
 }
 
 fn adds(serial: u64) -> Message {
-    Message::CounterAdds { serial, term: 1, clock: 0.0, adds: vec![] }
+    Message::CounterAdds { serial, term: 1, cluster_clock: 0.0, adds: vec![] }
 }
 
 /// A connection is bound by its first message: what comes in another name, or in none, closes it.
--- a/crates/control-plane/src/server/peer_links/incoming.rs
+++ b/crates/control-plane/src/server/peer_links/incoming.rs
@@ -112,11 +112,11 @@
     /// Processes a message that this sender may send.
     fn dispatch(&self, sender: &MessageSender, message: Message) -> Result<(), ConnectionError> {
         match (message, self.peer.identity) {
-            (Message::SessionHeartbeat { serial, data_node, clock, leases }, _) => {
+            (Message::SessionHeartbeat { serial, data_node, cluster_clock: clock, leases }, _) => {
                 self.renew_session(sender, serial, data_node, clock, &leases);
                 Ok(())
             }
-            (Message::CounterAdds { serial, term, clock, adds }, _) => {
+            (Message::CounterAdds { serial, term, cluster_clock: clock, adds }, _) => {
                 self.answer_counter_adds(sender, serial, term, clock, &adds)
             }
             (Message::UpdateRequest(versions), Some(PeerIdentity::DataNode(_))) => {
@@ -163,7 +163,7 @@
         });
         let totals = self.node.count(term, adds);
         let clock = self.node.with_state(|state, now| state.cluster_clock(now));
-        let answer = Message::CounterTotals { serial, clock, totals };
+        let answer = Message::CounterTotals { serial, cluster_clock: clock, totals };
         sender.try_send(answer).map_err(|_| ConnectionError::TotalsNotRead)
     }
 
--- a/crates/data-plane/src/counter_session.rs
+++ b/crates/data-plane/src/counter_session.rs
@@ -87,8 +87,8 @@
             let times_out_at = self.calls.times_out_at().map(|at| data_plane.clock.instant_at(at));
             tokio::select! {
                 message = messages.next() => {
-                    let Some(Ok(Message::CounterTotals { serial, clock, totals })) = message else { return };
-                    match self.receive(serial, clock, totals) {
+                    let Some(Ok(Message::CounterTotals { serial, cluster_clock, totals })) = message else { return };
+                    match self.receive(serial, cluster_clock, totals) {
                         ReplyMatch::Answer { counts } => {
                             data_plane.set_counter_reachable(counts);
                             probe_at = (!counts).then(|| Instant::now() + PROBE_INTERVAL);
@@ -132,7 +132,9 @@
         match self.calls.send(data_plane.clock.now(), adds) {
             Ok((serial, adds)) => {
                 let (term, clock, adds) = (self.holder.term, data_plane.cluster_clock(), adds.to_vec());
-                self.sender.try_send(Message::CounterAdds { serial, term, clock, adds }).is_ok()
+                self.sender
+                    .try_send(Message::CounterAdds { serial, term, cluster_clock: clock, adds })
+                    .is_ok()
             }
             Err(not_sent) => {
                 data_plane.finish_counter_calls(vec![not_sent]);
--- a/crates/messages/src/message.rs
+++ b/crates/messages/src/message.rs
@@ -57,7 +57,7 @@
         /// The sender.
         data_node: DataNode,
         /// The sender's reading of the cluster clock.
-        clock: f64,
+        cluster_clock: f64,
         /// The leases that the sender knows of.
         leases: Vec<LeaseGrant>,
     },
@@ -68,7 +68,7 @@
         /// The term of the quota counter's lease as the sender knows it.
         term: u64,
         /// The sender's reading of the cluster clock.
-        clock: f64,
+        cluster_clock: f64,
         /// The additions.
         adds: Vec<CounterAdd>,
     },
@@ -77,7 +77,7 @@
         /// The serial of the request.
         serial: u64,
         /// The sender's reading of the cluster clock.
-        clock: f64,
+        cluster_clock: f64,
         /// The totals after the additions, in their order; none where the sender does not hold the quota counter's lease.
         totals: Option<Vec<f32>>,
     },
--- a/crates/messages/src/updates.rs
+++ b/crates/messages/src/updates.rs
@@ -29,22 +29,22 @@
     /// The configuration as a [`patch`](crate::patch).
     ConfigurationPatch {
         /// Ordering key of the configuration.
-        stamp: u64,
+        revision: u64,
         /// Ordering key of the configuration that it is compressed against, which the receiver has; 0 for none.
         base: u64,
         /// The patch.
-        packed: Bytes,
+        patch: Bytes,
     },
     /// The list of hosts.
     HostList(HostList),
     /// The encoded list of hosts as a [`patch`](crate::patch).
     HostListPatch {
         /// Revision of the list.
-        stamp: (u64, u64),
+        revision: (u64, u64),
         /// Revision of the list that it is compressed against, which the receiver has.
         base: (u64, u64),
         /// The patch.
-        packed: Bytes,
+        patch: Bytes,
     },
     /// The control nodes.
     ControlNodes(Vec<ControlNode>),
--- a/crates/messages/tests/wire_fixtures/names.rs
+++ b/crates/messages/tests/wire_fixtures/names.rs
@@ -77,9 +77,13 @@
                 list_name(accepted_value.recent_versions.is_empty())
             )
         }
-        StateUpdate::ConfigurationPatch { packed, .. } => format!("chart.{}", list_name(packed.is_empty())),
+        StateUpdate::ConfigurationPatch { patch: packed, .. } => {
+            format!("chart.{}", list_name(packed.is_empty()))
+        }
         StateUpdate::HostList(hosts) => format!("hosts.{}", list_name(hosts.instances.is_empty())),
-        StateUpdate::HostListPatch { packed, .. } => format!("hosts_patch.{}", list_name(packed.is_empty())),
+        StateUpdate::HostListPatch { patch: packed, .. } => {
+            format!("hosts_patch.{}", list_name(packed.is_empty()))
+        }
         StateUpdate::ControlNodes(control_nodes) => {
             format!("keepers.{}", list_name(control_nodes.is_empty()))
         }
--- a/crates/messages/tests/wire_fixtures/samples.rs
+++ b/crates/messages/tests/wire_fixtures/samples.rs
@@ -174,15 +174,15 @@
         ]);
     }
     all.extend([
-        StateUpdate::ConfigurationPatch { stamp: 514, base: 0, packed: Bytes::new() },
-        StateUpdate::ConfigurationPatch { stamp: 514, base: 513, packed: Bytes::from_static(b"packed") },
+        StateUpdate::ConfigurationPatch { revision: 514, base: 0, patch: Bytes::new() },
+        StateUpdate::ConfigurationPatch { revision: 514, base: 513, patch: Bytes::from_static(b"packed") },
         StateUpdate::HostList(HostList::default()),
         StateUpdate::HostList(hosts()),
-        StateUpdate::HostListPatch { stamp: (12, 346), base: (0, 0), packed: Bytes::new() },
+        StateUpdate::HostListPatch { revision: (12, 346), base: (0, 0), patch: Bytes::new() },
         StateUpdate::HostListPatch {
-            stamp: (12, 346),
+            revision: (12, 346),
             base: (11, 345),
-            packed: Bytes::from_static(b"patch"),
+            patch: Bytes::from_static(b"patch"),
         },
         StateUpdate::ControlNodes(Vec::new()),
         StateUpdate::ControlNodes(vec![control_node(), other_control_node()]),
@@ -247,18 +247,23 @@
             StateUpdate::ControlNodes(vec![control_node()]),
             StateUpdate::HostList(hosts()),
         ]),
-        Message::SessionHeartbeat { serial: 1, data_node: data_node(false), clock: 0.0, leases: Vec::new() },
+        Message::SessionHeartbeat {
+            serial: 1,
+            data_node: data_node(false),
+            cluster_clock: 0.0,
+            leases: Vec::new(),
+        },
         Message::SessionHeartbeat {
             serial: 301,
             data_node: data_node(true),
-            clock: 99.125,
+            cluster_clock: 99.125,
             leases: lease_grants(),
         },
-        Message::CounterAdds { serial: 2, term: 77, clock: 1.0, adds: Vec::new() },
-        Message::CounterAdds { serial: 302, term: 78, clock: 98.5, adds },
-        Message::CounterTotals { serial: 3, clock: 1.0, totals: None },
-        Message::CounterTotals { serial: 4, clock: 2.0, totals: Some(Vec::new()) },
-        Message::CounterTotals { serial: 303, clock: 97.75, totals: Some(vec![1.5, 0.0, -2.25]) },
+        Message::CounterAdds { serial: 2, term: 77, cluster_clock: 1.0, adds: Vec::new() },
+        Message::CounterAdds { serial: 302, term: 78, cluster_clock: 98.5, adds },
+        Message::CounterTotals { serial: 3, cluster_clock: 1.0, totals: None },
+        Message::CounterTotals { serial: 4, cluster_clock: 2.0, totals: Some(Vec::new()) },
+        Message::CounterTotals { serial: 303, cluster_clock: 97.75, totals: Some(vec![1.5, 0.0, -2.25]) },
     ]);
     all
 }
--- a/crates/simulation/src/fleet/execution.rs
+++ b/crates/simulation/src/fleet/execution.rs
@@ -93,7 +93,7 @@
     }
 
     fn learned_line(&self, node: NodeId, register: Register) -> String {
-        let chosen = self.live.get(&node).and_then(|control| control.proposer.chosen(register));
+        let chosen = self.live.get(&node).and_then(|control| control.proposer.committed(register));
         format!("{node} learns {register:?} {chosen:?}")
     }
 
--- a/crates/simulation/src/invariants/mod.rs
+++ b/crates/simulation/src/invariants/mod.rs
@@ -61,7 +61,7 @@
             if checked.is_err() {
                 break;
             }
-            let chosen = control.proposer.chosen(register);
+            let chosen = control.proposer.committed(register);
             checked = self.check_chosen(now, node, register, &mut observation.proposals[index], chosen);
             let confirmed = control.proposer.confirmed(register);
             if let Some(asked_at) = confirmed
--- a/crates/simulation/src/invariants/operations.rs
+++ b/crates/simulation/src/invariants/operations.rs
@@ -121,7 +121,7 @@
         text: &Bytes,
         outcome: Outcome,
     ) -> Result<(), Violation> {
-        let newest_revision = proposer.chosen(Register::Configuration).map_or(0, |chosen| chosen.revision);
+        let newest_revision = proposer.committed(Register::Configuration).map_or(0, |chosen| chosen.revision);
         if newest_revision <= version {
             return Err(Violation::AcknowledgedVersionMissing { version, newest_revision });
         }
--- a/crates/simulation/src/runner/recovery.rs
+++ b/crates/simulation/src/runner/recovery.rs
@@ -120,12 +120,13 @@
     /// A node has the latest value of each register, confirmed by a quorum.
     fn check_state(&self, node: NodeId, control: &ControlNodeState) -> Result<(), Violation> {
         let acknowledged = self.fleet.checks.acknowledged();
-        let revision = control.proposer.chosen(Register::Configuration).map_or(0, |chosen| chosen.revision);
+        let revision =
+            control.proposer.committed(Register::Configuration).map_or(0, |chosen| chosen.revision);
         if revision < acknowledged {
             return Err(Violation::AcknowledgedConfigurationMissing { node, revision, acknowledged });
         }
         for register in REGISTERS {
-            let value = control.proposer.chosen(register).map(|chosen| &chosen.value);
+            let value = control.proposer.committed(register).map(|chosen| &chosen.value);
             let latest = self.fleet.checks.lines.get(&register).and_then(|history| history.latest());
             if value != latest.map(|latest| &latest.value) {
                 let (value, latest) = (value.cloned(), latest.cloned());
