--- a/crates/consensus/src/proposer.rs
+++ b/crates/consensus/src/proposer.rs
@@ -72,7 +72,7 @@
         self.chosen.get(&register)
     }
 
-    /// Since when [`Proposer::chosen`] is confirmed to be the newest value: the time at which the read
+    /// Since when [`Proposer::committed`] is confirmed to be the newest value: the time at which the read
     /// request was sent that a majority replied to.
     pub fn confirmed(&self, register: Register) -> Option<f64> {
         self.quorum_read.confirmed(register)
--- a/crates/quota/src/counter.rs
+++ b/crates/quota/src/counter.rs
@@ -1,7 +1,7 @@
 //! The quota counter: short-lived keys and their totals, in memory only.
 //!
 //! One control node serves it for the term of its lease; nothing is persisted or handed to the next holder. A new holder
-//! answers nothing for [`NEW_HOLDER_SILENCE`], until what its predecessor granted has left every burst tier's window.
+//! answers nothing for [`NEW_HOLDER_WAIT`], until what its predecessor granted has left every burst tier's window.
 //!
 //! Invariant: an add of a term that is over is never answered.
 
