--- a/crates/simulation/src/command_line/mod.rs
+++ b/crates/simulation/src/command_line/mod.rs
@@ -1,4 +1,4 @@
-//! The command line. Spellings of earlier versions (`--plan`, `--size grown`) are still understood.
+//! The command line. The spellings of earlier versions (`--plan`, `--kind`, `--size grown`) are still accepted.
 
 #[cfg(test)]
 mod tests;
@@ -10,10 +10,10 @@
 use error_stack::Report;
 use std::time::Duration;
 
-/// All commands with their arguments.
+/// Defines all subcommands and their arguments.
 pub(crate) fn command() -> Command {
     Command::new("archlink-simulation")
-        .about("Drawn scenarios against the control plane's protocol code")
+        .about("Runs generated scenarios against the control plane's protocol code")
         .subcommand_required(true)
         .subcommand(run_command())
         .subcommand(replay_command())
@@ -21,12 +21,12 @@
 
 fn run_command() -> Command {
     Command::new("run")
-        .about("Run the scenarios of many seeds")
-        .arg(Arg::new("seeds").long("seeds").default_value("0..1000").help("A..B"))
+        .about("Run the scenarios of a range of seeds")
+        .arg(Arg::new("seeds").long("seeds").default_value("0..1000").help("range of seeds A..B, without B"))
         .arg(size_argument())
         .arg(workload_argument())
-        .arg(number("jobs").default_value("1").help("threads"))
-        .arg(number("for").default_value("86400").help("seconds after which no further scenario is begun"))
+        .arg(number("jobs").default_value("1").help("number of threads"))
+        .arg(number("for").default_value("86400").help("seconds after which no further scenario starts"))
 }
 
 fn replay_command() -> Command {
@@ -70,11 +70,11 @@
     }
 }
 
-/// What `run` is to run.
+/// The scenarios that `run` runs.
 ///
 /// # Errors
 ///
-/// [`SimulationError::Arguments`] where `--seeds` is not a range.
+/// [`SimulationError::Arguments`] if `--seeds` is not a range.
 pub(crate) fn batch(matches: &ArgMatches) -> Result<Batch, Report<SimulationError>> {
     let seeds = text(matches, "seeds").unwrap_or_default();
     let invalid =
@@ -92,13 +92,13 @@
     })
 }
 
-/// The file that `replay` is to read.
+/// The scenario file that `replay` reads, if one is named.
 pub(crate) fn scenario_file(matches: &ArgMatches) -> Option<&str> {
     text(matches, "scenario")
 }
 
-/// The scenario that `replay` is to draw.
-pub(crate) fn drawn_scenario(matches: &ArgMatches) -> Scenario {
+/// The scenario that `replay` generates from its seed.
+pub(crate) fn generated_scenario(matches: &ArgMatches) -> Scenario {
     let seed = matches.get_one::<u64>("seed").copied().unwrap_or_default();
-    Scenario::draw(workload(matches), seed, size(matches))
+    Scenario::generate(workload(matches), seed, size(matches))
 }
--- a/crates/simulation/src/command_line/tests.rs
+++ b/crates/simulation/src/command_line/tests.rs
@@ -1,4 +1,4 @@
-//! The command line, with the spellings of earlier versions.
+//! Parsing of the command line, including the spellings of earlier versions.
 
 use super::{batch, command, scenario_file, size, workload};
 use archlink_simulation::{Size, Workload};
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn earlier_spellings_are_understood() {
+fn earlier_spellings_are_accepted() {
     for line in [
         "archlink-simulation run --kind losses --seeds 1..100000 --size grown --jobs 8 --for 600",
         "archlink-simulation run --workload losses --seeds 1..100000 --size large --jobs 8 --for 600",
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn seeds_that_are_no_range_are_rejected() {
+fn seeds_other_than_a_range_are_rejected() {
     let error = batch(&arguments("archlink-simulation run --seeds 7")).err().expect("an error");
     assert!(format!("{error:?}").contains("--seeds 7: expected A..B"), "{error:?}");
 }
--- a/crates/simulation/src/error.rs
+++ b/crates/simulation/src/error.rs
@@ -1,13 +1,13 @@
-//! Why a command of the simulation fails.
+//! The errors of the simulation's commands.
 
 use std::fmt;
 
-/// Why nothing was simulated, or that a simulation found a violation.
+/// Why a command failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SimulationError {
-    /// A scenario file cannot be read, or is not a scenario.
+    /// A scenario file cannot be read or does not contain a valid scenario.
     Scenario,
-    /// An argument of the command line has no meaning.
+    /// A command-line argument is invalid.
     Arguments,
     /// At least one scenario violated an invariant.
     Violation,
@@ -17,7 +17,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             SimulationError::Scenario => "the scenario can't be read",
-            SimulationError::Arguments => "the command line can't be followed",
+            SimulationError::Arguments => "the command line is invalid",
             SimulationError::Violation => "an invariant was violated",
         })
     }
--- a/crates/simulation/src/fleet/disk.rs
+++ b/crates/simulation/src/fleet/disk.rs
@@ -1,7 +1,7 @@
-//! Simulated disks with group commit, as in the program's storage: one sync makes all queued writes durable, in order, and the
-//! messages that depend on a write are sent after it.
+//! Simulated disks with group commit, as in the `storage` package: one sync makes all queued writes durable in order, and the
+//! messages that depend on a write are sent only after it.
 //!
-//! Invariant: of one write everything is durable or nothing.
+//! Invariant: a write is durable as a whole or not at all.
 
 use super::Fleet;
 use super::event_queue::Event;
@@ -9,10 +9,10 @@
 use archlink_messages::{AcceptorState, LeaseGrant, Message, NodeId, Register, SingletonRole, VoterSet};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Writes that a disk queues, as in the program; a further one is dropped with its messages.
+/// Maximum number of queued writes, as in the deployed program. A further write is dropped together with its messages.
 const QUEUE_CAPACITY: usize = 256;
 
-/// What is durable on a disk.
+/// The durable content of a disk.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Kept {
     /// Acceptor state by register.
@@ -23,7 +23,7 @@
     pub voter_set: VoterSet,
 }
 
-/// One write, and the messages that may be sent once it is durable.
+/// A write, and the messages to send once it is durable.
 #[derive(Clone, Debug)]
 pub(crate) struct Write {
     pub(crate) record: DurableRecord,
@@ -33,15 +33,15 @@
 /// One machine's disk.
 #[derive(Clone, Debug, Default)]
 pub struct Disk {
-    /// What is durable.
+    /// Its durable content.
     pub kept: Kept,
-    /// Seconds that a sync takes.
+    /// Duration of a sync, in seconds.
     pub sync: f64,
-    /// Nothing becomes durable before this moment of simulated time, in seconds.
+    /// Simulated time, in seconds, before which no write becomes durable.
     pub hangs_until: f64,
-    /// Syncs so far of writes that changed something.
+    /// Number of syncs so far, except those whose writes changed nothing.
     pub syncs: u64,
-    /// Bytes of acceptor state in them.
+    /// Bytes of acceptor state written so far.
     pub bytes: usize,
     pub(crate) writing: Vec<Write>,
     pub(crate) queued: VecDeque<Write>,
@@ -59,14 +59,14 @@
 }
 
 impl Fleet {
-    /// From here on a sync on that disk takes so many seconds.
+    /// Sets the duration of each further sync on a node's disk.
     pub fn set_sync(&mut self, node: NodeId, seconds: f64) {
         self.disks.entry(node).or_default().sync = seconds;
     }
 
-    /// For so many seconds nothing written to that disk becomes durable.
+    /// Hangs a node's disk for `seconds`: meanwhile no write becomes durable.
     pub fn hang(&mut self, node: NodeId, seconds: f64) {
-        self.trace(|_| format!("disk of {node} hangs for {seconds:.3}"));
+        self.trace(|_| format!("disk of node {node} hangs for {seconds:.3} s"));
         let until = self.now + seconds;
         self.disks.entry(node).or_default().hangs_until = until;
     }
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Begins one sync of all queued writes. Writes that change nothing cost no sync.
+    /// Begins one sync of all queued writes. If none of them changes anything, it completes at once and is not counted.
     fn begin_sync(&mut self, node: NodeId) {
         let Some(disk) = self.disks.get_mut(&node).filter(|disk| !disk.queued.is_empty()) else { return };
         disk.writing.extend(std::mem::take(&mut disk.queued));
@@ -93,11 +93,11 @@
         disk.bytes += sizes.sum::<usize>();
         let at = if changes_nothing { self.now } else { (self.now + disk.sync).max(disk.hangs_until) };
         let incarnation = self.incarnations[&node];
-        self.events.push(at, Event::Synced { node, incarnation });
+        self.events.push(at, Event::SyncCompleted { node, incarnation });
     }
 
-    /// The sync under way has ended.
-    pub(super) fn synced(&mut self, node: NodeId) {
+    /// Completes the sync in progress: applies its writes, begins the next sync and sends the waiting messages.
+    pub(super) fn complete_sync(&mut self, node: NodeId) {
         let Some(disk) = self.disks.get_mut(&node) else { return };
         let mut messages = Vec::new();
         for write in std::mem::take(&mut disk.writing) {
--- a/crates/simulation/src/fleet/event_queue.rs
+++ b/crates/simulation/src/fleet/event_queue.rs
@@ -1,10 +1,10 @@
-//! What is due at which moment of simulated time. Events of one moment happen in the order in which they were scheduled.
+//! Queue of events by simulated time. Events due at the same time are handled in the order in which they were scheduled.
 
 use archlink_messages::{Message, NodeId};
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// Something that happens at a moment. An event of an incarnation that has ended is dropped.
+/// An event at a simulated time. Events of an incarnation that has ended are dropped.
 pub(crate) enum Event {
     Deliver {
         from: NodeId,
@@ -15,8 +15,8 @@
         node: NodeId,
         incarnation: u64,
     },
-    /// What the disk was writing is durable.
-    Synced {
+    /// The sync in progress on the node's disk has completed.
+    SyncCompleted {
         node: NodeId,
         incarnation: u64,
     },
@@ -24,7 +24,7 @@
         node: NodeId,
         first_start: bool,
     },
-    /// A link comes up between two incarnations.
+    /// The link between two incarnations is to be opened.
     Connect {
         from: NodeId,
         to: NodeId,
@@ -33,12 +33,12 @@
 }
 
 impl Event {
-    /// The node at which it happens; while that node is paused, the event waits.
+    /// The node at which the event takes place. The event is postponed while that node is paused.
     pub(crate) fn node(&self) -> NodeId {
         match self {
             Event::Deliver { to, .. } => *to,
             Event::Connect { from, .. } => *from,
-            Event::Tick { node, .. } | Event::Synced { node, .. } | Event::Start { node, .. } => *node,
+            Event::Tick { node, .. } | Event::SyncCompleted { node, .. } | Event::Start { node, .. } => *node,
         }
     }
 }
@@ -64,13 +64,13 @@
 }
 
 impl Ord for Scheduled {
-    /// The earliest is the greatest, since the heap yields the greatest first.
+    /// Orders the earliest event as the greatest, because the heap pops the greatest first.
     fn cmp(&self, other: &Scheduled) -> Ordering {
         other.at.total_cmp(&self.at).then(other.sequence.cmp(&self.sequence))
     }
 }
 
-/// Events by time, then by the order in which they were scheduled.
+/// Events ordered by time, then by the order in which they were scheduled.
 #[derive(Default)]
 pub(crate) struct EventQueue {
     heap: BinaryHeap<Scheduled>,
@@ -78,30 +78,30 @@
 }
 
 impl EventQueue {
-    /// Schedules an event for a moment of simulated time, in seconds.
+    /// Schedules an event at simulated time `at`, in seconds.
     pub(crate) fn push(&mut self, at: f64, event: Event) {
         self.last_sequence += 1;
         self.heap.push(Scheduled { at, sequence: self.last_sequence, event });
     }
 
-    /// The next event that is due by `until`, and when.
+    /// Removes the next event due by `until` and returns it with its time.
     pub(crate) fn pop_due(&mut self, until: f64) -> Option<(f64, Event)> {
         self.heap.peek().filter(|next| next.at <= until)?;
         self.heap.pop().map(|next| (next.at, next.event))
     }
 
-    /// Moves what only waited for a pause, a stall or a disk to `now`: messages, ticks and links that were due at one of
-    /// `resume_times`, and all that waits for a disk.
+    /// Moves events that only waited for the end of a pause, a stall or a disk hang to `now`: messages, ticks and connection
+    /// attempts due at one of `resume_times`, and all completed syncs and starts.
     pub(crate) fn resume(&mut self, now: f64, resume_times: &[f64]) {
         let mut scheduled = std::mem::take(&mut self.heap).into_vec();
         for next in &mut scheduled {
-            let waits = match &next.event {
+            let is_postponed = match &next.event {
                 Event::Deliver { .. } | Event::Tick { .. } | Event::Connect { .. } => {
                     resume_times.contains(&next.at)
                 }
-                Event::Synced { .. } | Event::Start { .. } => true,
+                Event::SyncCompleted { .. } | Event::Start { .. } => true,
             };
-            next.at = if waits { now.min(next.at) } else { next.at };
+            next.at = if is_postponed { now.min(next.at) } else { next.at };
         }
         self.heap = scheduled.into();
     }
--- a/crates/simulation/src/fleet/execution.rs
+++ b/crates/simulation/src/fleet/execution.rs
@@ -1,4 +1,4 @@
-//! Runs the nodes: events as they come due, the effects of each step, and the invariants after it.
+//! Runs the nodes: handles events as they come due, applies the effects of each step, and then checks the invariants.
 
 use super::Fleet;
 use super::event_queue::Event;
@@ -10,11 +10,11 @@
 use std::collections::VecDeque;
 
 impl Fleet {
-    /// Lets so many seconds of simulated time pass.
+    /// Advances simulated time by `seconds`.
     ///
     /// # Panics
     ///
-    /// With the first violation of an invariant, while `strict` is set.
+    /// Panics with the first violation of an invariant if `strict` is set.
     pub fn run(&mut self, seconds: f64) {
         let until = self.now + seconds;
         while self.fault.is_none() {
@@ -42,9 +42,9 @@
                 self.events.push(self.now + TICK_INTERVAL / rate, event);
                 self.step(node, |control, now| control.tick(now));
             }
-            Event::Synced { node, incarnation } if self.is_running(node, incarnation) => {
+            Event::SyncCompleted { node, incarnation } if self.is_running(node, incarnation) => {
                 let until = self.disks[&node].hangs_until;
-                if until > self.now { self.events.push(until, event) } else { self.synced(node) }
+                if until > self.now { self.events.push(until, event) } else { self.complete_sync(node) }
             }
             Event::Start { node, first_start } => self.start(node, first_start),
             Event::Connect { from, to, incarnations }
@@ -52,7 +52,7 @@
             {
                 self.connect(from, to);
             }
-            Event::Tick { .. } | Event::Synced { .. } | Event::Connect { .. } => {}
+            Event::Tick { .. } | Event::SyncCompleted { .. } | Event::Connect { .. } => {}
         }
     }
 
@@ -60,29 +60,38 @@
         self.live.contains_key(&node) && self.incarnations.get(&node) == Some(&incarnation)
     }
 
-    /// One step of a node, and all effects of it as the program carries them out; nothing where the node is not up.
+    /// Performs one step of a node and applies all its effects in the order in which the deployed program does. Does nothing
+    /// if the node is down.
     pub fn step(&mut self, node: NodeId, step: impl FnOnce(&mut ControlNodeState, f64) -> Vec<Effect>) {
         let now = self.clock(node);
         let Some(control) = self.live.get_mut(&node) else { return };
         self.steps += 1;
         let mut effects = VecDeque::from(step(control, now));
         while let Some(effect) = effects.pop_front() {
-            effects.extend(self.carry_out(node, now, effect));
+            effects.extend(self.apply_effect(node, now, effect));
         }
         self.check_invariants(node);
     }
 
-    /// Carries out one effect; the result is what the node does next at once.
-    fn carry_out(&mut self, node: NodeId, now: f64, effect: Effect) -> Vec<Effect> {
+    /// Applies one effect of a step. Returns the further effects that it causes immediately.
+    fn apply_effect(&mut self, node: NodeId, now: f64, effect: Effect) -> Vec<Effect> {
         match effect {
             Effect::Send(to, message) if to == node => {
-                return self.live.get_mut(&node).map(|c| c.step(now, node, message)).unwrap_or_default();
+                return self
+                    .live
+                    .get_mut(&node)
+                    .map(|control| control.step(now, node, message))
+                    .unwrap_or_default();
             }
             Effect::Send(to, message) => self.send(node, to, message),
             Effect::Store(record, then_send) => self.store(node, record, then_send),
             Effect::Learned(register) => {
-                self.trace(|fleet| fleet.learned_line(node, register));
-                return self.live.get_mut(&node).map(|c| c.broadcast_heartbeat(now)).unwrap_or_default();
+                self.trace(|fleet| fleet.learned_value_line(node, register));
+                return self
+                    .live
+                    .get_mut(&node)
+                    .map(|control| control.broadcast_heartbeat(now))
+                    .unwrap_or_default();
             }
             Effect::ProposalResolved(token, outcome) => {
                 self.check_invariants(node);
@@ -92,14 +101,14 @@
         Vec::new()
     }
 
-    fn learned_line(&self, node: NodeId, register: Register) -> String {
+    fn learned_value_line(&self, node: NodeId, register: Register) -> String {
         let chosen = self.live.get(&node).and_then(|control| control.proposer.committed(register));
-        format!("{node} learns {register:?} {chosen:?}")
+        format!("node {node} learns {register:?} {chosen:?}")
     }
 
-    /// Ends an operation that was submitted at `node`.
+    /// Records the outcome of an operation submitted through `node` and checks it.
     pub(crate) fn resolve(&mut self, node: NodeId, token: u64, outcome: Outcome) {
-        self.trace(|_| format!("operation {token} at {node}: {outcome:?}"));
+        self.trace(|_| format!("operation {token} at node {node}: {outcome:?}"));
         self.done.insert(token, outcome);
         let proposer = self.live.get(&node).map(|control| &control.proposer);
         let checked = self.checks.check_outcome(self.now, token, outcome, proposer);
@@ -109,11 +118,11 @@
     fn trace_voter_set(&mut self, node: NodeId) {
         let Some(voter_set) = self.live.get(&node).map(|control| control.voter_set().clone()) else { return };
         if self.trace.is_some() && self.traced_epochs.insert(node, voter_set.epoch) != Some(voter_set.epoch) {
-            self.trace(|_| format!("{node} adopts {voter_set:?}"));
+            self.trace(|_| format!("node {node} adopts {voter_set:?}"));
         }
     }
 
-    /// Checks all invariants after a step of that node.
+    /// Checks all invariants after a step of `node`.
     fn check_invariants(&mut self, node: NodeId) {
         self.trace_voter_set(node);
         let Some(control) = self.live.get(&node) else { return };
--- a/crates/simulation/src/fleet/lifecycle.rs
+++ b/crates/simulation/src/fleet/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Starts, crashes, pauses and replacements of machines.
+//! Starts, crashes, pauses, joins and decommissions machines.
 
 use super::Fleet;
 use super::disk::Kept;
@@ -7,12 +7,12 @@
 use archlink_control_node::node::{ControlNodeState, InitialState};
 use archlink_messages::{ControlNode, NodeId, VoterSet};
 
-/// Seconds between two ticks, as in the program.
+/// Seconds between two ticks, as in the deployed program.
 pub(super) const TICK_INTERVAL: f64 = 0.05;
-/// Port of the operators' interface that simulated nodes announce; nothing listens there.
+/// Port of the operator interface that simulated nodes announce; nothing listens there.
 const OPERATOR_PORT: u16 = 80;
-/// Part of the crashes in which the write under way is found complete on the disk afterwards.
-const WRITE_SURVIVES_CRASH: f64 = 0.5;
+/// Probability that the write in progress during a crash is complete on the disk afterwards.
+const WRITE_SURVIVAL_PROBABILITY: f64 = 0.5;
 
 fn control_node(node: NodeId) -> ControlNode {
     let operator_address = std::net::SocketAddrV4::new(node.into(), OPERATOR_PORT);
@@ -20,23 +20,23 @@
 }
 
 impl Fleet {
-    /// Starts a node on what its disk has. `first` marks the very first start, at which an empty disk gets the seeds as its
-    /// voter set. A node that is up or decommissioned is left as it is.
-    pub fn start(&mut self, node: NodeId, first: bool) {
+    /// Starts a node from its durable state. On the first start, an empty disk gets the seeds as its voter set. Does nothing if
+    /// the node is up or decommissioned.
+    pub fn start(&mut self, node: NodeId, first_start: bool) {
         let unavailable = self.live.contains_key(&node) || self.decommissioned.contains(&node);
         let Some(disk) = self.disks.get_mut(&node).filter(|_| !unavailable) else { return };
         if disk.hangs_until > self.now {
-            return self.events.push(disk.hangs_until, Event::Start { node, first_start: first });
+            return self.events.push(disk.hangs_until, Event::Start { node, first_start });
         }
-        // As in the program, the seeds are durable before anything else is done.
-        if first && !disk.kept.voter_set.is_known() {
+        // As in the deployed program, the seeds become durable before anything else happens.
+        if first_start && !disk.kept.voter_set.is_known() {
             disk.kept.voter_set = VoterSet::initial(&self.seeds);
         }
         let durable = disk.kept.clone();
         let control = self.recover(node, durable);
         self.trace(|_| {
             let recovered = control.acceptor.is_recovered();
-            format!("{node} starts in epoch {}, recovered {recovered}", control.voter_set().epoch)
+            format!("node {node} starts in epoch {}, recovered {recovered}", control.voter_set().epoch)
         });
         self.live.insert(node, control);
         self.paused_until.remove(&node);
@@ -65,7 +65,7 @@
         *incarnation
     }
 
-    /// Links come up anew, and each end introduces itself.
+    /// Opens the links to all peers that are up, in both directions; each end sends its hello.
     fn connect_to_peers(&mut self, node: NodeId) {
         for other in self.nodes() {
             for (from, to) in [(node, other), (other, node)] {
@@ -76,40 +76,40 @@
         }
     }
 
-    /// Starts a machine that was not there before, with an empty disk and an address of its own.
+    /// Starts a new machine with an empty disk and its own address.
     pub fn join(&mut self, node: NodeId) {
         self.max_node = self.max_node.max(node);
         self.disks.entry(node).or_default();
         self.start(node, false);
     }
 
-    /// Ends a machine for good, and its disk with it.
+    /// Removes a machine permanently, together with its disk.
     pub fn decommission(&mut self, node: NodeId) {
         self.kill(node, true);
         self.disks.remove(&node);
         self.decommissioned.insert(node);
     }
 
-    /// Crashes a node. The write under way is durable as a whole or not at all; queued writes are lost; with `wipe` the disk
-    /// is lost too. The outcome of its open operations is unknown.
+    /// Crashes a node. The write in progress becomes durable as a whole or not at all, queued writes are lost, and with `wipe`
+    /// so is the disk's content. The outcome of the node's open operations is unknown.
     pub fn kill(&mut self, node: NodeId, wipe: bool) {
         let was_live = self.live.remove(&node).is_some();
         let Some(disk) = self.disks.get_mut(&node) else { return };
         let writing = std::mem::take(&mut disk.writing);
         disk.queued.clear();
-        if was_live && self.rng.rand_float() < WRITE_SURVIVES_CRASH {
+        if was_live && self.rng.rand_float() < WRITE_SURVIVAL_PROBABILITY {
             writing.into_iter().for_each(|write| disk.apply(write.record));
         }
         if wipe {
             disk.kept = Kept::default();
         }
-        self.trace(|_| format!("{node} crashes{}", if wipe { " and loses its disk" } else { "" }));
+        self.trace(|_| format!("node {node} crashes{}", if wipe { " and loses its disk" } else { "" }));
         for token in self.checks.open_operations(node) {
             self.resolve(node, token, Outcome::Unknown);
         }
     }
 
-    /// Crashes a node and powers its machine off as well: the monotonic clock begins anew.
+    /// Crashes a node and powers off its machine, which resets the monotonic clock.
     pub fn power_off(&mut self, node: NodeId, wipe: bool) {
         self.kill(node, wipe);
         let rate = self.machine_clock(node).rate;
@@ -117,9 +117,9 @@
         self.set_clock(node, rate, reading);
     }
 
-    /// Pauses a node for so many seconds; what is sent to it waits.
+    /// Pauses a node for `seconds`; messages to it wait.
     pub fn freeze(&mut self, node: NodeId, seconds: f64) {
-        self.trace(|_| format!("{node} is paused for {seconds:.3}"));
+        self.trace(|_| format!("node {node} is paused for {seconds:.3} s"));
         let until = self.now + seconds;
         self.resume_times.push(until);
         let paused_until = self.paused_until.entry(node).or_insert(until);
--- a/crates/simulation/src/fleet/mod.rs
+++ b/crates/simulation/src/fleet/mod.rs
@@ -1,7 +1,7 @@
-//! The simulated world: messages take time and may be lost, delayed or duplicated; links are partitioned one way; nodes
-//! pause, crash and restart; clocks drift apart; disks are slow, hang, and lose in a crash what was not synced.
+//! The simulated fleet and its environment: messages take time and may be lost, delayed or duplicated; links are partitioned
+//! in one direction; nodes pause, crash and restart; clocks drift; disks are slow, hang, and lose unsynced writes in a crash.
 //!
-//! Invariant: nothing is done for a node that the program around it (`control-plane`) does not do as well.
+//! Invariant: the simulation does nothing for a node that the deployed program around it (`control-plane`) doesn't do as well.
 
 pub mod disk;
 mod event_queue;
@@ -19,12 +19,12 @@
 use network::{Net, StalledLink};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Seconds of `CatchUp` with which no voter is replaced unasked: that would take 300 s of silence, longer than any run.
+/// `CatchUp` in seconds that disables automatic replacement of voters: it would take 300 s of silence, longer than any run.
 pub(crate) const CATCH_UP_DISABLED: f64 = 1000.0;
-/// Simulated time at which a fleet begins, in seconds. Part of what a seed stands for.
+/// Simulated time, in seconds, at which a fleet starts. Another value would change the schedule that a seed runs.
 const START_TIME: f64 = 10.0;
 
-/// A machine's monotonic clock, which shows `offset + rate * now` seconds.
+/// A machine's monotonic clock, which reads `offset + rate * now` seconds.
 #[derive(Clone, Copy, Debug)]
 struct MachineClock {
     rate: f64,
@@ -32,47 +32,47 @@
 }
 
 impl MachineClock {
-    /// A clock that shows simulated time.
+    /// A clock that reads simulated time.
     const EXACT: MachineClock = MachineClock { rate: 1.0, offset: 0.0 };
 
-    /// What the clock shows at a moment of simulated time.
+    /// The clock's reading at simulated time `now`.
     fn reading(self, now: f64) -> f64 {
         self.offset + self.rate * now
     }
 
-    /// The moment of simulated time at which the clock shows `reading`.
+    /// The simulated time at which the clock reads `reading`.
     fn simulated_time(self, reading: f64) -> f64 {
         (reading - self.offset) / self.rate
     }
 }
 
-/// All control nodes, numbered from 1, and the network, disks and clocks between and beneath them.
+/// All control nodes, numbered from 1, with their simulated network, disks and clocks.
 pub struct Fleet {
     /// Simulated time in seconds; each node reads it through [`Fleet::clock`].
     pub now: f64,
-    /// Nodes that are up.
+    /// The nodes that are up.
     pub live: BTreeMap<NodeId, ControlNodeState>,
-    /// The disk of each machine, also of those that are down.
+    /// The disk of each machine, including those that are down.
     pub disks: BTreeMap<NodeId, Disk>,
-    /// How messages travel.
+    /// Latency and faults of the network.
     pub net: Net,
-    /// Outcomes of operations by token; unknown for those of a node that crashed.
+    /// Outcomes of operations by token; [`Outcome::Unknown`] for the open operations of a node that crashed.
     pub done: BTreeMap<u64, Outcome>,
-    /// The invariants and what was observed for them.
+    /// The checks of the invariants, with their observations.
     pub checks: Invariants,
-    /// The first violation of an invariant and when it was found. While `strict` is set, `run` panics with it.
+    /// The first violation of an invariant, with the time at which it was found. If `strict` is set, `run` panics with it.
     pub fault: Option<String>,
-    /// Whether a violation panics.
+    /// Whether `run` panics on a violation.
     pub strict: bool,
-    /// What happened, line by line, where that is asked for.
+    /// Trace of the run, one event per line; `None` if it is not requested.
     pub trace: Option<Vec<String>>,
-    /// Steps that nodes took so far.
+    /// Number of steps that nodes have performed so far.
     pub steps: u64,
-    /// `CatchUp` in seconds; where it is not set, so long that no voter is replaced unasked.
+    /// `CatchUp` in seconds. The default is so long that no voter is replaced automatically.
     pub catch_up: f64,
-    /// The epoch that each node was last traced with.
+    /// The epoch of the voter set last traced for each node.
     traced_epochs: BTreeMap<NodeId, u64>,
-    /// Machines that never come back.
+    /// Machines that were removed permanently.
     decommissioned: BTreeSet<NodeId>,
     max_node: NodeId,
     required_voters: usize,
@@ -81,33 +81,33 @@
     incarnations: BTreeMap<NodeId, u64>,
     clocks: BTreeMap<NodeId, MachineClock>,
     paused_until: BTreeMap<NodeId, f64>,
-    /// Until when nothing passes from the first to the second.
+    /// Simulated time until which no message passes from the first node to the second.
     partitioned_until: BTreeMap<(NodeId, NodeId), f64>,
     stalled_links: BTreeMap<(NodeId, NodeId), StalledLink>,
-    /// Moments at which pauses and stalls end: events due then wait for just that.
+    /// Simulated times at which pauses and stalls end; events due exactly then were postponed by them.
     resume_times: Vec<f64>,
     events: EventQueue,
 }
 
 impl Fleet {
-    /// Four nodes, the first three of which are the seeds; one disk may be lost at a time.
+    /// Starts four nodes, the first three of which are the seeds; one disk may be lost at a time.
     pub fn new(seed: u64) -> Fleet {
         Fleet::of(seed, 3, 4)
     }
 
-    /// `size` nodes at their first start, `needed` of which are to vote; the seeds are 1, 2 and 3.
-    pub fn of(seed: u64, needed: usize, size: NodeId) -> Fleet {
-        let mut fleet = Fleet::empty(seed, needed, size);
-        (1..=size).for_each(|node| fleet.start(node, true));
+    /// Starts `node_count` nodes for the first time, `required_voters` of which are to vote. The seeds are nodes 1, 2 and 3.
+    pub fn of(seed: u64, required_voters: usize, node_count: NodeId) -> Fleet {
+        let mut fleet = Fleet::empty(seed, required_voters, node_count);
+        (1..=node_count).for_each(|node| fleet.start(node, true));
         fleet
     }
 
-    /// The same before any node is started.
-    pub fn empty(seed: u64, needed: usize, size: NodeId) -> Fleet {
+    /// Creates the same fleet as [`Fleet::of`] without starting any node.
+    pub fn empty(seed: u64, required_voters: usize, node_count: NodeId) -> Fleet {
         Fleet {
             now: START_TIME,
             live: BTreeMap::new(),
-            disks: (1..=size).map(|node| (node, Disk::default())).collect(),
+            disks: (1..=node_count).map(|node| (node, Disk::default())).collect(),
             net: Net::default(),
             done: BTreeMap::new(),
             checks: Invariants::default(),
@@ -118,8 +118,8 @@
             catch_up: CATCH_UP_DISABLED,
             traced_epochs: BTreeMap::new(),
             decommissioned: BTreeSet::new(),
-            max_node: size,
-            required_voters: needed,
+            max_node: node_count,
+            required_voters,
             seeds: vec![1, 2, 3],
             rng: oorandom::Rand64::new(u128::from(seed)),
             incarnations: BTreeMap::new(),
@@ -132,12 +132,12 @@
         }
     }
 
-    /// All nodes that ever were, up or not.
+    /// All nodes so far, including those that are down or decommissioned.
     pub fn nodes(&self) -> std::ops::RangeInclusive<NodeId> {
         1..=self.max_node
     }
 
-    /// What the clock of that node's machine shows, in seconds.
+    /// The reading of the clock of a node's machine, in seconds.
     pub fn clock(&self, node: NodeId) -> f64 {
         self.machine_clock(node).reading(self.now)
     }
@@ -146,8 +146,8 @@
         self.clocks.get(&node).copied().unwrap_or(MachineClock::EXACT)
     }
 
-    /// From here on that machine's clock runs at `rate` and shows `reading` now. Only for a machine that is not up: a clock
-    /// that is in use never jumps.
+    /// Sets the clock of a node's machine to `reading` now and its rate from now on to `rate`. Only for a machine that is down:
+    /// a monotonic clock in use never jumps.
     pub fn set_clock(&mut self, node: NodeId, rate: f64, reading: f64) {
         self.clocks.insert(node, MachineClock { rate, offset: reading - rate * self.now });
     }
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Records the first violation; a later one may only follow from it.
+    /// Records the first violation; later ones may be mere consequences of it.
     pub(crate) fn record(&mut self, checked: Result<(), Violation>) {
         if let Err(violation) = checked {
             self.trace(|_| format!("VIOLATION {violation}"));
--- a/crates/simulation/src/fleet/network.rs
+++ b/crates/simulation/src/fleet/network.rs
@@ -1,29 +1,29 @@
-//! How messages travel, and what goes wrong on the way.
+//! The simulated network: latency, loss, duplication, partitions and stalls.
 
 use super::Fleet;
 use super::event_queue::Event;
 use archlink_control_node::node::ControlNodeState;
 use archlink_messages::{Message, NodeId};
 
-/// Messages that a stalled link keeps; later ones are lost.
+/// Maximum number of messages waiting on a stalled link; further ones are lost.
 const STALLED_LINK_CAPACITY: usize = 256;
-/// Seconds between two attempts to open a link, as in the program.
+/// Seconds between two attempts to open a link, as in the deployed program.
 const RECONNECT_INTERVAL: f64 = 0.25;
 
-/// How messages travel on every link.
+/// Latency and faults of every link.
 #[derive(Clone, Copy, Debug)]
 pub struct Net {
-    /// Seconds that a message takes at least.
+    /// Minimum latency of a message, in seconds.
     pub least: f64,
-    /// Seconds by which a message may take longer, drawn evenly.
+    /// Maximum additional latency, in seconds, drawn uniformly for each message.
     pub spread: f64,
-    /// Part of the messages that are lost, from 0 to 1.
+    /// Fraction of messages that are lost, from 0 to 1.
     pub lossy: f64,
-    /// Part of the messages that arrive twice, from 0 to 1.
+    /// Fraction of messages that are delivered twice, from 0 to 1.
     pub duplicated: f64,
-    /// Part of the messages that are delayed, from 0 to 1.
+    /// Fraction of messages that are delayed, from 0 to 1.
     pub delayed: f64,
-    /// Seconds by which a delayed message is late at most.
+    /// Maximum delay of a delayed message, in seconds.
     pub max_delay: f64,
 }
 
@@ -45,23 +45,23 @@
         self.cut_for(from, to, f64::INFINITY);
     }
 
-    /// Partitions one direction of a link for so many seconds.
+    /// Partitions one direction of a link for `seconds`.
     pub fn cut_for(&mut self, from: NodeId, to: NodeId, seconds: f64) {
-        self.trace(|_| format!("partition {from} -> {to} for {seconds:.3}"));
+        self.trace(|_| format!("partition {from} -> {to} for {seconds:.3} s"));
         let until = self.now + seconds;
         let partitioned_until = self.partitioned_until.entry((from, to)).or_insert(until);
         *partitioned_until = partitioned_until.max(until);
     }
 
-    /// For so many seconds messages in that direction wait; then they arrive together, as after a stalled connection.
+    /// Stalls one direction of a link for `seconds`: messages wait and then arrive together, as on a stalled connection.
     pub fn stall_link(&mut self, from: NodeId, to: NodeId, seconds: f64) {
-        self.trace(|_| format!("link {from} -> {to} stalls for {seconds:.3}"));
+        self.trace(|_| format!("link {from} -> {to} stalls for {seconds:.3} s"));
         let until = self.now + seconds;
         self.resume_times.push(until);
         self.stalled_links.insert((from, to), StalledLink { until, waiting: 0 });
     }
 
-    /// Ends all partitions, stalls, pauses and hanging disks, and message loss, duplication and delay.
+    /// Ends all partitions, stalls, pauses and disk hangs, and the loss, duplication and delay of messages.
     pub fn heal(&mut self) {
         self.trace(|_| "all faults end".into());
         let resume_times = std::mem::take(&mut self.resume_times);
@@ -77,7 +77,7 @@
         self.partitioned_until.get(&(from, to)).is_some_and(|until| self.now < *until)
     }
 
-    /// Opens a link: the hello is the first message on it. Over a partition the attempt is repeated.
+    /// Opens a link and sends the hello as its first message. While the link is partitioned, the attempt is repeated.
     pub(super) fn connect(&mut self, from: NodeId, to: NodeId) {
         if self.is_partitioned(from, to) {
             let incarnations = (self.incarnations[&from], self.incarnations[&to]);
--- a/crates/simulation/src/fleet/operators.rs
+++ b/crates/simulation/src/fleet/operators.rs
@@ -1,4 +1,4 @@
-//! Operations that operators submit through any node, and who holds which lease.
+//! Operations that operators submit through any node, and queries for lease holders and voters.
 
 use super::Fleet;
 use crate::invariants::Operation;
@@ -9,17 +9,17 @@
 use bytes::Bytes;
 use std::collections::BTreeSet;
 
-/// The digest of the configuration that is submitted under that token.
+/// The digest of the configuration submitted under `token`.
 pub fn digest(token: u64) -> [u8; 16] {
     u128::from(token).to_be_bytes()
 }
 
 impl Fleet {
-    /// Submits an operation through a node; its outcome is entered in `done` under `token`, at once as unknown where the node
-    /// is not up.
+    /// Submits an operation through a node and records its outcome in `done` under `token`. If the node is down, the outcome is
+    /// unknown at once.
     pub fn submit(&mut self, node: NodeId, token: u64, operation: Operation) {
-        self.trace(|_| format!("operation {token} at {node}: {operation:?}"));
-        self.checks.submitted(self.now, node, token, operation.clone());
+        self.trace(|_| format!("operation {token} at node {node}: {operation:?}"));
+        self.checks.record_submission(self.now, node, token, operation.clone());
         if !self.live.contains_key(&node) {
             return self.resolve(node, token, Outcome::Unknown);
         }
@@ -34,28 +34,28 @@
         });
     }
 
-    /// Submits a configuration with a text that no other operation has.
+    /// Submits a configuration whose text is unique to this operation.
     pub fn replace(&mut self, node: NodeId, token: u64, version: u64) {
         let text = Bytes::from(format!("version {version} by {node} as {token}"));
         self.submit(node, token, Operation::Configuration { version, digest: digest(token), text });
     }
 
-    /// Begins the evacuation of a zone, or ends it.
-    pub fn evacuate(&mut self, node: NodeId, token: u64, zone: &str, on: bool) {
-        self.submit(node, token, Operation::Evacuation { zone: zone.into(), evacuated: on });
+    /// Begins or ends the evacuation of a zone.
+    pub fn evacuate(&mut self, node: NodeId, token: u64, zone: &str, evacuated: bool) {
+        self.submit(node, token, Operation::Evacuation { zone: zone.into(), evacuated });
     }
 
-    /// Submits a change of the voter set.
+    /// Submits a membership change.
     pub fn reseat(&mut self, node: NodeId, token: u64, change: MembershipChange) {
         self.submit(node, token, Operation::Membership(change));
     }
 
-    /// A reader asks a node for state that a quorum confirms from now on.
+    /// Requests a node to have its state confirmed by a quorum from now on, as a reader does.
     pub fn request_confirmation(&mut self, node: NodeId) {
         self.step(node, |control, now| control.proposer.request_confirmation(now));
     }
 
-    /// The caller of an operation gives up.
+    /// Withdraws an open operation, as its caller does on a timeout.
     pub fn withdraw(&mut self, node: NodeId, token: u64) {
         if let Some(control) = self.live.get_mut(&node).filter(|_| self.checks.is_open(token)) {
             control.proposer.withdraw(token);
@@ -63,12 +63,12 @@
         }
     }
 
-    /// The node that holds a role's lease now.
+    /// The node that currently holds a role's lease.
     pub fn holder(&self, role: SingletonRole) -> Option<NodeId> {
         self.live.keys().copied().find(|node| self.holds_lease(*node, role))
     }
 
-    /// A role's holder where all nodes that are up know the same one.
+    /// The lease holder of a role, if all nodes that are up know the same one.
     pub fn agreed(&self, role: SingletonRole) -> Option<NodeId> {
         let known = |(node, control): (&NodeId, &ControlNodeState)| {
             control.leases.holders(self.clock(*node)).into_iter().find(|grant| grant.role == role)
@@ -78,7 +78,7 @@
         if grants.len() == 1 { grants[0].map(|grant| grant.holder) } else { None }
     }
 
-    /// The distinct voter sets that nodes have adopted.
+    /// The distinct voter sets adopted by the nodes that are up.
     pub fn sets(&self) -> BTreeSet<Vec<NodeId>> {
         self.live.values().map(|control| control.voter_set().all_voters()).collect()
     }
--- a/crates/simulation/src/invariants/history.rs
+++ b/crates/simulation/src/invariants/history.rs
@@ -1,44 +1,45 @@
-//! All values that were chosen of one register, as far as any node learned them.
+//! The chosen values of one register that any node has learned.
 
 use super::Violation;
 use archlink_messages::{AcceptedValue, ProposalNumber};
 use bytes::Bytes;
 use std::collections::BTreeMap;
 
-/// Seconds by which a clock's reading, turned back into simulated time, may be off.
-const ROUNDING: f64 = 1e-6;
+/// Maximum error, in seconds, of a clock reading converted back to simulated time.
+const ROUNDING_TOLERANCE: f64 = 1e-6;
 
-/// A chosen value, and when a node first learned it.
+/// A chosen value and the time at which a node first learned it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ChosenValue {
-    /// Its revision.
+    /// Its revision in the register.
     pub stamp: u64,
     /// The value itself.
     pub value: Bytes,
-    /// Simulated time in seconds.
+    /// Simulated time, in seconds, at which the first node learned it.
     pub at: f64,
 }
 
-/// The greatest proposal number that any node had learned, from a moment on.
+/// The greatest proposal number that any node had learned from simulated time `since` on.
 #[derive(Clone, Copy, Debug)]
-struct Newest {
+struct NewestProposal {
     since: f64,
     proposal: ProposalNumber,
 }
 
 /// The chosen values of one register.
 ///
-/// Invariant: ordered by proposal number they are ordered by revision too, and values of one revision are equal.
+/// Invariant: in the order of their proposal numbers the values are also ordered by revision, and values of the same revision
+/// are equal.
 #[derive(Clone, Debug, Default)]
 pub struct RegisterHistory {
-    /// Values by proposal number.
+    /// Chosen values by proposal number.
     pub values: BTreeMap<ProposalNumber, ChosenValue>,
-    newest: Vec<Newest>,
+    newest_proposals: Vec<NewestProposal>,
 }
 
 impl RegisterHistory {
-    /// Enters a value that a node learned.
-    pub(super) fn learned(&mut self, now: f64, learned: &AcceptedValue) -> Result<(), Violation> {
+    /// Records a value that a node learned.
+    pub(super) fn record_learned(&mut self, now: f64, learned: &AcceptedValue) -> Result<(), Violation> {
         if let Some(known) = self.values.get(&learned.proposal) {
             if known.stamp == learned.revision && known.value == learned.value {
                 return Ok(());
@@ -51,8 +52,8 @@
         self.check_order(learned)?;
         let value = ChosenValue { stamp: learned.revision, value: learned.value.clone(), at: now };
         self.values.insert(learned.proposal, value);
-        if self.newest.last().is_none_or(|newest| newest.proposal < learned.proposal) {
-            self.newest.push(Newest { since: now, proposal: learned.proposal });
+        if self.newest_proposals.last().is_none_or(|newest| newest.proposal < learned.proposal) {
+            self.newest_proposals.push(NewestProposal { since: now, proposal: learned.proposal });
         }
         Ok(())
     }
@@ -76,10 +77,10 @@
         Err(Violation::ValuesOutOfOrder { learned: Box::new(learned.clone()), before, after })
     }
 
-    /// The greatest proposal number that any node knew before that moment.
+    /// The greatest proposal number that any node knew before simulated time `at`.
     pub(super) fn known_before(&self, at: f64) -> Option<ProposalNumber> {
-        let count = self.newest.partition_point(|newest| newest.since < at - ROUNDING);
-        count.checked_sub(1).map(|last| self.newest[last].proposal)
+        let count = self.newest_proposals.partition_point(|newest| newest.since < at - ROUNDING_TOLERANCE);
+        count.checked_sub(1).map(|last| self.newest_proposals[last].proposal)
     }
 
     /// The latest value.
--- a/crates/simulation/src/invariants/mod.rs
+++ b/crates/simulation/src/invariants/mod.rs
@@ -1,11 +1,11 @@
-//! What must hold after every step, whatever happens:
+//! The invariants that must hold after every step, whatever faults occur:
 //!
-//! - a register's chosen values are ordered alike by proposal number and by revision, with one content a revision;
-//! - an epoch names one voter set;
-//! - what was acknowledged is among the chosen values;
-//! - a node that has a register confirmed has nothing older than what any node knew when confirmation was asked for.
+//! - the chosen values of a register have the same order by proposal number and by revision, and each revision has one value;
+//! - each epoch has exactly one voter set;
+//! - every acknowledged operation is among the chosen values;
+//! - a node with a confirmed register value has nothing older than what any node knew when the confirmation was requested.
 //!
-//! Invariant: only what could be observed of a node from outside its program is checked.
+//! Invariant: the checks use only what could be observed of a node from outside its process.
 
 mod history;
 mod operations;
@@ -21,7 +21,7 @@
 use archlink_messages::{AcceptedValue, NodeId, ProposalNumber, REGISTERS, Register, VoterSet};
 use std::collections::BTreeMap;
 
-/// What was last observed of one node, so that only what changed is checked.
+/// The last observation of one node, so that only changes are checked.
 #[derive(Clone, Copy, Debug, Default)]
 struct Observation {
     incarnation: u64,
@@ -30,7 +30,7 @@
     confirmed: [Option<f64>; REGISTERS.len()],
 }
 
-/// All that was observed, and the checks on it.
+/// Everything observed of the nodes, with the checks on it.
 #[derive(Clone, Debug, Default)]
 pub struct Invariants {
     /// Chosen values by register.
@@ -45,7 +45,7 @@
 }
 
 impl Invariants {
-    /// Checks a node after a step. `simulated_time` converts a reading of its clock.
+    /// Checks a node after a step. `simulated_time` converts a reading of the node's clock to simulated time.
     pub(crate) fn check_node(
         &mut self,
         now: f64,
@@ -64,20 +64,20 @@
             let chosen = control.proposer.committed(register);
             checked = self.check_chosen(now, node, register, &mut observation.proposals[index], chosen);
             let confirmed = control.proposer.confirmed(register);
-            if let Some(asked_at) = confirmed
+            if let Some(requested_at) = confirmed
                 && checked.is_ok()
                 && confirmed != observation.confirmed[index]
             {
                 observation.confirmed[index] = confirmed;
                 let proposal = chosen.map_or(ProposalNumber::default(), |chosen| chosen.proposal);
-                checked = self.check_confirmation(node, register, proposal, simulated_time(asked_at));
+                checked = self.check_confirmation(node, register, proposal, simulated_time(requested_at));
             }
         }
         self.observations.insert(node, observation);
         checked
     }
 
-    /// Invariant: epochs only grow, and each names one voter set.
+    /// Invariant: a node's epoch only increases, and each epoch has one voter set.
     fn check_voter_set(
         &mut self,
         node: NodeId,
@@ -100,7 +100,8 @@
         Ok(())
     }
 
-    /// Invariant: a node's chosen value only advances, and fits all that was chosen of the register.
+    /// Invariant: the proposal number of a node's chosen value only increases, and the value is consistent with all other
+    /// values chosen for the register.
     fn check_chosen(
         &mut self,
         now: f64,
@@ -114,7 +115,7 @@
             return Err(Violation::ProposalDecreased { node, chosen: Box::new(chosen.clone()) });
         }
         *observed = chosen.proposal;
-        self.lines.entry(register).or_default().learned(now, chosen)?;
+        self.lines.entry(register).or_default().record_learned(now, chosen)?;
         for version in &chosen.recent_versions {
             let known = *self.version_digests.entry(version.version).or_insert(version.digest);
             if known != version.digest {
@@ -125,15 +126,15 @@
         Ok(())
     }
 
-    /// Invariant: what is confirmed is no older than what any node knew when confirmation was asked for.
+    /// Invariant: a confirmed value is no older than what any node knew when the confirmation was requested.
     fn check_confirmation(
         &self,
         node: NodeId,
         register: Register,
         confirmed: ProposalNumber,
-        asked_at: f64,
+        requested_at: f64,
     ) -> Result<(), Violation> {
-        let known = self.lines.get(&register).and_then(|history| history.known_before(asked_at));
+        let known = self.lines.get(&register).and_then(|history| history.known_before(requested_at));
         match known {
             Some(known) if known > confirmed => {
                 Err(Violation::StaleConfirmation { node, register, confirmed, known })
--- a/crates/simulation/src/invariants/operations.rs
+++ b/crates/simulation/src/invariants/operations.rs
@@ -1,4 +1,4 @@
-//! Operations that operators submit, and what their outcomes promise.
+//! Operations that operators submit, and the checks on their outcomes.
 
 use super::history::ChosenValue;
 use super::{Invariants, Violation};
@@ -7,26 +7,26 @@
 use archlink_messages::{NodeId, Register, VersionDigest, decode_evacuated_zones};
 use bytes::Bytes;
 
-/// What an operator submits.
+/// An operation that an operator submits.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Operation {
-    /// A configuration takes the place of the present one.
+    /// Replaces the current configuration.
     Configuration {
-        /// Its version, which the operator gave it.
+        /// The version, assigned by the operator.
         version: u64,
         /// The digest of `text`.
         digest: [u8; 16],
         /// The configuration itself.
         text: Bytes,
     },
-    /// The evacuation of a zone begins or ends.
+    /// Begins or ends the evacuation of a zone.
     Evacuation {
         /// Name of the zone.
         zone: String,
-        /// Whether it begins.
+        /// Whether the evacuation begins.
         evacuated: bool,
     },
-    /// The voter set changes.
+    /// Changes the voter set.
     Membership(MembershipChange),
 }
 
@@ -43,28 +43,28 @@
 /// How an operation ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Resolution {
-    /// Simulated time in seconds.
+    /// Simulated time, in seconds, of the outcome.
     pub at: f64,
-    /// The first outcome; a later one is not counted.
+    /// The first outcome reported; later ones are ignored.
     pub outcome: Outcome,
 }
 
-/// An operation from its submission to its outcome.
+/// A submitted operation, with its outcome once it has one.
 #[derive(Clone, Debug)]
 pub struct SubmittedOperation {
     /// The node through which it was submitted.
     pub node: NodeId,
     /// What was submitted.
     pub operation: Operation,
-    /// When, in seconds of simulated time.
+    /// Simulated time, in seconds, of the submission.
     pub at: f64,
     /// How it ended; `None` while it is open.
     pub resolution: Option<Resolution>,
 }
 
 impl Invariants {
-    /// Enters an operation under a token of its own.
-    pub fn submitted(&mut self, now: f64, node: NodeId, token: u64, operation: Operation) {
+    /// Records the submission of an operation under a unique token.
+    pub fn record_submission(&mut self, now: f64, node: NodeId, token: u64, operation: Operation) {
         let submitted = SubmittedOperation { node, operation, at: now, resolution: None };
         self.operations.insert(token, submitted);
     }
@@ -91,7 +91,7 @@
         outcome: Outcome,
         proposer: Option<&Proposer>,
     ) -> Result<(), Violation> {
-        // Tokens that no operation has are the tests' own.
+        // Tests also use tokens of their own, without a recorded operation.
         let Some(submitted) = self.operations.get_mut(&token) else { return Ok(()) };
         submitted.resolution.get_or_insert(Resolution { at: now, outcome });
         let (Outcome::Chosen | Outcome::VersionConflict(_), Some(proposer)) = (outcome, proposer) else {
@@ -130,7 +130,7 @@
         if !is_own_text && outcome == Outcome::Chosen {
             return Err(Violation::AcknowledgedTextReplaced { text: text.clone(), chosen: chosen.cloned() });
         }
-        // A version that was passed over before any configuration took it changes nothing and is acknowledged.
+        // A configuration with a version that was skipped and never taken changes nothing, and is acknowledged.
         let accepted = self.version_digests.get(&version).map(|&digest| VersionDigest { version, digest });
         let expected = match accepted {
             Some(accepted) if accepted.digest != digest => Outcome::VersionConflict(accepted),
@@ -142,7 +142,7 @@
         Ok(())
     }
 
-    /// One of the values that were the latest while the operation was open must have it.
+    /// Checks that one of the values that were current while the operation was open reflects it.
     fn check_evacuation_outcome(
         &self,
         submitted: &SubmittedOperation,
@@ -165,7 +165,7 @@
         Err(Violation::AcknowledgedEvacuationMissing { operation: submitted.operation.clone() })
     }
 
-    /// The newest revision of a configuration that an acknowledgement promises; 0 where there is none.
+    /// The newest configuration revision among the acknowledged operations; 0 where there is none.
     pub fn acknowledged(&self) -> u64 {
         let revision = |submitted: &SubmittedOperation| match (&submitted.operation, submitted.resolution) {
             (Operation::Configuration { version, .. }, Some(Resolution { outcome: Outcome::Chosen, .. })) => {
--- a/crates/simulation/src/invariants/tests.rs
+++ b/crates/simulation/src/invariants/tests.rs
@@ -1,4 +1,4 @@
-//! Each check finds what violates it, and the text names it.
+//! Each check detects its violation, and the violation's text names what was found.
 
 use super::{ChosenValue, Invariants, Operation, RegisterHistory, Violation};
 use archlink_consensus::Outcome;
@@ -11,17 +11,17 @@
     AcceptedValue { proposal, revision, value: Bytes::from(value), recent_versions: Vec::new() }
 }
 
-fn history(values: &[AcceptedValue]) -> RegisterHistory {
+fn recorded_history(values: &[AcceptedValue]) -> RegisterHistory {
     let mut history = RegisterHistory::default();
-    for (moment, value) in values.iter().enumerate() {
-        assert_eq!(history.learned(moment as f64, value), Ok(()));
+    for (time, value) in values.iter().enumerate() {
+        assert_eq!(history.record_learned(time as f64, value), Ok(()));
     }
     history
 }
 
 #[test]
 fn chosen_values_ordered_alike_by_proposal_and_revision_are_no_violation() {
-    let history = history(&[
+    let history = recorded_history(&[
         accepted(5, 3, "c"),
         accepted(1, 1, "a"),
         accepted(3, 2, "b"),
@@ -33,21 +33,22 @@
 
 #[test]
 fn two_values_under_one_proposal_number_are_a_violation() {
-    let violation = history(&[accepted(1, 1, "a")]).learned(9.0, &accepted(1, 1, "b"));
+    let violation = recorded_history(&[accepted(1, 1, "a")]).record_learned(9.0, &accepted(1, 1, "b"));
     assert!(matches!(violation, Err(Violation::ConflictingValues { .. })), "{violation:?}");
 }
 
 #[test]
 fn chosen_values_out_of_order_are_a_violation() {
     for wrong in [accepted(3, 1, "b"), accepted(3, 5, "b"), accepted(3, 2, "b"), accepted(3, 4, "b")] {
-        let violation = history(&[accepted(2, 2, "a"), accepted(4, 4, "c")]).learned(9.0, &wrong);
+        let violation =
+            recorded_history(&[accepted(2, 2, "a"), accepted(4, 4, "c")]).record_learned(9.0, &wrong);
         assert!(matches!(violation, Err(Violation::ValuesOutOfOrder { .. })), "{wrong:?}: {violation:?}");
     }
 }
 
 #[test]
 fn a_value_is_known_before_a_moment_only_if_learned_earlier() {
-    let history = history(&[accepted(1, 1, "a"), accepted(2, 2, "b")]);
+    let history = recorded_history(&[accepted(1, 1, "a"), accepted(2, 2, "b")]);
     let known = |at| history.known_before(at).map(|proposal| proposal.round);
     assert_eq!([known(0.0), known(0.5), known(1.0), known(1.5)], [None, Some(1), Some(1), Some(2)]);
 }
@@ -56,7 +57,7 @@
 fn an_operation_is_open_until_its_first_outcome() {
     let mut invariants = Invariants::default();
     let operation = Operation::Evacuation { zone: "east".into(), evacuated: true };
-    invariants.submitted(1.0, 2, 7, operation);
+    invariants.record_submission(1.0, 2, 7, operation);
     assert!(invariants.is_open(7) && invariants.open_operations(2) == [7]);
     assert_eq!(invariants.check_outcome(2.0, 7, Outcome::Unknown, None), Ok(()));
     assert!(!invariants.is_open(7) && invariants.open_operations(2).is_empty());
--- a/crates/simulation/src/invariants/violation.rs
+++ b/crates/simulation/src/invariants/violation.rs
@@ -1,4 +1,4 @@
-//! What can be violated.
+//! The violations that the checks report.
 
 use super::history::ChosenValue;
 use super::operations::Operation;
@@ -10,7 +10,7 @@
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// A violated invariant, with what was found against it.
+/// A violated invariant, with the observations that violate it.
 #[derive(Clone, Debug, PartialEq)]
 #[expect(missing_docs, reason = "the fields are what the variant's comment and text name")]
 pub enum Violation {
@@ -22,25 +22,25 @@
         before: Option<(u64, Bytes)>,
         after: Option<(u64, Bytes)>,
     },
-    /// A node went back to an earlier epoch.
+    /// A node returned to an earlier epoch.
     EpochDecreased { node: NodeId, epoch: u64 },
     /// Two voter sets have the same epoch.
     ConflictingVoterSets { known: Box<VoterSet>, adopted: Box<VoterSet> },
-    /// A node went back to an earlier chosen value.
+    /// A node returned to an earlier chosen value.
     ProposalDecreased { node: NodeId, chosen: Box<AcceptedValue> },
     /// Two configurations were accepted under one version.
     ConflictingVersions { version: VersionDigest, chosen: Box<AcceptedValue> },
-    /// A node has a value confirmed although a later one was known when it asked.
+    /// A node has a value confirmed although a later one was already known when it requested the confirmation.
     StaleConfirmation { node: NodeId, register: Register, confirmed: ProposalNumber, known: ProposalNumber },
-    /// A configuration was acknowledged and its version is not in the register.
+    /// A configuration was acknowledged, but its version is not in the register.
     AcknowledgedVersionMissing { version: u64, newest_revision: u64 },
-    /// A configuration was acknowledged and another text was chosen under its version.
+    /// A configuration was acknowledged, but another text was chosen under its version.
     AcknowledgedTextReplaced { text: Bytes, chosen: Option<ChosenValue> },
-    /// A configuration's outcome is not what the register's versions say.
+    /// A configuration's outcome contradicts the versions in the register.
     WrongOutcome { text: Bytes, outcome: Outcome, accepted: Option<VersionDigest> },
-    /// An evacuation was acknowledged and no chosen value has it.
+    /// An evacuation was acknowledged, but no chosen value contains it.
     AcknowledgedEvacuationMissing { operation: Operation },
-    /// Several nodes hold the lease of one role.
+    /// Several nodes hold the lease of the same role.
     LeaseHeldTwice { role: SingletonRole, holders: Vec<NodeId> },
     /// After all faults ended, a node did not commit a configuration.
     OperationNotCommitted { token: u64, node: NodeId, outcome: Option<Outcome> },
@@ -50,13 +50,13 @@
     NotLatest { node: NodeId, register: Register, value: Option<Bytes>, latest: Option<ChosenValue> },
     /// After all faults ended, a node's state is not confirmed by a quorum.
     NotConfirmed { node: NodeId, register: Register },
-    /// After all faults ended, a change of the voters is still under way or nodes disagree about it.
+    /// After all faults ended, a membership change is still in progress or nodes disagree on the voters.
     VoterSetsDiffer { node: NodeId, adopted: Box<VoterSet>, other: Box<VoterSet> },
     /// After all faults ended, a voter has not recovered its state.
     VoterNotRecovered { node: NodeId },
-    /// After all faults ended, a role has no holder that all nodes know.
+    /// After all faults ended, a role has no lease holder on which all nodes agree.
     LeaseNotAgreed { role: SingletonRole, holder: Option<NodeId>, agreed: Option<NodeId> },
-    /// The last acknowledged operation on a zone did not last.
+    /// The committed state does not reflect the last acknowledged operation on a zone.
     EvacuationLost { zone: String, evacuated: bool, committed: BTreeSet<String> },
 }
 
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,9 +1,9 @@
-//! Deterministic simulation of control nodes, after FoundationDB's and TigerBeetle's: the protocol code that is deployed
-//! runs on a simulated network with simulated clocks and disks, a [`Scenario`] drawn from a seed befalls it, and after every
-//! step the [`invariants`] are checked.
+//! Deterministic simulation of control nodes, in the manner of FoundationDB and TigerBeetle: the deployed protocol code runs
+//! on a simulated network with simulated clocks and disks, a [`Scenario`] generated from a seed injects faults, and the
+//! [`invariants`] are checked after every step.
 //!
-//! Invariant: nothing here reads a clock, opens a socket or sleeps. The same seed runs the same schedule on every machine.
-//! Nothing of this package is deployed.
+//! Invariant: no code here reads a clock, opens a socket or sleeps, so a seed runs the same schedule on every machine. This
+//! package is not deployed.
 
 pub mod error;
 pub mod fleet;
@@ -12,7 +12,7 @@
 pub mod scenario;
 pub mod shrink;
 
-/// Earlier path of [`invariants`], which the tests of `control-node` still name.
+/// Former path of [`invariants`], still used by the tests of `control-node`.
 pub mod checks {
     pub use crate::invariants::Invariants as Checks;
 }
--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -1,9 +1,9 @@
-//! Runs drawn scenarios against the control plane's protocol code, as many as there is time for, and shrinks those that violate
-//! an invariant.
+//! Runs generated scenarios against the control plane's protocol code for a given time, and shrinks those that violate an
+//! invariant.
 
 mod command_line;
 
-use archlink_simulation::shrink::{run_caught, shrink};
+use archlink_simulation::shrink::{run_catching_panics, shrink};
 use archlink_simulation::{Scenario, SimulationError, Size, Workload};
 use clap::ArgMatches;
 use error_stack::{Report, ResultExt};
@@ -13,40 +13,40 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Violations of different kinds that are shrunk and printed; more of them say no more.
+/// Maximum number of kinds of violations of which one scenario is shrunk and printed; further ones add little information.
 const MAX_SHRUNK: usize = 8;
-/// Letters of a violation's text by which its kind is told.
+/// Number of letters of a violation's text that identify its kind.
 const KIND_LENGTH: usize = 20;
 
-/// Scenarios to run, and for how long.
+/// The scenarios to run, and for how long.
 struct Batch {
     seeds: Range<u64>,
     workload: Workload,
     size: Size,
     jobs: u64,
-    /// No further scenario is begun after this.
+    /// No further scenario starts after this time.
     duration: Duration,
 }
 
-/// Sums over all scenarios that were run, from all threads.
+/// Totals over all scenarios run by all threads.
 #[derive(Default)]
 struct Totals {
     scenarios: AtomicU64,
     simulated_seconds: AtomicU64,
     steps: AtomicU64,
-    /// Seeds and texts of violations.
+    /// Violations, each as the scenario's seed and the text.
     violations: Mutex<Vec<(u64, String)>>,
 }
 
 impl Batch {
-    /// Runs scenarios, one at a time, until no seed or time is left.
-    fn work(&self, next_seed: &AtomicU64, started: Instant, totals: &Totals) {
+    /// Runs scenarios one after the other until no seed or time is left.
+    fn run_scenarios(&self, next_seed: &AtomicU64, started: Instant, totals: &Totals) {
         while started.elapsed() < self.duration {
             let seed = next_seed.fetch_add(1, Ordering::Relaxed);
             if seed >= self.seeds.end {
                 return;
             }
-            let report = run_caught(&Scenario::draw(self.workload, seed, self.size), false);
+            let report = run_catching_panics(&Scenario::generate(self.workload, seed, self.size), false);
             totals.scenarios.fetch_add(1, Ordering::Relaxed);
             totals.simulated_seconds.fetch_add(report.seconds as u64, Ordering::Relaxed);
             totals.steps.fetch_add(report.steps, Ordering::Relaxed);
@@ -61,10 +61,11 @@
     fn print_shrunk(&self, violations: &[(u64, String)]) {
         let mut kinds = BTreeSet::new();
         for (seed, violation) in violations {
-            let kind: String = violation.chars().filter(|c| c.is_alphabetic()).take(KIND_LENGTH).collect();
+            let kind: String =
+                violation.chars().filter(|letter| letter.is_alphabetic()).take(KIND_LENGTH).collect();
             if kinds.len() < MAX_SHRUNK && kinds.insert(kind) {
-                let scenario = shrink(&Scenario::draw(self.workload, *seed, self.size));
-                let violation = run_caught(&scenario, false).violation.unwrap_or_default();
+                let scenario = shrink(&Scenario::generate(self.workload, *seed, self.size));
+                let violation = run_catching_panics(&scenario, false).violation.unwrap_or_default();
                 println!("seed {seed} shrunk: {violation}\n{}", scenario.text());
             }
         }
@@ -76,7 +77,7 @@
     let (next_seed, started, totals) = (AtomicU64::new(batch.seeds.start), Instant::now(), Totals::default());
     std::thread::scope(|scope| {
         for _ in 0..batch.jobs.max(1) {
-            scope.spawn(|| batch.work(&next_seed, started, &totals));
+            scope.spawn(|| batch.run_scenarios(&next_seed, started, &totals));
         }
     });
     let elapsed = started.elapsed().as_secs_f64();
@@ -99,13 +100,13 @@
             let text = std::fs::read_to_string(file).change_context(SimulationError::Scenario);
             Scenario::read(&text.attach_with(|| file.to_string())?).attach_with(|| file.to_string())?
         }
-        None => command_line::drawn_scenario(matches),
+        None => command_line::generated_scenario(matches),
     };
     if matches.get_flag("shrink") {
         scenario = shrink(&scenario);
     }
     print!("{}", scenario.text());
-    let report = run_caught(&scenario, true);
+    let report = run_catching_panics(&scenario, true);
     report.trace.iter().for_each(|line| println!("{line}"));
     match report.violation {
         Some(violation) => Err(Report::new(SimulationError::Violation).attach(violation)),
@@ -114,7 +115,7 @@
 }
 
 fn main() {
-    // Panics of nodes are violations and printed as such.
+    // A panic of a node is reported as a violation, so the default message is not needed.
     std::panic::set_hook(Box::new(|_| {}));
     let matches = command_line::command().get_matches();
     let result = match matches.subcommand() {
--- a/crates/simulation/src/runner/losses.rs
+++ b/crates/simulation/src/runner/losses.rs
@@ -1,4 +1,4 @@
-//! Which machines count as lost, and when one more may be.
+//! Tracks which machines count as lost, and delays a further loss until the fleet tolerates it.
 
 use super::schedule::{Action, AfterShutdown};
 use super::{POLL_INTERVAL, ScenarioRun};
@@ -6,21 +6,21 @@
 use crate::scenario::Loss;
 use archlink_messages::NodeId;
 
-/// Seconds without faults after which a node has recovered from the loss of its disk.
+/// Seconds without faults within which a node recovers from the loss of its disk.
 const DISK_RECOVERY_DURATION: f64 = 8.0;
-/// Seconds after the moment up to which a machine counts as lost.
-const JUST_AFTER: f64 = 1e-3;
+/// Seconds to wait beyond the end of a loss: a machine still counts as lost at that very moment.
+const LOSS_EXPIRY_MARGIN: f64 = 1e-3;
 
 impl ScenarioRun {
-    /// A machine counts as lost for so many seconds, and for `CatchUp` after them.
+    /// Counts a machine as lost for `seconds` and for another `CatchUp` after that.
     pub(super) fn count_as_lost(&mut self, node: NodeId, seconds: f64) {
         let until = self.fleet.now + seconds + self.catch_up;
         let lost_until = self.lost_until.entry(node).or_insert(until);
         *lost_until = lost_until.max(until);
     }
 
-    /// Waits until that machine may be lost on top of those that are, and no longer.
-    fn wait_until_tolerated(&mut self, node: NodeId) {
+    /// Waits until the loss of `node` is tolerated in addition to the present losses, and no longer.
+    fn wait_until_loss_is_tolerated(&mut self, node: NodeId) {
         loop {
             let now = self.fleet.now;
             let other_losses =
@@ -32,11 +32,12 @@
             }
             ends.sort_by(f64::total_cmp);
             let end = ends[ends.len() - tolerated];
-            self.run(end - now + JUST_AFTER);
+            self.run(end - now + LOSS_EXPIRY_MARGIN);
         }
     }
 
-    /// Waits until no machine counts as lost: a rolling restart takes down one after the other.
+    /// Waits until no machine counts as lost, because a rolling restart stops one machine after the other. Doesn't wait where
+    /// automatic replacement of voters is disabled.
     pub(super) fn wait_until_none_lost(&mut self) {
         let until = self.lost_until.values().copied().fold(self.fleet.now, f64::max);
         if self.fleet.catch_up < crate::fleet::CATCH_UP_DISABLED {
@@ -44,8 +45,8 @@
         }
     }
 
-    /// While one machine hands over its place as a voter and another one is lost, no third fault hits all of them: two of
-    /// three voters would be gone within a moment.
+    /// Waits while a departing machine hands over its voter role and another machine is lost. A fault that hits all machines
+    /// at that moment would leave only one of three voters.
     pub(super) fn wait_for_departures(&mut self) {
         let is_any_lost = |run: &ScenarioRun| run.lost_until.values().any(|until| *until > run.fleet.now);
         while !self.is_violated() && self.schedule.actions().any(Action::is_departure) && is_any_lost(self) {
@@ -53,8 +54,8 @@
         }
     }
 
-    /// A machine that was not there before takes the position of another one.
-    fn new_machine_for(&mut self, old: NodeId) -> NodeId {
+    /// Assigns a new machine to the position of `old` and returns it.
+    fn assign_new_machine(&mut self, old: NodeId) -> NodeId {
         self.last_machine += 1;
         let new = self.last_machine;
         self.positions.iter_mut().filter(|machine| **machine == old).for_each(|machine| *machine = new);
@@ -66,31 +67,31 @@
         if planned { self.replace_gracefully(old, gap) } else { self.replace_lost(old, gap) }
     }
 
-    /// The new machine comes first, then the old one shuts down gracefully.
+    /// Adds the new machine first; the old one shuts down gracefully `gap` seconds later.
     fn replace_gracefully(&mut self, old: NodeId, gap: f64) {
-        let new = self.new_machine_for(old);
-        self.wait_until_tolerated(new);
+        let new = self.assign_new_machine(old);
+        self.wait_until_loss_is_tolerated(new);
         self.fleet.join(new);
         self.count_as_lost(new, 0.0);
         self.run(gap);
-        // The new machine has had its time to catch up; the old one counts as lost no more.
-        self.wait_until_tolerated(old);
+        // By now the new machine has had time to catch up, so the old one no longer counts as lost.
+        self.wait_until_loss_is_tolerated(old);
         self.lost_until.remove(&old);
         self.perform(Action::ShutDown { node: old, then: AfterShutdown::Decommission });
     }
 
-    /// The old machine is lost, and the new one comes `gap` seconds later.
+    /// Removes the old machine at once; the new one joins `gap` seconds later.
     fn replace_lost(&mut self, old: NodeId, gap: f64) {
-        self.wait_until_tolerated(old);
+        self.wait_until_loss_is_tolerated(old);
         self.fleet.decommission(old);
         self.lost_until.remove(&old);
-        let new = self.new_machine_for(old);
+        let new = self.assign_new_machine(old);
         self.schedule(gap, Action::Join(new));
         self.count_as_lost(new, gap);
     }
 
     pub(super) fn lose_machine(&mut self, node: NodeId, loss: Loss, seconds: f64) {
-        self.wait_until_tolerated(node);
+        self.wait_until_loss_is_tolerated(node);
         self.count_as_lost(node, seconds);
         match loss {
             Loss::Disk => {
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Loses the machine whose disk has lasted longest; of several the first voter.
+    /// Loses the machine with the oldest disk; among equally old ones the first voter.
     pub(super) fn lose_oldest(&mut self, loss: Loss, seconds: f64) {
         let is_voter =
             |node: &NodeId| self.fleet.live.values().any(|control| control.voter_set().contains(*node));
@@ -118,28 +119,28 @@
         }
     }
 
-    /// A fault lasts for so many seconds from now; recovery from a lost disk begins anew after it.
-    pub(super) fn fault_for(&mut self, seconds: f64) {
+    /// Notes a fault that lasts for `seconds` from now. The time allowed for recovery from a lost disk starts over after it.
+    pub(super) fn extend_fault_period(&mut self, seconds: f64) {
         self.faults_until = self.faults_until.max(self.fleet.now + seconds);
         let until = self.faults_until;
         self.recovering_since.values_mut().for_each(|since| *since = since.max(until));
     }
 
-    /// Loses a disk, unless as many are lost already as the voters tolerate.
+    /// Loses a disk, unless the voters already have as many lost disks as they tolerate.
     pub(super) fn lose_disk(&mut self, node: NodeId, downtime: f64) {
         if !self.tolerates_disk_loss(node) {
             return;
         }
         self.fleet.power_off(node, true);
         self.schedule(downtime, Action::Start(node));
-        self.fault_for(downtime);
+        self.extend_fault_period(downtime);
         self.recovering_since.insert(node, self.faults_until);
     }
 
     fn tolerates_disk_loss(&mut self, node: NodeId) -> bool {
         let now = self.fleet.now;
         self.recovering_since.retain(|_, since| now < *since + DISK_RECOVERY_DURATION);
-        // Before the first change of the voters, or after one that was undone, there are fewer voters than required.
+        // There are fewer voters than required before the first membership change, or after one was undone.
         let voters = self.fleet.live.values().map(|control| control.voter_set().voters.len());
         let fewest_voters = voters.filter(|&voters| voters > 0).min().unwrap_or(0).max(1);
         let tolerated = self.size.tolerated_losses().min((fewest_voters - 1) / 2);
--- a/crates/simulation/src/runner/mod.rs
+++ b/crates/simulation/src/runner/mod.rs
@@ -1,7 +1,7 @@
-//! Runs a scenario: its steps at their times, what ends a step later, then a time without faults in which everything must
-//! recover.
+//! Runs a scenario: each step at its time, the scheduled end of each fault, and finally a period without faults in which the
+//! fleet must recover.
 //!
-//! Invariant: never more disks are lost at once than the fleet is built to tolerate.
+//! Invariant: no more disks are lost at once than the fleet is designed to tolerate.
 
 mod losses;
 mod recovery;
@@ -15,15 +15,16 @@
 use schedule::{Action, AfterShutdown, Schedule};
 use std::collections::BTreeMap;
 
-/// Seconds between the start of all nodes and the first step's delay.
+/// Seconds between the start of all nodes and the delay before the first step.
 const WARM_UP: f64 = 1.0;
-/// Seconds that a graceful shutdown takes at least, as in the program.
+/// Minimum seconds of a graceful shutdown, as in `control-plane`.
 const MIN_SHUTDOWN_DURATION: f64 = 0.5;
-/// Seconds that it takes at most, while another voter takes the place of the one that leaves, as in the program.
+/// Maximum seconds of a graceful shutdown, during which another voter replaces the departing one, as in `control-plane`.
 const MAX_SHUTDOWN_DURATION: f64 = 5.1;
-/// Seconds between two looks whether something that is waited for has happened.
+/// Seconds between two checks of a condition that the runner waits for.
 const POLL_INTERVAL: f64 = 0.05;
-/// Seconds that the caller of an operation waits where a step says nothing else; without faults it is acknowledged within them.
+/// Seconds that the caller of an operation waits unless the step states a timeout. Without faults, an operation is
+/// acknowledged within this time.
 const OPERATION_TIMEOUT: f64 = 2.0;
 
 /// How a scenario ended.
@@ -35,7 +36,7 @@
     pub seconds: f64,
     /// Steps that nodes took.
     pub steps: u64,
-    /// What happened, line by line; empty where it was not asked for.
+    /// Trace of the run, one event per line; empty unless requested.
     pub trace: Vec<String>,
 }
 
@@ -43,25 +44,25 @@
     fleet: Fleet,
     schedule: Schedule,
     size: Size,
-    /// `CatchUp` in seconds, as the operators count it.
+    /// `CatchUp` in seconds by which the runner counts losses, also where the scenario sets another one for the nodes.
     catch_up: f64,
     last_token: u64,
     max_version: u64,
     /// The machine at each position.
     positions: Vec<NodeId>,
     last_machine: NodeId,
-    /// Since when each machine has its disk, in simulated time; from the beginning where there is no entry.
+    /// Simulated time at which each machine got its present disk; no entry means the start of the run.
     disk_since: BTreeMap<NodeId, f64>,
-    /// Until when each machine counts as lost, as the operators count.
+    /// Simulated time until which each machine counts as lost.
     lost_until: BTreeMap<NodeId, f64>,
-    /// Nodes whose disk was lost by [`Step::LoseDisk`](crate::scenario::Step::LoseDisk), and since when no fault delays
-    /// their recovery.
+    /// Nodes whose disk was lost by [`Step::LoseDisk`](crate::scenario::Step::LoseDisk), with the simulated time from which
+    /// no fault delays their recovery.
     recovering_since: BTreeMap<NodeId, f64>,
-    /// When the last fault so far ends.
+    /// Simulated time at which the last fault so far ends.
     faults_until: f64,
 }
 
-/// Runs a scenario; with `trace` the report has what happened, line by line.
+/// Runs a scenario; with `trace` set, the report contains the trace of the run.
 pub fn run_scenario(scenario: &Scenario, trace: bool) -> RunReport {
     let mut run = ScenarioRun::new(scenario, trace);
     run.run(WARM_UP);
@@ -81,8 +82,8 @@
     RunReport { violation: fleet.fault.take(), seconds: fleet.now, steps: fleet.steps, trace }
 }
 
-/// What a machine's clock shows at the beginning: on each machine something else.
-fn initial_reading(node: NodeId) -> f64 {
+/// The initial reading of a machine's clock, different on each machine.
+fn initial_clock_reading(node: NodeId) -> f64 {
     5.0 + 1000.0 * f64::from(node)
 }
 
@@ -95,7 +96,7 @@
         fleet.trace = trace.then(Vec::new);
         for node in fleet.nodes() {
             let rate = scenario.clock_rates.get(node as usize - 1).copied().unwrap_or(1.0);
-            fleet.set_clock(node, rate, initial_reading(node));
+            fleet.set_clock(node, rate, initial_clock_reading(node));
             fleet.set_sync(node, sync_duration(scenario, node));
         }
         for node in fleet.nodes() {
@@ -121,13 +122,14 @@
         self.fleet.fault.is_some()
     }
 
-    /// The machine at a position, counted from 1. Files with positions that the fleet lacks are rejected as they are read.
+    /// The machine at a position, counted from 1. Scenario files that name a position outside the fleet are rejected when
+    /// they are read.
     fn machine_at(&self, position: NodeId) -> NodeId {
         let index = (position as usize).checked_sub(1);
         index.and_then(|index| self.positions.get(index)).copied().unwrap_or(position)
     }
 
-    /// Lets so many seconds of simulated time pass, and performs what comes due.
+    /// Advances simulated time by `seconds` and performs the actions that come due.
     fn run(&mut self, seconds: f64) {
         let until = self.fleet.now + seconds;
         while let Some((at, action)) = self.schedule.pop_due(until) {
@@ -175,8 +177,8 @@
     }
 
     fn finish_shutdown(&mut self, node: NodeId, then: AfterShutdown, deadline: f64) {
-        let may_end = |control: &ControlNodeState| control.may_shut_down(self.fleet.clock(node));
-        let must_wait = self.fleet.live.get(&node).is_some_and(|control| !may_end(control));
+        let may_shut_down = |control: &ControlNodeState| control.may_shut_down(self.fleet.clock(node));
+        let must_wait = self.fleet.live.get(&node).is_some_and(|control| !may_shut_down(control));
         if self.fleet.now < deadline && must_wait {
             return self.schedule(POLL_INTERVAL, Action::FinishShutdown { node, then, deadline });
         }
@@ -186,7 +188,7 @@
         }
     }
 
-    /// Submits a configuration, whose caller gives up after `timeout` seconds; the result is its token.
+    /// Submits a configuration whose caller gives up after `timeout` seconds. Returns the operation's token.
     fn submit_configuration(&mut self, node: NodeId, version: u64, timeout: f64) -> u64 {
         let token = self.next_token();
         self.fleet.replace(node, token, version);
--- a/crates/simulation/src/runner/recovery.rs
+++ b/crates/simulation/src/runner/recovery.rs
@@ -1,5 +1,5 @@
-//! After the last step all faults end, and the fleet has to recover: every node has the latest state, confirmed by a quorum,
-//! all agree on the voters and on who holds which lease, and each commits an operation.
+//! Checks that the fleet recovers once all faults have ended after the last step: every node has the latest state, confirmed
+//! by a quorum; all nodes agree on the voters and on the lease holders; and each node commits an operation.
 
 use super::schedule::Action;
 use super::{OPERATION_TIMEOUT, POLL_INTERVAL, ScenarioRun, sync_duration};
@@ -10,24 +10,24 @@
 use archlink_messages::{NodeId, REGISTERS, Register, SINGLETON_ROLES, decode_evacuated_zones};
 use std::collections::BTreeMap;
 
-/// Seconds after the last fault in which the fleet has to recover.
+/// Seconds after the end of all faults within which the fleet must recover.
 const RECOVERY_DURATION: f64 = 10.0;
-/// Seconds that a change of the voters that is under way by then may take beyond that.
+/// Additional seconds for a membership change that is in progress at that point.
 const MEMBERSHIP_CHANGE_DURATION: f64 = 20.0;
-/// Seconds after the end of that change until all nodes know of it.
+/// Seconds after the end of a membership change within which all nodes must know its result.
 const PROPAGATION_DURATION: f64 = 1.0;
-/// Seconds between two checks meanwhile.
+/// Seconds between two checks while the fleet converges.
 const RECHECK_INTERVAL: f64 = 0.5;
-/// Seconds by which the last confirmation of a node's state by a quorum may lie back.
+/// Maximum age, in seconds, of the last confirmation of a node's state by a quorum.
 const MAX_CONFIRMATION_AGE: f64 = 1.5;
 
-/// The last operation on a zone.
+/// The last evacuation operation on a zone.
 #[derive(Clone, Copy)]
 struct LastEvacuation {
-    /// When all operations on the zone up to this one had ended.
+    /// Simulated time by which this operation and all earlier ones on the zone had ended.
     ended: f64,
-    /// Whether it was acknowledged and no earlier one was still open: of operations that overlap, or whose outcome is
-    /// unknown, either may be the last one.
+    /// Whether the operation was acknowledged and no earlier one was still open when it was submitted. Of overlapping
+    /// operations, or of those with an unknown outcome, either may have been applied last.
     is_certain: bool,
     evacuated: bool,
 }
@@ -38,14 +38,14 @@
         self.finish_replacements();
         self.end_faults(scenario);
         self.run(RECOVERY_DURATION);
-        self.check_convergence();
+        self.wait_for_convergence();
         for node in self.positions.clone() {
             self.check_commit(node);
         }
-        self.check_convergence();
+        self.wait_for_convergence();
     }
 
-    /// A machine that goes for good does so gracefully, and its successor comes.
+    /// Lets machine replacements in progress finish: the departing machine shuts down gracefully and its successor joins.
     fn finish_replacements(&mut self) {
         let is_pending = |action: &Action| matches!(action, Action::Join(_)) || action.is_departure();
         while !self.is_violated() && self.schedule.actions().any(is_pending) {
@@ -53,7 +53,8 @@
         }
     }
 
-    /// Nodes that are on their way down go down, then all that are down start. Only callers still give up later.
+    /// Kills the nodes that are shutting down or about to crash, heals the network, and starts all nodes. Of the scheduled
+    /// actions only the timeouts of callers remain.
     fn end_faults(&mut self, scenario: &Scenario) {
         for action in self.schedule.actions() {
             if let Action::Crash { node, .. }
@@ -71,7 +72,7 @@
         }
     }
 
-    /// A node commits a configuration.
+    /// Checks that a node commits a configuration.
     fn check_commit(&mut self, node: NodeId) {
         self.max_version += 1;
         let token = self.submit_configuration(node, self.max_version, OPERATION_TIMEOUT);
@@ -82,13 +83,13 @@
         }
     }
 
-    /// The fleet has converged, or does so once a change of the voters that is under way has ended.
-    fn check_convergence(&mut self) {
+    /// Checks that the fleet has converged, or does so soon after a membership change in progress has ended.
+    fn wait_for_convergence(&mut self) {
         let deadline = self.fleet.now + MEMBERSHIP_CHANGE_DURATION;
         let mut propagated_by = self.fleet.now + PROPAGATION_DURATION;
         let is_changing = |control: &ControlNodeState| control.voter_set().is_joint();
         while !self.is_violated() {
-            let checked = self.convergence();
+            let checked = self.check_convergence();
             let now = self.fleet.now;
             if self.fleet.live.values().any(is_changing) {
                 propagated_by = now + PROPAGATION_DURATION;
@@ -103,7 +104,8 @@
         }
     }
 
-    fn convergence(&self) -> Result<(), Violation> {
+    /// Checks that all nodes agree on state, voters and lease holders, and that no acknowledged evacuation is lost.
+    fn check_convergence(&self) -> Result<(), Violation> {
         for (node, control) in &self.fleet.live {
             self.check_state(*node, control)?;
             self.check_voter_set(*node, control)?;
@@ -117,7 +119,7 @@
         self.check_evacuations()
     }
 
-    /// A node has the latest value of each register, confirmed by a quorum.
+    /// Checks that a node has the latest value of each register and that a quorum has confirmed it lately.
     fn check_state(&self, node: NodeId, control: &ControlNodeState) -> Result<(), Violation> {
         let acknowledged = self.fleet.checks.acknowledged();
         let revision =
@@ -140,7 +142,7 @@
         Ok(())
     }
 
-    /// No change of the voters is under way, all agree on them, and those that vote have recovered.
+    /// Checks that no membership change is in progress, all nodes agree on the voters, and each voter has recovered.
     fn check_voter_set(&self, node: NodeId, control: &ControlNodeState) -> Result<(), Violation> {
         let adopted = control.voter_set();
         let first = self.fleet.live.values().next().map(ControlNodeState::voter_set);
@@ -154,7 +156,7 @@
         Ok(())
     }
 
-    /// The last operation on each zone is what is committed, where it is certain which one that is.
+    /// Checks that the committed state reflects the last operation on each zone, where it is certain which one was last.
     fn check_evacuations(&self) -> Result<(), Violation> {
         let history = self.fleet.checks.lines.get(&Register::Evacuations);
         let latest = history.and_then(|history| history.latest());
@@ -168,7 +170,7 @@
         Ok(())
     }
 
-    /// The last operation on each zone that has ended.
+    /// The last finished operation on each zone.
     fn last_evacuations(&self) -> BTreeMap<&str, LastEvacuation> {
         let mut last: BTreeMap<&str, LastEvacuation> = BTreeMap::new();
         for submitted in self.fleet.checks.operations.values() {
--- a/crates/simulation/src/runner/schedule.rs
+++ b/crates/simulation/src/runner/schedule.rs
@@ -1,18 +1,18 @@
-//! What is still to come of earlier steps.
+//! Actions that earlier steps scheduled for later.
 
 use crate::fleet::network::Net;
 use archlink_messages::NodeId;
 
-/// Something that the runner does at a moment of simulated time.
+/// An action that the runner performs at a given simulated time.
 #[derive(Clone, Debug)]
 pub(super) enum Action {
     Start(NodeId),
-    /// A process is told to shut down gracefully.
+    /// Begins the graceful shutdown of a process.
     ShutDown {
         node: NodeId,
         then: AfterShutdown,
     },
-    /// It ends once it may, and at `deadline` (simulated time in seconds) in any case.
+    /// Ends the process once its shutdown may finish, and at `deadline` (simulated time in seconds) in any case.
     FinishShutdown {
         node: NodeId,
         then: AfterShutdown,
@@ -33,36 +33,35 @@
         seconds: f64,
     },
     SetNetwork(Net),
-    /// Reads at an interval until a moment of simulated time.
+    /// Reads at an interval, until the given simulated time.
     Read {
         node: NodeId,
         interval: f64,
         until: f64,
     },
-    /// The caller of an operation gives up.
+    /// The caller of an operation gives up waiting.
     Withdraw {
         node: NodeId,
         token: u64,
     },
-    /// The second of two configurations under one version.
+    /// Submits the second of two configurations under one version.
     SubmitConflict {
         node: NodeId,
         version: u64,
     },
 }
 
-/// What becomes of a machine whose process has shut down gracefully.
+/// What happens to a machine after its process has shut down gracefully.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum AfterShutdown {
-    /// It starts again after so many seconds.
-    Restart {
-        downtime: f64,
-    },
+    /// The process restarts after `downtime` seconds.
+    Restart { downtime: f64 },
+    /// The machine is removed permanently.
     Decommission,
 }
 
 impl Action {
-    /// Whether it is part of a graceful shutdown after which the machine goes for good.
+    /// Whether the action is part of a graceful shutdown that ends with the machine's decommissioning.
     pub(super) fn is_departure(&self) -> bool {
         matches!(
             self,
@@ -78,7 +77,7 @@
     action: Action,
 }
 
-/// Actions by time; those of one moment in the order in which they were scheduled.
+/// Scheduled actions. Those due at the same time are performed in the order in which they were scheduled.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Schedule(Vec<Scheduled>);
 
@@ -87,7 +86,7 @@
         self.0.push(Scheduled { at, action });
     }
 
-    /// The next action that is due by `until`, and when.
+    /// Removes the next action due by `until` and returns it with its time.
     pub(super) fn pop_due(&mut self, until: f64) -> Option<(f64, Action)> {
         let earliest = self.0.iter().enumerate().min_by(|(_, a), (_, b)| a.at.total_cmp(&b.at));
         let (index, _) = earliest.filter(|(_, scheduled)| scheduled.at <= until)?;
--- a/crates/simulation/src/runner/steps.rs
+++ b/crates/simulation/src/runner/steps.rs
@@ -1,4 +1,4 @@
-//! What each step of a scenario does.
+//! Applies the steps of a scenario to the fleet.
 
 use super::schedule::{Action, AfterShutdown};
 use super::{MAX_SHUTDOWN_DURATION, MIN_SHUTDOWN_DURATION, OPERATION_TIMEOUT, ScenarioRun};
@@ -9,7 +9,7 @@
 use archlink_messages::NodeId;
 
 impl ScenarioRun {
-    /// Applies a step, the nodes of which are machines.
+    /// Applies a step whose positions were resolved to machines.
     pub(super) fn apply(&mut self, step: &Step) {
         match *step {
             Step::SubmitConfiguration { node, version_offset, timeout } => {
@@ -55,7 +55,7 @@
         self.submit_configuration(node, version, timeout);
     }
 
-    /// Two configurations under one version.
+    /// Submits two different configurations under one version.
     fn submit_conflict(&mut self, (first, second): (NodeId, NodeId), delay: f64) {
         self.max_version += 1;
         let version = self.max_version;
@@ -81,7 +81,7 @@
 
     fn partition_link(&mut self, from: NodeId, to: NodeId, seconds: f64) {
         self.fleet.cut_for(from, to, seconds);
-        self.fault_for(seconds);
+        self.extend_fault_period(seconds);
     }
 
     pub(super) fn isolate(&mut self, node: NodeId, seconds: f64) {
@@ -89,10 +89,10 @@
             self.fleet.cut_for(node, peer, seconds);
             self.fleet.cut_for(peer, node, seconds);
         }
-        self.fault_for(seconds);
+        self.extend_fault_period(seconds);
     }
 
-    /// Partitions the machines whose position's bit is set from the others.
+    /// Partitions the machines whose positions have their bit set in `side_mask` from the others.
     fn partition(&mut self, side_mask: u8, seconds: f64) {
         let side = |position: usize| side_mask >> position & 1;
         let machines: Vec<(usize, NodeId)> = self.positions.iter().copied().enumerate().collect();
@@ -103,7 +103,7 @@
                 }
             }
         }
-        self.fault_for(seconds);
+        self.extend_fault_period(seconds);
     }
 
     fn flap_link(&mut self, from: NodeId, to: NodeId, period: f64, times: u8) {
@@ -111,36 +111,36 @@
             let failure = Action::PartitionLink { from, to, seconds: period };
             self.schedule(2.0 * period * f64::from(cycle), failure);
         }
-        self.fault_for(2.0 * period * f64::from(times));
+        self.extend_fault_period(2.0 * period * f64::from(times));
     }
 
-    /// Stalls the links from one node to those peers.
+    /// Stalls the links from one node to the given peers.
     fn stall_links(&mut self, from: NodeId, peers: impl Iterator<Item = NodeId>, seconds: f64) {
         for peer in peers {
             self.fleet.stall_link(from, peer, seconds);
         }
-        self.fault_for(seconds);
+        self.extend_fault_period(seconds);
     }
 
     fn degrade_network(&mut self, net: Net, seconds: f64) {
         self.fleet.net = net;
         self.schedule(seconds, Action::SetNetwork(Net::default()));
-        self.fault_for(seconds);
+        self.extend_fault_period(seconds);
     }
 
     pub(super) fn pause(&mut self, node: NodeId, seconds: f64) {
         self.fleet.freeze(node, seconds);
-        self.fault_for(seconds);
+        self.extend_fault_period(seconds);
     }
 
-    /// Stops a node, which starts again `downtime` seconds later.
+    /// Stops a node and restarts it `downtime` seconds later.
     pub(super) fn stop(&mut self, node: NodeId, downtime: f64, stop: impl Fn(&mut Fleet, NodeId, bool)) {
         stop(&mut self.fleet, node, false);
         self.schedule(downtime, Action::Start(node));
-        self.fault_for(downtime);
+        self.extend_fault_period(downtime);
     }
 
-    /// Stops all nodes at once; they start again `downtime` seconds later.
+    /// Stops all nodes at once and restarts them `downtime` seconds later.
     fn stop_all(&mut self, downtime: f64, stop: impl Fn(&mut Fleet, NodeId, bool)) {
         self.wait_for_departures();
         for node in self.positions.clone() {
@@ -148,10 +148,10 @@
             self.schedule(downtime, Action::Start(node));
             self.count_as_lost(node, downtime);
         }
-        self.fault_for(downtime);
+        self.extend_fault_period(downtime);
     }
 
-    /// Each process shuts down gracefully and restarts, one after the other.
+    /// Gracefully shuts down and restarts the processes one after the other.
     fn rolling_restart(&mut self, downtime: f64) {
         self.wait_until_none_lost();
         let per_node = downtime + MIN_SHUTDOWN_DURATION;
@@ -160,18 +160,18 @@
             self.schedule(after, Action::ShutDown { node, then: AfterShutdown::Restart { downtime } });
             self.count_as_lost(node, after + MAX_SHUTDOWN_DURATION + downtime);
         }
-        self.fault_for(self.positions.len() as f64 * per_node + MAX_SHUTDOWN_DURATION);
+        self.extend_fault_period(self.positions.len() as f64 * per_node + MAX_SHUTDOWN_DURATION);
     }
 
     fn slow_disk(&mut self, node: NodeId, sync_duration: f64, seconds: f64) {
         let before = self.fleet.disks.get(&node).map_or(0.0, |disk| disk.sync);
         self.fleet.set_sync(node, sync_duration);
         self.schedule(seconds, Action::SetSyncDuration { node, seconds: before });
-        self.fault_for(seconds);
+        self.extend_fault_period(seconds);
     }
 
     pub(super) fn hang_disk(&mut self, node: NodeId, seconds: f64) {
         self.fleet.hang(node, seconds);
-        self.fault_for(seconds);
+        self.extend_fault_period(seconds);
     }
 }
--- a/crates/simulation/src/scenario/file.rs
+++ b/crates/simulation/src/scenario/file.rs
@@ -1,5 +1,5 @@
-//! Scenarios as text: one JSON object with a step a line. Names and order of fields are those of the first version, so that
-//! the files of earlier builds are read and theirs read ours.
+//! The file format of scenarios: one JSON object, with each step on its own line. Names and order of fields are those of the
+//! first version, so that files are compatible with earlier builds in both directions.
 
 use super::Scenario;
 use crate::SimulationError;
@@ -7,7 +7,7 @@
 use serde::Serialize;
 
 fn json(value: &impl Serialize) -> String {
-    // Every value of a scenario is plain data, which always has a JSON form.
+    // Every value of a scenario is plain data, so serialization never fails.
     serde_json::to_string(value).unwrap_or_default()
 }
 
@@ -16,8 +16,8 @@
     ///
     /// # Errors
     ///
-    /// [`SimulationError::Scenario`] with line and column of what is wrong, or with the step that names a position which a
-    /// fleet of that size lacks.
+    /// [`SimulationError::Scenario`] with the line and column of the syntax error, or with the step that names a position
+    /// outside a fleet of the given size.
     pub fn read(text: &str) -> Result<Scenario, Report<SimulationError>> {
         let scenario: Scenario = serde_json::from_str(text).change_context(SimulationError::Scenario)?;
         scenario.check_positions()?;
@@ -36,7 +36,7 @@
         Ok(())
     }
 
-    /// The text that [`Scenario::read`] reads.
+    /// The scenario as text that [`Scenario::read`] accepts.
     pub fn text(&self) -> String {
         let steps: Vec<String> = self.steps.iter().map(|step| format!("  {}", json(step))).collect();
         format!(
--- a/crates/simulation/src/scenario/draw.rs
+++ b/crates/simulation/src/scenario/generate.rs
@@ -1,23 +1,23 @@
-//! Draws scenarios.
+//! Generates scenarios from seeds.
 //!
-//! Invariant: values are drawn in a fixed order. Whoever changes that order changes what every seed stands for
-//! (`tests/same_schedule.rs` notices).
+//! Invariant: values are drawn in a fixed order. Changing that order changes the scenario of every seed, which
+//! `tests/seed_stability.rs` detects.
 
 use super::{Loss, Scenario, Size, Step, Workload, catch_up_disabled};
 use archlink_messages::NodeId;
 use std::ops::Range;
 
-/// Steps of a drawn scenario: enough for faults to meet, few enough to read.
+/// Number of steps of a scenario: enough for faults to coincide, few enough to read.
 const STEP_COUNT: Range<u64> = 4..28;
-/// Seconds of the longest partition, and of the longest time that a machine is off.
+/// Maximum seconds of a partition, and of a machine's power-off.
 const MAX_OUTAGE: f64 = 60.0;
-/// Clocks run faster or slower by less than this part; real ones by a thousandth of that.
+/// Maximum relative drift of a clock; the drift of real clocks is about a thousandth of it.
 const MAX_CLOCK_DRIFT: f64 = 0.02;
-/// Seconds of the slowest sync where disks are slow.
+/// Maximum seconds of a sync where disks are slow.
 const MAX_SYNC_DURATION: f64 = 0.02;
-/// Seconds that most callers wait.
+/// Seconds that most callers wait for an outcome.
 const CALLER_TIMEOUT: f64 = 2.0;
-/// Durations are rounded to milliseconds: that is enough, and people read them.
+/// Durations are rounded to milliseconds, which is precise enough and easier to read.
 const ROUNDING_PER_SECOND: f64 = 1e3;
 
 struct Generator {
@@ -38,7 +38,7 @@
         min + (max - min) * self.rng.rand_float()
     }
 
-    /// A value that is drawn evenly on a logarithmic scale: as many short ones as long ones.
+    /// A duration drawn uniformly on a logarithmic scale, so that short ones are as likely as long ones.
     fn duration(&mut self, min: f64, max: f64) -> f64 {
         let drawn = min * (max / min).powf(self.rng.rand_float());
         (drawn * ROUNDING_PER_SECOND).round() / ROUNDING_PER_SECOND
@@ -48,7 +48,7 @@
         self.below(u64::from(self.size.nodes())) as NodeId + 1
     }
 
-    /// Two different nodes.
+    /// A pair of different nodes.
     fn pair(&mut self) -> (NodeId, NodeId) {
         let first = self.node();
         let count = self.size.nodes();
@@ -56,7 +56,7 @@
         (first, (first - 1 + distance) % count + 1)
     }
 
-    /// Seconds between two steps: mostly so short that the effects of both overlap.
+    /// Seconds between two steps, mostly so short that their effects overlap.
     fn delay(&mut self) -> f64 {
         match self.below(10) {
             0..4 => self.duration(0.001, 0.1),
@@ -91,7 +91,7 @@
     }
 
     fn partition(&mut self) -> Step {
-        // Neither side is empty.
+        // The range excludes 0 and the mask of all nodes, so neither side is empty.
         let side_mask = 1 + self.below((1 << self.size.nodes()) - 2) as u8;
         Step::Partition { side_mask, seconds: self.duration(0.1, MAX_OUTAGE) }
     }
@@ -178,8 +178,9 @@
 }
 
 impl Scenario {
-    /// The scenario that a seed stands for. Of [`Workload::Any`] those with an even seed replace no voter unasked.
-    pub fn draw(workload: Workload, seed: u64, size: Size) -> Scenario {
+    /// Generates the scenario of a seed. In scenarios of [`Workload::Any`] with an even seed, automatic replacement of voters is
+    /// disabled.
+    pub fn generate(workload: Workload, seed: u64, size: Size) -> Scenario {
         let generator_seed = u128::from(seed) << 8 | size.tolerated_losses() as u128;
         let mut generator = Generator { rng: oorandom::Rand64::new(generator_seed), size };
         let max_drift = if generator.happens(0.5) { MAX_CLOCK_DRIFT } else { 0.0 };
@@ -189,8 +190,8 @@
         let sync_durations = (0..size.nodes()).map(|_| generator.between(0.0, max_sync)).collect();
         let count = STEP_COUNT.start + generator.below(STEP_COUNT.end - STEP_COUNT.start);
         let steps = (0..count).map(|_| (generator.delay(), generator.step(workload))).collect();
-        let replaces_unasked = workload == Workload::Losses || !seed.is_multiple_of(2);
-        let catch_up = if replaces_unasked { size.catch_up() } else { catch_up_disabled() };
+        let replaces_automatically = workload == Workload::Losses || !seed.is_multiple_of(2);
+        let catch_up = if replaces_automatically { size.catch_up() } else { catch_up_disabled() };
         Scenario { seed, size, catch_up, clock_rates, sync_durations, steps }
     }
 }
--- a/crates/simulation/src/scenario/mod.rs
+++ b/crates/simulation/src/scenario/mod.rs
@@ -1,9 +1,10 @@
-//! Scenarios: what befalls a fleet, step by step, drawn from a seed and written as text so that a violation can be kept.
+//! Scenarios: the operations and faults that a fleet undergoes, step by step. They are generated from a seed, and written as
+//! text so that one that violates an invariant can be kept.
 //!
-//! Invariant: a drawn scenario depends on nothing but workload, seed and size.
+//! Invariant: a generated scenario depends only on workload, seed and size.
 
-mod draw;
 mod file;
+mod generate;
 mod step;
 
 pub use step::{Loss, Step};
@@ -11,18 +12,18 @@
 use archlink_messages::NodeId;
 use serde::{Deserialize, Serialize};
 
-/// How many nodes there are, and how many disks may be lost at once.
+/// The number of nodes, and of disks that may be lost at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Size {
-    /// Four nodes, three of which vote; one disk may be lost at a time.
+    /// Four nodes with three voters; one disk may be lost at a time.
     Small,
-    /// Six nodes, five of which vote; two disks may be lost at a time.
+    /// Six nodes with five voters; two disks may be lost at a time.
     #[serde(rename = "Grown", alias = "Large")]
     Large,
 }
 
 impl Size {
-    /// Nodes at the beginning.
+    /// Number of nodes at the start.
     pub fn nodes(self) -> NodeId {
         match self {
             Size::Small => 4,
@@ -30,7 +31,7 @@
         }
     }
 
-    /// Disks that may be lost at once.
+    /// Number of disks that may be lost at once.
     pub fn tolerated_losses(self) -> usize {
         match self {
             Size::Small => 1,
@@ -38,7 +39,7 @@
         }
     }
 
-    /// `CatchUp` in seconds, as the operators' deployments of that size have it.
+    /// `CatchUp` in seconds, as in the operators' deployments of this size.
     pub fn catch_up(self) -> f64 {
         match self {
             Size::Small => 4.0,
@@ -46,18 +47,18 @@
         }
     }
 
-    /// Voters that it takes to tolerate those losses.
+    /// Number of voters required to tolerate those losses.
     pub fn required_voters(self) -> usize {
         2 * self.tolerated_losses() + 1
     }
 }
 
-/// What the steps of a scenario are drawn from.
+/// The kind of steps that a scenario is generated from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Workload {
-    /// All kinds of faults at once, with lost disks within what is tolerated.
+    /// Operations and all kinds of faults, with no more lost disks than tolerated.
     Any,
-    /// Lost machines as the operators define them, each in the very moment from which on it is allowed.
+    /// Lost machines as the operators define them, each at the earliest time at which it is allowed.
     Losses,
 }
 
@@ -65,23 +66,23 @@
     crate::fleet::CATCH_UP_DISABLED
 }
 
-/// A step, and how many seconds it comes after the one before.
+/// The delay after the previous step, in seconds, and the step.
 pub type DelayedStep = (f64, Step);
 
-/// A fleet, and what befalls it. The names in files are those of the first version.
+/// A fleet and the steps that it undergoes. The names in files are those of the first version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Scenario {
-    /// Seed of the fleet's random draws, and of the scenario's own where it was drawn.
+    /// Seed of the fleet's random number generator, and of the scenario itself if it was generated.
     pub seed: u64,
-    /// The fleet's size.
+    /// Size of the fleet.
     pub size: Size,
-    /// `CatchUp` in seconds; where it is left out no voter is replaced unasked.
+    /// `CatchUp` in seconds. If it is omitted, no voter is replaced automatically.
     #[serde(default = "catch_up_disabled")]
     pub catch_up: f64,
-    /// The rate of each machine's clock, from node 1 on; 1 is exact.
+    /// Rate of each machine's clock, starting with node 1; 1 is exact.
     #[serde(rename = "rates", alias = "clock_rates")]
     pub clock_rates: Vec<f64>,
-    /// Seconds that a sync takes on each machine's disk.
+    /// Duration of a sync on each machine's disk, in seconds.
     #[serde(rename = "syncs", alias = "sync_durations")]
     pub sync_durations: Vec<f64>,
     /// The steps in order.
--- a/crates/simulation/src/scenario/step.rs
+++ b/crates/simulation/src/scenario/step.rs
@@ -1,12 +1,12 @@
-//! The steps of a scenario. Each `rename` is the name in files of the first version.
+//! The steps of a scenario. Each `rename` keeps the name that the first version wrote to files.
 
 use archlink_messages::NodeId;
 use serde::{Deserialize, Serialize};
 
-/// What befalls a machine that counts as lost: from the beginning until `CatchUp` after the machine is back.
+/// The fault of a machine that counts as lost, from the fault's start until `CatchUp` after the machine is back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Loss {
-    /// Machine and disk are lost, and it comes back with an empty disk.
+    /// The machine and its disk are lost; it comes back with an empty disk.
     #[serde(rename = "Wipe")]
     Disk,
     /// The machine is powered off.
@@ -18,19 +18,20 @@
     /// The process is paused.
     #[serde(rename = "Freeze")]
     Pause,
-    /// All links from and to it are partitioned.
+    /// All links from and to the machine are partitioned.
     #[serde(rename = "Isolate")]
     Isolation,
-    /// Its disk completes no write.
+    /// The machine's disk completes no write.
     #[serde(rename = "Hang")]
     DiskHang,
 }
 
-/// One step. Nodes are named by position; durations and intervals are in seconds, parts from 0 to 1.
+/// One step. Nodes are named by position; durations and intervals are in seconds, fractions from 0 to 1.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[expect(missing_docs, reason = "the fields are what the variant's comment names")]
 pub enum Step {
-    /// A configuration is submitted, its version so far above the highest submitted before; its caller waits for `timeout`.
+    /// Submits a configuration whose version is `version_offset` above the highest one submitted before; the caller waits for
+    /// `timeout`.
     #[serde(rename = "Chart")]
     SubmitConfiguration {
         node: NodeId,
@@ -39,14 +40,14 @@
         #[serde(rename = "patience")]
         timeout: f64,
     },
-    /// Two configurations are submitted under one version through two nodes, the second after `delay`.
+    /// Submits two configurations under one version through two nodes, the second after `delay`.
     #[serde(rename = "Race")]
     SubmitConflict {
         nodes: (NodeId, NodeId),
         #[serde(rename = "gap")]
         delay: f64,
     },
-    /// The evacuation of a zone begins or ends; its caller waits for `timeout`.
+    /// Begins or ends the evacuation of a zone; the caller waits for `timeout`.
     #[serde(rename = "Zone")]
     SubmitEvacuation {
         node: NodeId,
@@ -56,7 +57,7 @@
         #[serde(rename = "patience")]
         timeout: f64,
     },
-    /// `new` takes the place of the voter `old`.
+    /// Submits a membership change in which `added` replaces the voter `removed`.
     #[serde(rename = "Reseat")]
     ReplaceVoter {
         node: NodeId,
@@ -65,7 +66,7 @@
         #[serde(rename = "new")]
         added: NodeId,
     },
-    /// Confirmed reads through a node at an interval.
+    /// Requests confirmed reads through a node at an interval.
     #[serde(rename = "Reads")]
     Read {
         node: NodeId,
@@ -73,28 +74,28 @@
         interval: f64,
         seconds: f64,
     },
-    /// One direction of a link is partitioned.
+    /// Partitions one direction of a link.
     #[serde(rename = "Cut")]
     PartitionLink { from: NodeId, to: NodeId, seconds: f64 },
-    /// All links from and to one node are partitioned.
+    /// Partitions all links from and to one node.
     Isolate { node: NodeId, seconds: f64 },
-    /// All links between nodes with a bit set and those without are partitioned; bit 0 is the first position's.
+    /// Partitions all links between the nodes whose bit is set and the others; bit 0 belongs to the first position.
     #[serde(rename = "Split")]
     Partition {
         #[serde(rename = "bits")]
         side_mask: u8,
         seconds: f64,
     },
-    /// One direction of a link fails for a period and works for a period, so many times.
+    /// Partitions one direction of a link for a period and restores it for a period, `times` times.
     #[serde(rename = "Flap")]
     FlapLink { from: NodeId, to: NodeId, period: f64, times: u8 },
-    /// Messages in one direction of a link wait and then arrive all at once.
+    /// Stalls one direction of a link: messages wait and then arrive all at once.
     #[serde(rename = "Stall")]
     StallLink { from: NodeId, to: NodeId, seconds: f64 },
-    /// The same on all links from one node.
+    /// Stalls all links from one node.
     #[serde(rename = "Hold")]
     StallOutgoing { node: NodeId, seconds: f64 },
-    /// Messages on all links are lost, duplicated and delayed.
+    /// Loses, duplicates and delays messages on all links.
     #[serde(rename = "Noise")]
     DegradeNetwork {
         #[serde(rename = "lossy")]
@@ -107,49 +108,49 @@
         max_delay: f64,
         seconds: f64,
     },
-    /// A process is paused.
+    /// Pauses a process.
     #[serde(rename = "Freeze")]
     Pause { node: NodeId, seconds: f64 },
-    /// A process crashes and restarts.
+    /// Crashes a process and restarts it.
     #[serde(rename = "Kill")]
     Crash {
         node: NodeId,
         #[serde(rename = "down")]
         downtime: f64,
     },
-    /// A machine is powered off and on again.
+    /// Powers a machine off and on again.
     #[serde(rename = "Power")]
     PowerOff {
         node: NodeId,
         #[serde(rename = "down")]
         downtime: f64,
     },
-    /// Machine and disk are lost, and an empty one comes back; left out where too many are lost already.
+    /// Loses a machine with its disk; it comes back with an empty disk. Skipped if too many disks are lost already.
     #[serde(rename = "Wipe")]
     LoseDisk {
         node: NodeId,
         #[serde(rename = "down")]
         downtime: f64,
     },
-    /// All processes crash and restart.
+    /// Crashes all processes and restarts them.
     #[serde(rename = "KillAll")]
     CrashAll {
         #[serde(rename = "down")]
         downtime: f64,
     },
-    /// All machines are powered off and on again.
+    /// Powers all machines off and on again.
     #[serde(rename = "PowerAll")]
     PowerOffAll {
         #[serde(rename = "down")]
         downtime: f64,
     },
-    /// Each process shuts down gracefully and restarts, one after the other.
+    /// Gracefully shuts down and restarts the processes one after the other.
     #[serde(rename = "Roll")]
     RollingRestart {
         #[serde(rename = "gap")]
         downtime: f64,
     },
-    /// Syncs on one disk take `sync_duration`.
+    /// Slows one disk down: a sync takes `sync_duration`.
     #[serde(rename = "Slow")]
     SlowDisk {
         node: NodeId,
@@ -157,23 +158,23 @@
         sync_duration: f64,
         seconds: f64,
     },
-    /// One disk completes no write.
+    /// Hangs one disk, which completes no write.
     #[serde(rename = "Hang")]
     HangDisk { node: NodeId, seconds: f64 },
-    /// The machine at that position goes for good and an empty one with another address comes after `gap`; where that is
-    /// planned it comes first and the old one shuts down gracefully `gap` later. Waits until the tolerated losses allow it,
-    /// and no longer.
+    /// Permanently replaces the machine at a position by an empty one with another address, which joins `gap` later. A
+    /// `planned` replacement joins first, and the old machine shuts down gracefully `gap` later. Waits until the tolerated
+    /// losses allow it, and no longer.
     #[serde(rename = "Replace")]
     ReplaceMachine { node: NodeId, gap: f64, planned: bool },
-    /// A loss of the machine at that position, at the first moment at which it is allowed.
+    /// Loses the machine at a position, at the earliest time at which the tolerated losses allow it.
     #[serde(rename = "Lose")]
     LoseMachine { node: NodeId, loss: Loss, seconds: f64 },
-    /// The same of the machine whose disk has lasted longest.
+    /// Loses the machine with the oldest disk, at the earliest time at which the tolerated losses allow it.
     LoseOldest { loss: Loss, seconds: f64 },
 }
 
 impl Step {
-    /// The step with each position that it names replaced by the machine at that position.
+    /// The step with each position replaced by the machine at that position.
     pub fn resolve(&self, machine_at: impl Fn(NodeId) -> NodeId) -> Step {
         let mut step = self.clone();
         step.nodes_mut().into_iter().for_each(|node| *node = machine_at(*node));
--- a/crates/simulation/src/shrink.rs
+++ b/crates/simulation/src/shrink.rs
@@ -1,21 +1,21 @@
-//! Makes a scenario that violates an invariant smaller, by delta debugging (Zeller and Hildebrandt, 2002): parts of the steps
-//! are left out, then delays shortened, as long as a violation of the same kind remains.
+//! Shrinks a scenario that violates an invariant by delta debugging (Zeller and Hildebrandt, 2002): removes steps and then
+//! shortens delays, as long as a violation of the same kind remains.
 
 use crate::runner::{RunReport, run_scenario};
 use crate::scenario::Scenario;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// Runs spent on one scenario; a small one takes some milliseconds.
+/// Maximum number of runs to shrink one scenario; a run of a small scenario takes a few milliseconds.
 const MAX_RUNS: u32 = 3000;
-/// Factors by which a delay is shortened, the best first.
+/// Factors by which a delay is shortened, tried in this order: the strongest reduction first.
 const DELAY_FACTORS: [f64; 3] = [0.0, 0.1, 0.5];
 /// Delays are rounded to milliseconds.
 const ROUNDING_PER_SECOND: f64 = 1e3;
-/// Letters of a violation's text by which its kind is told.
+/// Number of letters and spaces of a violation's text that identify its kind.
 const KIND_LENGTH: usize = 24;
 
-/// Runs a scenario; a panic of a node's code is a violation as well.
-pub fn run_caught(scenario: &Scenario, trace: bool) -> RunReport {
+/// Runs a scenario and reports a panic of a node's code as a violation.
+pub fn run_catching_panics(scenario: &Scenario, trace: bool) -> RunReport {
     catch_unwind(AssertUnwindSafe(|| run_scenario(scenario, trace))).unwrap_or_else(|panic| {
         let message = panic.downcast_ref::<String>().cloned();
         let message = message.or(panic.downcast_ref::<&str>().map(|text| text.to_string()));
@@ -24,15 +24,17 @@
     })
 }
 
-/// The kind of a violation: its text without moment and numbers. One kind is not shrunk into another.
+/// The kind of a violation: the beginning of its text without time and numbers. Shrinking never turns a violation into one
+/// of another kind.
 fn kind(violation: &str) -> String {
     let text = violation.split_once(": ").map_or(violation, |(_, text)| text);
-    text.chars().filter(|c| c.is_alphabetic() || *c == ' ').take(KIND_LENGTH).collect()
+    text.chars().filter(|letter| letter.is_alphabetic() || *letter == ' ').take(KIND_LENGTH).collect()
 }
 
-/// The smallest scenario found that ends with a violation of the same kind; the scenario itself where it has none.
+/// Returns the smallest scenario found that ends with a violation of the same kind, or the scenario itself where it violates
+/// no invariant.
 pub fn shrink(scenario: &Scenario) -> Scenario {
-    let Some(violation) = run_caught(scenario, false).violation else { return scenario.clone() };
+    let Some(violation) = run_catching_panics(scenario, false).violation else { return scenario.clone() };
     let mut shrinker = Shrinker { best: scenario.clone(), kind: kind(&violation), runs_left: MAX_RUNS };
     loop {
         let before = shrinker.best.clone();
@@ -52,21 +54,23 @@
 }
 
 impl Shrinker {
-    /// Takes a candidate that still ends with a violation of that kind.
+    /// Accepts a candidate if it still ends with a violation of the same kind. Returns whether it was accepted.
     fn try_candidate(&mut self, candidate: Scenario) -> bool {
         if candidate == self.best {
             return false;
         }
         self.runs_left = self.runs_left.saturating_sub(1);
-        let is_violating = self.runs_left > 0
-            && run_caught(&candidate, false).violation.is_some_and(|violation| kind(&violation) == self.kind);
-        if is_violating {
+        let reproduces = self.runs_left > 0
+            && run_catching_panics(&candidate, false)
+                .violation
+                .is_some_and(|violation| kind(&violation) == self.kind);
+        if reproduces {
             self.best = candidate;
         }
-        is_violating
+        reproduces
     }
 
-    /// Leaves out all steps, then halves, quarters and so on down to single ones.
+    /// Tries to remove all steps, then halves, quarters and so on down to single steps.
     fn remove_steps(&mut self) {
         let mut length = self.best.steps.len().max(1);
         while length > 0 {
@@ -95,7 +99,7 @@
         }
     }
 
-    /// Exact clocks, and syncs that take no time.
+    /// Tries exact clocks, then syncs that take no time.
     fn simplify_machines(&mut self) {
         let mut candidate = self.best.clone();
         candidate.clock_rates.fill(1.0);
--- a/crates/simulation/tests/scenario_files.rs
+++ b/crates/simulation/tests/scenario_files.rs
@@ -1,4 +1,4 @@
-//! Scenario files of earlier versions are read, and what is wrong with a file is named.
+//! Scenario files of earlier versions stay readable, and errors in a file are reported with their place.
 
 use archlink_simulation::Scenario;
 
@@ -11,7 +11,7 @@
     )
 }
 
-/// Every step and loss as the first version wrote it; the text that is written is the same again.
+/// Every step and loss in the form of the first version is read and written back unchanged.
 #[test]
 fn every_step_keeps_its_name_in_files() {
     let steps = [
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_position_that_the_fleet_lacks_is_rejected_with_its_step() {
+fn position_outside_the_fleet_is_rejected_with_its_step() {
     for (position, size) in [(0, "Small"), (5, "Small"), (7, "Grown")] {
         let steps =
             format!(r#"[0.0,{{"KillAll":{{"down":1}}}}],[0.0,{{"Kill":{{"node":{position},"down":1}}}}]"#);
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_file_that_is_no_scenario_is_rejected_with_the_place() {
+fn invalid_scenario_file_is_rejected_with_its_line() {
     let error = Scenario::read(&file("Small", r#"[0.0,{"Sail":{"node":1}}]"#)).expect_err("an unknown step");
     let text = format!("{error:?}");
     assert!(
--- a/crates/simulation/tests/scenarios.rs
+++ b/crates/simulation/tests/scenarios.rs
@@ -1,18 +1,18 @@
-//! A few drawn scenarios of each size, the same every time, and shrunk scenarios that once violated an invariant. For hours of
-//! them: `cargo run --release -p archlink-simulation -- run --seeds 0..1000000 --jobs 8 --size large`.
+//! A few generated scenarios of each size, the same in every run, and shrunk scenarios that once violated an invariant. To run
+//! many more: `cargo run --release -p archlink-simulation -- run --seeds 0..1000000 --jobs 8 --size large`.
 
-use archlink_simulation::shrink::run_caught;
+use archlink_simulation::shrink::run_catching_panics;
 use archlink_simulation::{Scenario, Size, Workload};
 
 #[test]
-fn drawn_scenarios_violate_no_invariant() {
+fn generated_scenarios_violate_no_invariant() {
     std::thread::scope(|scope| {
         for part in 0..4 {
             scope.spawn(move || {
                 for n in 0..5 {
                     let size = if n == 0 { Size::Large } else { Size::Small };
-                    let scenario = Scenario::draw(Workload::Any, part * 100 + n, size);
-                    assert_eq!(run_caught(&scenario, false).violation, None, "{}", scenario.text());
+                    let scenario = Scenario::generate(Workload::Any, part * 100 + n, size);
+                    assert_eq!(run_catching_panics(&scenario, false).violation, None, "{}", scenario.text());
                 }
             });
         }
@@ -20,20 +20,20 @@
 }
 
 /// Guards against a membership change that never completes: a voter lost its disk as the change began, the incoming voter had
-/// lost its disk before, and each waited for the other's state.
+/// lost its disk earlier, and each waited for the other's state.
 #[test]
-fn membership_change_completes_though_a_voter_loses_its_disk_as_it_begins() {
+fn membership_change_completes_if_a_voter_loses_its_disk_at_its_start() {
     let scenario = Scenario::read(
         r#"{"seed": 202735, "size": "Small", "rates": [1.0,1.0,1.0,1.0], "syncs": [0.0,0.0,0.0,0.0], "steps": [
             [0.0,{"Wipe":{"node":4,"down":1.23}}],
             [12.575,{"Wipe":{"node":1,"down":0.055}}],
             [0.0,{"Reseat":{"node":3,"old":3,"new":4}}]]}"#,
     );
-    assert_eq!(run_caught(&scenario.unwrap(), false).violation, None);
+    assert_eq!(run_catching_panics(&scenario.unwrap(), false).violation, None);
 }
 
-/// Guards against two holders of one lease: a state transfer's grants reached a voter late, after it had recovered from the loss
-/// of its disk, and replaced a grant on which the holder still relied.
+/// Guards against two holders of one lease: the lease grants of a delayed state transfer reached a voter after it had recovered
+/// from the loss of its disk, and replaced a grant on which the holder still relied.
 #[test]
 fn delayed_state_transfer_does_not_replace_later_lease_grants() {
     let scenario = Scenario::read(
@@ -55,10 +55,11 @@
               [0.504,{"Chart":{"node":4,"above":0,"patience":2.0}}]
             ]}"#,
     );
-    assert_eq!(run_caught(&scenario.unwrap(), false).violation, None);
+    assert_eq!(run_catching_panics(&scenario.unwrap(), false).violation, None);
 }
 
-/// Guards against a state transfer whose requests become ever rarer: the voter had not recovered long after it could have.
+/// Guards against a state transfer whose requests are repeated at ever longer intervals: the voter recovered long after the
+/// partition had ended.
 #[test]
 fn voter_partitioned_after_disk_loss_recovers_soon_after_the_partition() {
     let scenario = Scenario::read(
@@ -69,12 +70,12 @@
             [4.375,{"Reads":{"node":5,"every":0.005,"seconds":2.247}}],
             [23.468,{"Reseat":{"node":4,"old":4,"new":5}}]]}"#,
     );
-    assert_eq!(run_caught(&scenario.unwrap(), false).violation, None);
+    assert_eq!(run_catching_panics(&scenario.unwrap(), false).violation, None);
 }
 
-/// Losses as the operators define them, each in the very moment from which on it is allowed: replaced machines, the oldest disks,
-/// crashes of all nodes on top. With a `CatchUp` of 1000 s, as if a silent voter were replaced after 300 s, some of the same
-/// scenarios violate an invariant.
+/// Losses as the operators define them, each at the earliest time at which it is allowed: replaced machines, lost oldest disks,
+/// and crashes of all nodes in addition. With a `CatchUp` of 1000 s, as if a silent voter were replaced only after 300 s, some
+/// of the same scenarios violate an invariant.
 #[test]
 fn losses_at_the_tolerated_limit_violate_no_invariant() {
     std::thread::scope(|scope| {
@@ -82,26 +83,26 @@
             scope.spawn(move || {
                 for n in 0..6 {
                     let size = if n == 0 { Size::Large } else { Size::Small };
-                    let scenario = Scenario::draw(Workload::Losses, part * 100 + n, size);
-                    assert_eq!(run_caught(&scenario, false).violation, None, "{}", scenario.text());
+                    let scenario = Scenario::generate(Workload::Losses, part * 100 + n, size);
+                    assert_eq!(run_catching_panics(&scenario, false).violation, None, "{}", scenario.text());
                 }
             });
         }
     });
-    let with_planted_catch_up =
-        |seed| Scenario { catch_up: 1000.0, ..Scenario::draw(Workload::Losses, seed, Size::Small) };
+    let with_excessive_catch_up =
+        |seed| Scenario { catch_up: 1000.0, ..Scenario::generate(Workload::Losses, seed, Size::Small) };
     assert!(
-        (0..4).any(|seed| run_caught(&with_planted_catch_up(seed), false).violation.is_some()),
-        "the planted CatchUp goes undetected"
+        (0..4).any(|seed| run_catching_panics(&with_excessive_catch_up(seed), false).violation.is_some()),
+        "no scenario detects the excessive CatchUp"
     );
 }
 
 fn violation_of(text: &str) -> Option<String> {
-    run_caught(&Scenario::read(text).unwrap(), false).violation
+    run_catching_panics(&Scenario::read(text).unwrap(), false).violation
 }
 
-/// Guards against a node that shuts down while it is still a voter because it hears of no node that could take its place: all
-/// others were off at that moment.
+/// Guards against a departing node that shuts down while it is still a voter because it knows of no node that could replace it:
+/// all other nodes were off at that moment.
 #[test]
 fn departing_voter_without_contact_waits_for_a_replacement() {
     let scenario = r#"{"seed": 436, "size": "Small", "catch_up": 4, "rates": [1.0,1.0,1.0,1.0], "syncs": [0.0,0.0,0.0,0.0], "steps": [
@@ -112,8 +113,8 @@
     assert_eq!(violation_of(scenario), None);
 }
 
-/// Guards against a first membership change that replaces the departing voter and keeps one that is gone, as that one had not
-/// been silent for long yet, and against spare nodes with empty disks whose silence counts anew after a crash of all nodes.
+/// Guards against a first membership change that replaces the departing voter but keeps a lost one, because that one had not yet
+/// been silent for long, and against restarting the silence timers of spare nodes with empty disks after a crash of all nodes.
 #[test]
 fn departing_and_lost_voter_are_replaced_in_one_change_by_spares_with_lost_disks() {
     let scenario = r#"{"seed": 15, "size": "Small", "catch_up": 4, "rates": [1.0,1.0,1.0,1.0], "syncs": [0.0,0.0,0.0,0.0], "steps": [
--- a/crates/simulation/tests/seed_stability.rs
+++ b/crates/simulation/tests/seed_stability.rs
@@ -1,10 +1,10 @@
-//! The same seed draws and runs the same schedule: seeds and files that an earlier build reported must replay what it saw.
-//! The values are those of the build at 20b0510, taken before the package was split and renamed.
+//! A seed always generates and runs the same schedule: seeds and files that an earlier build reported must replay the same run.
+//! The expected values are those of the build at 20b0510, taken before the package was split and renamed.
 
-use archlink_simulation::shrink::run_caught;
+use archlink_simulation::shrink::run_catching_panics;
 use archlink_simulation::{Scenario, Size, Workload};
 
-/// FNV-1a, so that the value depends on nothing but the bytes.
+/// The FNV-1a hash, which depends on nothing but the bytes.
 fn fnv1a(text: &str) -> u64 {
     text.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3)
@@ -12,8 +12,8 @@
 }
 
 #[test]
-fn a_seed_draws_and_runs_the_schedule_that_it_always_did() {
-    for (kind, size, seed, digest, steps, seconds) in [
+fn seed_generates_and_runs_the_same_schedule_as_earlier_builds() {
+    for (workload, size, seed, digest, steps, seconds) in [
         (Workload::Any, Size::Small, 0, 0xc61806f4efdb1aa0, 4515, 0x403ef9999999999a),
         (Workload::Any, Size::Small, 1, 0xfd3a90baa2fc0459, 5159, 0x40401810624dd2f2),
         (Workload::Any, Size::Small, 202735, 0x1941048bd9f69804, 13237, 0x4051e5c28f5c28f6),
@@ -23,18 +23,24 @@
         (Workload::Losses, Size::Small, 5, 0xc0bd76784f213996, 28158, 0x40607ba5e353f7cb),
         (Workload::Losses, Size::Large, 3, 0xe935a38c6033b066, 14351, 0x4045224dd2f1a9fc),
     ] {
-        let scenario = Scenario::draw(kind, seed, size);
-        let report = run_caught(&scenario, false);
+        let scenario = Scenario::generate(workload, seed, size);
+        let report = run_catching_panics(&scenario, false);
         let found = (fnv1a(&scenario.text()), report.steps, report.seconds.to_bits(), report.violation);
-        assert_eq!(found, (digest, steps, seconds, None), "{kind:?} {size:?} {seed}: {}", scenario.text());
+        assert_eq!(
+            found,
+            (digest, steps, seconds, None),
+            "{workload:?} {size:?} {seed}: {}",
+            scenario.text()
+        );
         assert_eq!(Scenario::read(&scenario.text()).map(|read| read.steps).ok(), Some(scenario.steps));
     }
 }
 
-/// With a `CatchUp` of 1000 s some scenarios violate an invariant: at the same moment, after the same number of steps.
+/// With a `CatchUp` of 1000 s some scenarios violate an invariant, at the same time and after the same number of steps as in
+/// earlier builds.
 #[test]
-fn a_planted_violation_is_found_at_the_moment_at_which_it_always_was() {
-    for (seed, steps, seconds, fault) in [
+fn violation_is_found_at_the_same_time_as_in_earlier_builds() {
+    for (seed, steps, seconds, violated_at) in [
         (0, 7963, 0x4047cf9db22d0e57, None),
         (1, 5972, 0x40439a9fbe76c8b6, None),
         (2, 20956, 0x4060876c8b439582, Some("at 124.232")),
@@ -48,9 +54,14 @@
         (10, 27515, 0x40632ed916872b08, Some("at 145.464")),
         (11, 14106, 0x405776b851eb851c, Some("at 85.855")),
     ] {
-        let scenario = Scenario { catch_up: 1000.0, ..Scenario::draw(Workload::Losses, seed, Size::Small) };
-        let report = run_caught(&scenario, false);
-        let moment = report.violation.as_deref().and_then(|text| text.split_once(": ")).map(|(at, _)| at);
-        assert_eq!((report.steps, report.seconds.to_bits(), moment), (steps, seconds, fault), "seed {seed}");
+        let scenario =
+            Scenario { catch_up: 1000.0, ..Scenario::generate(Workload::Losses, seed, Size::Small) };
+        let report = run_catching_panics(&scenario, false);
+        let time = report.violation.as_deref().and_then(|text| text.split_once(": ")).map(|(at, _)| at);
+        assert_eq!(
+            (report.steps, report.seconds.to_bits(), time),
+            (steps, seconds, violated_at),
+            "seed {seed}"
+        );
     }
 }
