--- a/crates/demo/src/configuration.rs
+++ b/crates/demo/src/configuration.rs
@@ -1,9 +1,10 @@
-//! The sample configuration.
+//! The sample configuration of the demo and its tests.
 
 use serde_json::json;
 
-/// A configuration with an idempotent route `/read/` and one that is not, `/submit/`, both to the service `reports`; the tenant
-/// `lab` may send `rate` requests a second and as many at once, the tenant `free` has rate 0, which is no limit.
+/// A configuration with an idempotent route, `/read/`, and a non-idempotent one, `/submit/`, both to the service `reports`. The
+/// tenant `lab` may send `rate` requests per second in bursts of the same size; the tenant `free` has rate 0, which means no
+/// limit.
 pub fn configuration(version: u64, rate: u32) -> String {
     json!({
         "ConfigVersion": format!("{version:08x}"),
--- a/crates/demo/src/error.rs
+++ b/crates/demo/src/error.rs
@@ -1,41 +1,41 @@
-//! Why the demo fails.
+//! The errors of the demo.
 
 use std::fmt;
 
-/// Why the system did not start, or did not do what was waited for.
+/// Why the system did not start or an expected condition was not met.
 #[derive(Debug)]
 pub enum DemoError {
     /// A stand-in cannot listen on loopback.
     Listen {
-        /// Which stand-in.
+        /// The stand-in that can't listen.
         stand_in: String,
-        /// What the operating system says.
+        /// The error of the operating system.
         source: std::io::Error,
     },
     /// A node's settings were rejected.
     Settings {
         /// Name of the node.
         node: String,
-        /// The report of `archlink_config`.
+        /// The error report of `archlink_config`.
         report: String,
     },
-    /// A node's thread has no runtime.
+    /// A node's async runtime could not be started.
     Runtime {
         /// Name of the node.
         node: String,
-        /// What the operating system says.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// A node ended by itself.
+    /// A node ended with an error.
     Node {
         /// Name of the node.
         node: String,
-        /// The node's report.
+        /// The node's error report.
         report: String,
     },
-    /// What was waited for did not happen in time.
+    /// A condition was not met in time.
     Timeout {
-        /// What was waited for.
+        /// The condition.
         condition: String,
     },
     /// A data node closed the connection without a response.
@@ -51,10 +51,10 @@
             DemoError::Listen { stand_in, source } => {
                 write!(f, "{stand_in} can't listen on loopback: {source}")
             }
-            DemoError::Settings { node, report } => write!(f, "settings of {node}: {report}"),
-            DemoError::Runtime { node, source } => write!(f, "{node} has no runtime: {source}"),
-            DemoError::Node { node, report } => write!(f, "{node} ended: {report}"),
-            DemoError::Timeout { condition } => write!(f, "not in time: {condition}"),
+            DemoError::Settings { node, report } => write!(f, "settings of {node} were rejected: {report}"),
+            DemoError::Runtime { node, source } => write!(f, "{node} can't start its runtime: {source}"),
+            DemoError::Node { node, report } => write!(f, "{node} failed: {report}"),
+            DemoError::Timeout { condition } => write!(f, "timed out while waiting until {condition}"),
             DemoError::NoResponse { data_node } => write!(f, "no response from data node {data_node}"),
         }
     }
--- a/crates/demo/src/host.rs
+++ b/crates/demo/src/host.rs
@@ -1,4 +1,4 @@
-//! Stand-in hosts: each has one instance, which executes requests that name it.
+//! Stand-in hosts. Each host has one instance, which executes the requests addressed to it.
 
 use crate::http::HttpMessage;
 use crate::{DemoError, lock};
@@ -7,42 +7,42 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-/// What a host does with a request.
+/// How a host handles requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostBehavior {
-    /// Executes it and responds with 200.
+    /// Executes the request and responds with 200.
     Succeeds,
-    /// Executes it and closes the connection without a response.
+    /// Executes the request and closes the connection without a response.
     DropsConnection,
-    /// Rejects it with 503, and says that it was not executed.
+    /// Rejects the request with 503 and a header which says that it was not executed.
     Overloaded,
 }
 
 /// A request as a host received it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedRequest {
-    /// Its request line.
+    /// The request line.
     pub request_line: String,
-    /// The header that was asked for; empty where there is none.
+    /// Value of the header that was asked for; empty if the request has none.
     pub header: String,
 }
 
-/// What the host's threads share with its owner.
+/// State shared between the host's threads and its owner.
 struct Shared {
     instance: String,
     behavior: Mutex<HostBehavior>,
     executed: Mutex<Vec<HttpMessage>>,
 }
 
-/// A host on a loopback address.
+/// A stand-in host on a loopback address.
 pub struct Host {
-    /// Instance ID.
+    /// ID of its instance.
     pub id: String,
     /// Name of its service.
     pub service: String,
     /// Name of its zone.
     pub zone: String,
-    /// Where it listens.
+    /// Address at which it listens.
     pub address: SocketAddr,
     /// Whether the platform lists it as draining.
     pub draining: bool,
@@ -76,17 +76,17 @@
         })
     }
 
-    /// From here on requests are met with that behavior.
+    /// Sets the behavior for further requests.
     pub fn set_behavior(&self, behavior: HostBehavior) {
         *lock(&self.shared.behavior) = behavior;
     }
 
-    /// Attempt IDs of the requests that it executed, in order.
+    /// Attempt IDs of the executed requests, in order.
     pub fn executed(&self) -> Vec<String> {
         lock(&self.shared.executed).iter().map(|request| request.header("attempt-id").to_string()).collect()
     }
 
-    /// The last request that it executed, with one of its headers.
+    /// The last executed request, with one of its headers.
     pub fn last_executed(&self, header: &str) -> Option<ReceivedRequest> {
         lock(&self.shared.executed).last().map(|request| ReceivedRequest {
             request_line: request.start_line.clone(),
@@ -98,9 +98,9 @@
 impl Shared {
     /// Serves one connection until it ends.
     fn serve(&self, stream: TcpStream) -> Option<()> {
-        let mut to = stream.try_clone().ok()?;
-        let mut from = BufReader::new(stream);
-        while let Some(request) = HttpMessage::read(&mut from) {
+        let mut writer = stream.try_clone().ok()?;
+        let mut reader = BufReader::new(stream);
+        while let Some(request) = HttpMessage::read(&mut reader) {
             let behavior = *lock(&self.behavior);
             let response = self.response(&request, behavior);
             if request.header("target-instance") == self.instance && behavior != HostBehavior::Overloaded {
@@ -109,7 +109,7 @@
             if behavior == HostBehavior::DropsConnection {
                 return None;
             }
-            to.write_all(response.as_bytes()).ok()?;
+            writer.write_all(response.as_bytes()).ok()?;
         }
         Some(())
     }
--- a/crates/demo/src/lib.rs
+++ b/crates/demo/src/lib.rs
@@ -1,7 +1,7 @@
-//! The complete system in one process, on loopback addresses: control nodes and data nodes on threads of their own, and
-//! stand-ins for the platform and for hosts, written from the public protocol alone.
+//! The complete system in one process on loopback addresses: control nodes and data nodes on separate threads, and stand-ins
+//! for the platform and the hosts, which implement only the public protocol.
 //!
-//! Invariant: nothing reaches into a node; what is observed is observed on sockets.
+//! Invariant: no code accesses the internals of a node; everything is observed on sockets.
 
 mod configuration;
 mod error;
@@ -19,7 +19,7 @@
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Locks, also after a thread panicked: each critical section leaves the data consistent.
+/// Locks a mutex, even a poisoned one: each critical section leaves the data consistent.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/demo/src/node_thread.rs
+++ b/crates/demo/src/node_thread.rs
@@ -1,11 +1,11 @@
-//! A node on a thread of its own, with a runtime of its own, as in a process of its own.
+//! Runs a node on a separate thread with its own runtime, as in a separate process.
 
 use crate::DemoError;
 use std::thread::{self, JoinHandle};
 use tokio::runtime::LocalOptions;
 use tokio::sync::oneshot;
 
-/// A running node.
+/// A node running on its own thread.
 pub(crate) struct NodeThread {
     /// Dropped to stop the node.
     stop: Option<oneshot::Sender<()>>,
@@ -13,8 +13,8 @@
 }
 
 impl NodeThread {
-    /// Starts a node. `serve` is called on the thread, with what resolves once the node is to stop; an error that it ends with
-    /// is printed.
+    /// Starts a node. `serve` is called on the new thread with a receiver that resolves when the node is to stop. If it returns
+    /// an error, the error is printed.
     pub(crate) fn start<F: Future<Output = Result<(), DemoError>>>(
         node: String,
         serve: impl FnOnce(oneshot::Receiver<()>) -> F + Send + 'static,
@@ -33,16 +33,16 @@
         NodeThread { stop: Some(stop), thread: Some(thread) }
     }
 
-    /// Tells the node to stop, and doesn't wait.
+    /// Tells the node to stop without waiting for it.
     pub(crate) fn begin_stop(&mut self) {
         self.stop.take();
     }
 
-    /// Tells the node to stop and waits until it has.
+    /// Tells the node to stop and waits until it has stopped.
     pub(crate) fn stop(&mut self) {
         self.begin_stop();
         if let Some(thread) = self.thread.take() {
-            // A panic was printed by the thread itself.
+            // The panic hook has already printed a panic of the thread.
             thread.join().ok();
         }
     }
--- a/crates/demo/src/platform.rs
+++ b/crates/demo/src/platform.rs
@@ -1,4 +1,4 @@
-//! The stand-in for the platform: it lists the hosts.
+//! The stand-in for the platform, which lists the hosts.
 
 use crate::http::HttpMessage;
 use crate::{DemoError, Host, lock};
@@ -8,9 +8,9 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::thread;
 
-/// The platform on a loopback address, and its hosts.
+/// The stand-in platform on a loopback address, with its hosts.
 pub struct Platform {
-    /// Where it listens.
+    /// Address at which it listens.
     pub address: SocketAddr,
     hosts: Arc<Mutex<Vec<Host>>>,
 }
@@ -21,26 +21,26 @@
         let listener = TcpListener::bind("127.0.0.1:0").map_err(listen_error)?;
         let address = listener.local_addr().map_err(listen_error)?;
         let hosts: Arc<Mutex<Vec<Host>>> = Arc::default();
-        let listed = hosts.clone();
+        let served_hosts = hosts.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let listed = listed.clone();
-                thread::spawn(move || serve(stream, &listed));
+                let served_hosts = served_hosts.clone();
+                thread::spawn(move || serve(stream, &served_hosts));
             }
         });
         Ok(Platform { address, hosts })
     }
 
-    /// Its hosts, in the order in which they were added.
+    /// The hosts, in the order in which they were added.
     pub fn hosts(&self) -> MutexGuard<'_, Vec<Host>> {
         lock(&self.hosts)
     }
 
-    /// Starts a host and lists it.
+    /// Starts a host and adds it to the list.
     ///
     /// # Errors
     ///
-    /// [`DemoError::Listen`] where there is no port left on loopback.
+    /// [`DemoError::Listen`] if no port is available on loopback.
     pub fn add_host(&self, id: &str, service: &str, zone: &str) -> Result<(), DemoError> {
         let host = Host::start(id, service, zone)?;
         self.hosts().push(host);
@@ -48,13 +48,13 @@
     }
 }
 
-/// Answers each request on a connection with the list of hosts.
+/// Responds to each request on a connection with the list of hosts.
 fn serve(stream: TcpStream, hosts: &Mutex<Vec<Host>>) -> Option<()> {
-    let mut to = stream.try_clone().ok()?;
-    let mut from = BufReader::new(stream);
-    while HttpMessage::read(&mut from).is_some() {
+    let mut writer = stream.try_clone().ok()?;
+    let mut reader = BufReader::new(stream);
+    while HttpMessage::read(&mut reader).is_some() {
         let body = host_list(&lock(hosts)).to_string();
-        write!(to, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).ok()?;
+        write!(writer, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).ok()?;
     }
     Some(())
 }
--- a/crates/demo/src/system.rs
+++ b/crates/demo/src/system.rs
@@ -1,4 +1,4 @@
-//! The system: control nodes and data nodes in two zones, the platform and its hosts.
+//! The complete system: control nodes and data nodes in two zones, the platform and its hosts.
 
 use crate::http::{self, HttpMessage};
 use crate::node_thread::NodeThread;
@@ -10,24 +10,24 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Control nodes: the fewest that tolerate the loss of one.
+/// Number of control nodes: the minimum that tolerates the loss of one.
 const CONTROL_NODES: usize = 3;
-/// Data nodes: the fewest that share a quota.
+/// Number of data nodes: the minimum that shares a quota.
 const DATA_NODES: usize = 2;
-/// Port of a control node's operators' interface.
+/// Port of a control node's operator interface.
 const CONTROL_PORT: u16 = 8200;
-/// Port at which a data node says whether it is ready.
+/// Port at which a data node reports its readiness.
 const READY_PORT: u16 = 8201;
 /// Port at which a data node accepts clients.
 const FRONT_PORT: u16 = 8206;
 /// Port of a control node's directory.
 const DIRECTORY_PORT: u16 = 8209;
-/// Looks at a condition that is waited for, until it counts as not met: 15 s in all, and the time of the looks.
+/// Number of polls before [`DemoSystem::wait_until`] gives up: 15 s in total, plus the duration of the polls themselves.
 const MAX_POLLS: u32 = 1500;
-/// Time between two looks.
+/// Time between two polls.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Which program a node runs.
+/// The kind of a node, which determines the program that it runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NodeKind {
     /// A control node.
@@ -36,20 +36,20 @@
     Data,
 }
 
-/// Whether a control node starts for the first time.
+/// Whether a control node starts for the first time (setting `FirstStart`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FirstStart {
-    /// It does, and an empty folder makes it one of the first voters.
+    /// A first start: with an empty data folder, the node becomes one of the first voters.
     Yes,
-    /// It does not, and goes by what its folder has.
+    /// A restart: the node uses only the state in its data folder.
     No,
 }
 
-/// The system on one loopback network; stopped, and its folder removed, when dropped.
+/// The system on one loopback network. When dropped, it stops all nodes and removes its data folder.
 pub struct DemoSystem {
     /// The platform and the hosts.
     pub platform: Platform,
-    /// Where the control nodes keep their data, each in a folder named for its index.
+    /// Data folder of the control nodes, with one subfolder per node, named by its index.
     pub data_folder: PathBuf,
     network: u8,
     control_nodes: Vec<Option<NodeThread>>,
@@ -57,11 +57,11 @@
 }
 
 impl DemoSystem {
-    /// Starts the system on the loopback network 127.77.`network`; each system needs one of its own.
+    /// Starts the system on the loopback network 127.77.`network`. Each system needs a separate network.
     ///
     /// # Errors
     ///
-    /// [`DemoError::Listen`] or [`DemoError::Settings`]. A node that can't listen says so on standard error.
+    /// [`DemoError::Listen`] or [`DemoError::Settings`]. A node that can't listen prints the error to standard error.
     pub fn start(network: u8) -> Result<DemoSystem, DemoError> {
         let folder_name = format!("archlink-demo-{}-{network}", std::process::id());
         let data_folder = std::env::temp_dir().join(folder_name);
@@ -84,7 +84,7 @@
         Ok(system)
     }
 
-    /// Starts a control node, also after it was stopped: its folder is as it left it.
+    /// Starts a control node, or restarts a stopped one with its data folder unchanged.
     ///
     /// # Errors
     ///
@@ -122,19 +122,19 @@
     }
 
     fn ip(&self, index: usize, kind: NodeKind) -> Ipv4Addr {
-        let first = match kind {
+        let first_octet = match kind {
             NodeKind::Control => 10,
             NodeKind::Data => 20,
         };
-        Ipv4Addr::new(127, 77, self.network, first + index as u8)
+        Ipv4Addr::new(127, 77, self.network, first_octet + index as u8)
     }
 
-    /// Where a control node's operators' interface listens.
+    /// Address of a control node's operator interface.
     pub fn operator_address(&self, index: usize) -> SocketAddr {
         (self.ip(index, NodeKind::Control), CONTROL_PORT).into()
     }
 
-    /// Where a data node accepts clients.
+    /// Address at which a data node accepts clients.
     pub fn front_address(&self, index: usize) -> SocketAddr {
         (self.ip(index, NodeKind::Data), FRONT_PORT).into()
     }
@@ -160,11 +160,12 @@
         })
     }
 
-    /// Waits until a condition is met; each look is a call on a socket.
+    /// Polls a condition until it is met; each poll is a call on a socket. `condition` describes it in the error, as in "until
+    /// the configuration is committed".
     ///
     /// # Errors
     ///
-    /// [`DemoError::Timeout`], some 15 s later.
+    /// [`DemoError::Timeout`] if the condition is not met within about 15 s.
     pub fn wait_until(
         &self,
         condition: &str,
@@ -179,14 +180,14 @@
         Err(DemoError::Timeout { condition: condition.into() })
     }
 
-    /// An operator's call, such as `Configuration.Read`, to a control node.
+    /// Sends an operator's call, such as `Configuration.Read`, to a control node.
     pub fn call_operator(&self, index: usize, method: &str, call: &str, body: &str) -> Option<HttpMessage> {
         let target = format!("/archlink/{call}");
         let headers = [("Content-Type", "application/json")];
         http::send(self.operator_address(index), method, &target, &headers, body)
     }
 
-    /// A client's request to a data node, with its attempt ID and the tenant's key.
+    /// Sends a client's request to a data node, with an attempt ID and the tenant's key.
     pub fn send_request(
         &self,
         index: usize,
@@ -227,7 +228,7 @@
     fn drop(&mut self) {
         let mut nodes: Vec<&mut NodeThread> =
             self.control_nodes.iter_mut().chain(&mut self.data_nodes).flatten().collect();
-        // All are told first, so that none waits for one that is told later.
+        // Tell all nodes to stop before waiting for any, so that they shut down concurrently.
         nodes.iter_mut().for_each(|node| node.begin_stop());
         nodes.iter_mut().for_each(|node| node.stop());
         std::fs::remove_dir_all(&self.data_folder).ok();
--- a/crates/demo/tests/system.rs
+++ b/crates/demo/tests/system.rs
@@ -1,10 +1,12 @@
-//! Both programs against stand-ins, on loopback: what clients, hosts, the platform and operators observe on their sockets.
+//! Tests of both programs against stand-ins on loopback: what clients, hosts, the platform and operators observe on their
+//! sockets.
 
 use archlink_demo::http::{exchange, send};
 use archlink_demo::{DemoSystem, FirstStart, HostBehavior, configuration};
 use std::collections::BTreeSet;
 
-/// A system that serves: a configuration with that rate for the tenant `lab`, and two hosts in two zones.
+/// Starts a system and waits until it serves requests. The tenant `lab` has a quota of `rate` requests per second, and there are
+/// two hosts in two zones.
 fn serving_system(network: u8, rate: u32) -> DemoSystem {
     let system = DemoSystem::start(network).unwrap();
     system.platform.add_host("host-a", "reports", "west").unwrap();
@@ -16,12 +18,12 @@
     };
     system.wait_until("the configuration is committed", is_committed).unwrap();
     for data_node in 0..2 {
-        // With the tenant's key, so that the quota counter answers there as well.
+        // Uses the tenant's key, so that the data node also reaches the quota counter.
         let serves = |system: &DemoSystem| {
             let response = system.send_request(data_node, "GET", "/read/0", "warm", "lab-key");
             response.is_some_and(|response| response.status() == 200)
         };
-        system.wait_until("the data node serves", serves).unwrap();
+        system.wait_until("the data node serves requests", serves).unwrap();
     }
     system
 }
@@ -56,7 +58,7 @@
     );
     assert!(
         hosts.iter().all(|host| host.last_executed("key").is_none_or(|request| request.header.is_empty())),
-        "the key went to a host"
+        "a host received the tenant's key"
     );
     drop(hosts);
     let status =
@@ -68,7 +70,8 @@
 fn request_that_may_have_executed_is_not_retried_and_a_rejected_one_is_not_executed() {
     let system = serving_system(2, 50);
     set_behavior(&system, HostBehavior::DropsConnection);
-    let status = system.send_request(0, "POST", "/submit/x", "lost", "lab-key").map(|m| m.status());
+    let status =
+        system.send_request(0, "POST", "/submit/x", "lost", "lab-key").map(|response| response.status());
     assert_eq!(status, Some(502));
     assert_eq!(executed(&system).iter().filter(|id| *id == "lost").count(), 1);
     set_behavior(&system, HostBehavior::Overloaded);
@@ -81,7 +84,7 @@
     assert!(!executed(&system).contains(&"full".to_string()));
 }
 
-/// What both data nodes accept together stays within the quota's bound, and near it.
+/// The requests accepted by both data nodes together stay within the quota's bound and don't fall far below it.
 #[test]
 fn two_data_nodes_share_one_quota() {
     let system = serving_system(3, 30);
@@ -94,22 +97,22 @@
     let accepted = statuses.iter().filter(|status| **status == 200).count();
     let rejected = statuses.iter().filter(|status| **status == 429).count();
     assert_eq!(accepted + rejected, 400, "{statuses:?}");
-    // All were sent within one window of 5 s, the more so on a quick machine.
+    // All requests are sent within one window of 5 s, particularly on a fast machine.
     let bound = (30.0 * 5.0 + 30.0) * 1.1 + 20.0;
-    // The counter alone accepts 0.72 of the burst at once; local shares begin later.
+    // The counter alone accepts 0.72 of the burst at once; local shares are granted later.
     assert!(accepted as f64 <= bound && accepted >= 15, "{accepted} of at most {bound}");
 }
 
 #[test]
-fn draining_host_gets_no_new_requests_and_an_evacuated_zone_none() {
+fn draining_host_and_evacuated_zone_get_no_new_requests() {
     let system = serving_system(4, 50);
     system.platform.hosts()[0].draining = true;
-    let gets_none = |system: &DemoSystem| {
+    let gets_no_requests = |system: &DemoSystem| {
         let before = system.platform.hosts()[0].executed().len();
         (0..10).for_each(|n| drop(system.send_request(n % 2, "GET", "/read/x", "drain", "free-key")));
         system.platform.hosts()[0].executed().len() == before
     };
-    system.wait_until("the draining host gets no requests", gets_none).unwrap();
+    system.wait_until("the draining host gets no requests", gets_no_requests).unwrap();
     let evacuation = |control_node, call: &str| {
         system.call_operator(control_node, "POST", call, "").map(|response| response.status())
     };
@@ -121,13 +124,13 @@
             response.is_some_and(|response| response.status() == status)
         }
     };
-    system.wait_until("no host is left", responds_with(503, "none")).unwrap();
+    system.wait_until("no host is available", responds_with(503, "none")).unwrap();
     assert_eq!(evacuation(0, "Evacuation.Finish/east"), Some(200));
-    system.wait_until("the zone is back", responds_with(200, "back")).unwrap();
+    system.wait_until("the zone serves requests again", responds_with(200, "back")).unwrap();
 }
 
 #[test]
-fn configuration_survives_a_restart_of_all_control_nodes_and_invalid_or_older_ones_change_nothing() {
+fn configuration_survives_restart_of_all_control_nodes_and_invalid_or_older_ones_change_nothing() {
     let mut system = serving_system(5, 50);
     let read = |system: &DemoSystem, control_node| {
         let response = system.call_operator(control_node, "GET", "Configuration.Read", "");
@@ -145,15 +148,15 @@
     system.wait_until("the configuration is read back", is_read_back).unwrap();
 }
 
-/// Two operators send different configurations under one version to two control nodes at once: one is acknowledged, the other is
-/// answered with the digest of the accepted one, and both get the same answer from every node from then on. Guards against an
-/// acknowledgement of both.
+/// Two operators send different configurations under one version to two control nodes at the same time. One is acknowledged, the
+/// other is rejected with the digest of the accepted one, and every node gives the same answers from then on. Guards against
+/// acknowledging both.
 #[test]
 fn of_two_configurations_under_one_version_one_is_acknowledged_by_all_nodes() {
     let system = serving_system(7, 50);
     let texts = [configuration(2, 60), configuration(2, 70)];
     let replace = |address, text: &str| loop {
-        // A 503 says nothing about the outcome: the same operation sent again does.
+        // After a 503 the outcome is unknown; repeating the operation determines it.
         let response = send(address, "POST", "/archlink/Configuration.Replace", &[], text);
         if let Some(response) = response.filter(|response| response.status() != 503) {
             let answer = serde_json::from_str::<serde_json::Value>(&response.body).unwrap();
@@ -181,7 +184,7 @@
     assert_eq!(accepted.header("config-digest"), first.1["Digest"].as_str().unwrap());
 }
 
-/// Requests hidden in others, repeated headers and false lengths get a 400, and no host receives any of it.
+/// Requests smuggled in others, repeated headers and false lengths get a 400, and no host receives any of them.
 #[test]
 fn smuggled_requests_are_rejected_and_reach_no_host() {
     let system = serving_system(6, 50);
