--- a/crates/migrate/src/error.rs
+++ b/crates/migrate/src/error.rs
@@ -1,70 +1,76 @@
-//! Why there is no counterpart.
+//! The errors of a migration.
 
 use archlink_admission_settings::SettingsError;
 use std::fmt;
 
-/// What stands in the way of a counterpart. Each names the key where there is one.
+/// Why a configuration cannot be migrated. Each error names the key, where there is one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MigrationError {
-    /// The gateway's configuration is no JSON object.
+    /// The gateway's configuration is not a JSON object.
     ConfigurationNotAnObject,
-    /// The shape is no JSON object.
+    /// The shape is not a JSON object.
     ShapeNotAnObject,
-    /// The configuration has no settings.
+    /// The configuration has no `settings` object.
     SettingsMissing,
-    /// The plan's only limit was a cap that is no longer kept.
+    /// The plan's only limit was a cap on concurrent attempts, which is no longer supported.
     PlanWithoutLimit {
-        /// The rate that is missing.
+        /// Path of the missing rate.
         key: String,
     },
-    /// An object in the configuration, something else in the shape.
+    /// A key holds an object in the configuration and something else in the shape.
     ObjectExpected {
-        /// Where.
+        /// Path of the key.
         key: String,
     },
-    /// An entry of a list that is no object.
+    /// An entry of a list is not an object.
     EntryNotAnObject {
-        /// Where.
+        /// Path of the key.
         key: String,
     },
-    /// An entry of a list without a name.
+    /// An entry of a list has no name.
     NameMissing {
-        /// Where.
+        /// Path of the key.
         key: String,
     },
-    /// No gateway would start with the merged settings.
+    /// The merged settings are invalid: no gateway would start with them.
     Settings(SettingsError),
-    /// The gateway's number is none of the new deployment's.
+    /// The gateway's number is out of range for the new deployment.
     GatewayNumber {
-        /// Its number.
+        /// The gateway's number.
         number: u32,
-        /// Gateways of the new deployment.
+        /// Number of gateways of the new deployment.
         gateways: u32,
     },
-    /// The new deployment counts, and the configuration names no counter.
+    /// The new deployment counts requests, but the configuration names no counter.
     CounterMissing,
 }
 
 impl fmt::Display for MigrationError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            MigrationError::ConfigurationNotAnObject => f.write_str("the configuration is no JSON object"),
-            MigrationError::ShapeNotAnObject => f.write_str("the shape is no JSON object"),
-            MigrationError::SettingsMissing => f.write_str("settings: missing or no object"),
+            MigrationError::ConfigurationNotAnObject => f.write_str("the configuration is not a JSON object"),
+            MigrationError::ShapeNotAnObject => f.write_str("the shape is not a JSON object"),
+            MigrationError::SettingsMissing => f.write_str("settings: missing or not an object"),
             MigrationError::PlanWithoutLimit { key } => {
-                write!(f, "{key}: missing; the cap was the plan's only limit: state a rate in the shape")
+                write!(
+                    f,
+                    "{key}: missing; the cap was the plan's only limit, so the shape must give the plan a rate"
+                )
             }
             MigrationError::ObjectExpected { key } => {
-                write!(f, "{key}: an object in the old file, not in the shape")
+                write!(f, "{key}: must be an object in the shape, as in the old configuration")
             }
-            MigrationError::EntryNotAnObject { key } => write!(f, "{key}: no object"),
+            MigrationError::EntryNotAnObject { key } => write!(f, "{key}: not an object"),
             MigrationError::NameMissing { key } => write!(f, "{key}: missing"),
             MigrationError::Settings(error) => write!(f, "settings.{error}"),
             MigrationError::GatewayNumber { number, gateways } => {
-                write!(f, "settings.self-index: {number} is none of the {gateways} gateways of the new shape")
+                write!(
+                    f,
+                    "settings.self-index: {number} is out of range for the {gateways} gateways of the new shape"
+                )
             }
             MigrationError::CounterMissing => {
-                f.write_str("counter: missing, though the new shape counts (settings.domain.may-count)")
+                f.write_str("counter: missing, but required by the new shape (settings.domain.may-count)")
             }
         }
     }
--- a/crates/migrate/src/main.rs
+++ b/crates/migrate/src/main.rs
@@ -1,8 +1,8 @@
-//! `archlink-migrate`: reads a gateway's configuration and the settings of the new shape, writes the counterpart, and
-//! lists what it could not carry over. Never changes the file that it reads, nor writes a file that a gateway would not
-//! start with.
+//! `archlink-migrate` reads a gateway's configuration and the settings of a new shape, writes the migrated configuration, and
+//! lists the keys that it could not carry over. It never changes the configuration that it reads, and never writes one with
+//! which a gateway would not start.
 
-use archlink_migrate::{MigrationError, counterpart};
+use archlink_migrate::{MigrationError, migrate_configuration};
 use serde_json::Value;
 use std::fmt;
 use std::io::{self, Write};
@@ -12,18 +12,19 @@
 const USAGE: &str = "usage: archlink-migrate OLD --shape SHAPE [--write NEW | --dry-run] [--replace]
 
 Reads OLD, a gateway's configuration, and SHAPE, the new deployment's settings object or the part of it that
-differs. Writes the counterpart to NEW, or to standard output where none is named, and lists on standard error
-what it could not carry over. OLD stays as it is.
+differs. Writes the migrated configuration to NEW, or to standard output if NEW is not given, and lists on
+standard error the keys that it could not carry over. Never changes OLD.
 
-  --dry-run   checks and lists, and writes nothing
-  --replace   NEW may exist already
-  --help      this text
+  --dry-run   check and list only, write nothing
+  --replace   overwrite NEW if it exists
+  --help      print this text
 
-Ends with 0 where all was carried over, 2 where something was not (NEW is written all the same), 1 where there is
-no counterpart; nothing is written then.";
+Exit status: 0 if all keys were carried over, 2 if some were not (NEW is written nevertheless), 1 if the migration
+failed and nothing was written.";
 
-/// Exit statuses; 0 where everything was carried over.
-const NO_COUNTERPART: u8 = 1;
+/// Exit status of a failed migration.
+const MIGRATION_FAILED: u8 = 1;
+/// Exit status of a migration that dropped keys.
 const NOT_ALL_CARRIED_OVER: u8 = 2;
 
 /// The command line.
@@ -35,12 +36,12 @@
     replace: bool,
 }
 
-/// Why the command ends without a counterpart.
+/// Why the command failed.
 enum CommandError {
     Read(PathBuf, io::Error),
     Parse(PathBuf, serde_json::Error),
     Migration(PathBuf, MigrationError),
-    /// The file to be written is the one that was read.
+    /// The output file is the configuration that was read.
     SameFile,
     Exists(PathBuf),
     Write(PathBuf, io::Error),
@@ -57,16 +58,18 @@
             CommandError::Parse(path, error) => write!(f, "{}: {error}", path.display()),
             CommandError::Migration(path, error) => write!(f, "{}: {error}", path.display()),
             CommandError::SameFile => {
-                f.write_str("--write: names OLD itself, which is the way back; name another file")
+                f.write_str("--write: names OLD itself, which is needed to roll back; name another file")
+            }
+            CommandError::Exists(path) => {
+                write!(f, "{}: already exists; use --replace to overwrite it", path.display())
             }
-            CommandError::Exists(path) => write!(f, "{}: exists; --replace writes over it", path.display()),
             CommandError::StandardOutput(error) => write!(f, "standard output: {error}"),
             CommandError::Encode(error) => error.fmt(f),
         }
     }
 }
 
-/// The command line; `None` where the usage is asked for.
+/// Parses the command line. Returns `None` if the usage is requested.
 fn arguments() -> Result<Option<Arguments>, lexopt::Error> {
     use lexopt::prelude::*;
     let (mut old, mut shape, mut new, mut dry_run, mut replace) = (None, None, None, false, false);
@@ -88,11 +91,11 @@
 }
 
 fn read_json(path: &Path) -> Result<Value, CommandError> {
-    let text = std::fs::read_to_string(path).map_err(|e| CommandError::Read(path.into(), e))?;
-    serde_json::from_str(&text).map_err(|e| CommandError::Parse(path.into(), e))
+    let text = std::fs::read_to_string(path).map_err(|error| CommandError::Read(path.into(), error))?;
+    serde_json::from_str(&text).map_err(|error| CommandError::Parse(path.into(), error))
 }
 
-/// Writes a file completely or not at all: beside its place, synced, and renamed.
+/// Writes a file atomically: writes a temporary file in the same folder, syncs it, and renames it.
 fn write_file(path: &Path, text: &str, replace: bool) -> Result<(), CommandError> {
     if path.exists() && !replace {
         return Err(CommandError::Exists(path.into()));
@@ -103,9 +106,9 @@
     let written = std::fs::File::create(&temporary)
         .and_then(|mut file| file.write_all(text.as_bytes()).and_then(|()| file.sync_all()))
         .and_then(|()| std::fs::rename(&temporary, path));
-    written.map_err(|e| {
+    written.map_err(|error| {
         std::fs::remove_file(&temporary).ok();
-        CommandError::Write(path.into(), e)
+        CommandError::Write(path.into(), error)
     })
 }
 
@@ -113,24 +116,25 @@
     new.exists() && new.canonicalize().ok() == old.canonicalize().ok()
 }
 
-/// True where everything was carried over.
+/// Runs the migration. Returns whether all keys were carried over.
 fn run(arguments: &Arguments) -> Result<bool, CommandError> {
     let old = read_json(&arguments.old)?;
     let shape = read_json(&arguments.shape)?;
-    let found = counterpart(&old, &shape).map_err(|e| CommandError::Migration(arguments.old.clone(), e))?;
+    let migrated = migrate_configuration(&old, &shape)
+        .map_err(|error| CommandError::Migration(arguments.old.clone(), error))?;
     if arguments.new.as_ref().is_some_and(|new| is_same_file(new, &arguments.old)) {
         return Err(CommandError::SameFile);
     }
-    let text = serde_json::to_string_pretty(&found.file).map_err(CommandError::Encode)? + "\n";
+    let text = serde_json::to_string_pretty(&migrated.configuration).map_err(CommandError::Encode)? + "\n";
     match &arguments.new {
         _ if arguments.dry_run => {}
         Some(new) => write_file(new, &text, arguments.replace)?,
         None => io::stdout().write_all(text.as_bytes()).map_err(CommandError::StandardOutput)?,
     }
-    for dropped in &found.dropped {
+    for dropped in &migrated.dropped {
         eprintln!("not carried over: {}: {}", dropped.key, dropped.reason);
     }
-    Ok(found.dropped.is_empty())
+    Ok(migrated.dropped.is_empty())
 }
 
 fn main() -> ExitCode {
@@ -142,7 +146,7 @@
         }
         Err(error) => {
             eprintln!("archlink-migrate: {error}\n\n{USAGE}");
-            return ExitCode::from(NO_COUNTERPART);
+            return ExitCode::from(MIGRATION_FAILED);
         }
     };
     match run(&arguments) {
@@ -150,7 +154,7 @@
         Ok(false) => ExitCode::from(NOT_ALL_CARRIED_OVER),
         Err(error) => {
             eprintln!("archlink-migrate: {error}");
-            ExitCode::from(NO_COUNTERPART)
+            ExitCode::from(MIGRATION_FAILED)
         }
     }
 }
--- a/crates/migrate/tests/command.rs
+++ b/crates/migrate/tests/command.rs
@@ -1,4 +1,4 @@
-//! The command as an operator runs it, on files of its own; and that the counterpart says what both files said.
+//! Runs the command on temporary files, as an operator does, and checks that the migrated configuration reflects both inputs.
 
 use serde_json::{Value, json};
 use std::path::PathBuf;
@@ -33,46 +33,54 @@
         "limits": {"probes": false, "peers": false, "retry-after": false, "second-copies": false}})
 }
 
-fn migrate(old: &PathBuf, shape: &PathBuf, more: &[&str]) -> Output {
+fn migrate(old: &PathBuf, shape: &PathBuf, options: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_archlink-migrate"));
-    command.arg(old).arg("--shape").arg(shape).args(more).output().unwrap()
+    command.arg(old).arg("--shape").arg(shape).args(options).output().unwrap()
 }
 
 #[test]
-fn a_counterpart_is_written_and_what_is_left_behind_is_listed() {
+fn migrated_configuration_is_written_and_dropped_keys_are_listed() {
     let (old, shape) = (file("old", &old()), file("shape", &shape()));
     let (before, new) = (read(&old), old.with_extension("new"));
     let name = new.to_str().unwrap();
-    let dry = migrate(&old, &shape, &["--write", name, "--dry-run"]);
-    assert!(dry.status.code() == Some(2) && !new.exists() && dry.stdout.is_empty(), "{dry:?}");
-    let done = migrate(&old, &shape, &["--write", name]);
-    let listed = String::from_utf8(done.stderr).unwrap();
-    assert_eq!(listed, String::from_utf8(dry.stderr).unwrap(), "a dry run lists the same");
-    let keys: Vec<&str> = listed.lines().map(|l| l.split(": ").nth(1).expect("a key")).collect();
+    let dry_run = migrate(&old, &shape, &["--write", name, "--dry-run"]);
+    assert!(dry_run.status.code() == Some(2) && !new.exists() && dry_run.stdout.is_empty(), "{dry_run:?}");
+    let output = migrate(&old, &shape, &["--write", name]);
+    let listed = String::from_utf8(output.stderr).unwrap();
+    assert_eq!(listed, String::from_utf8(dry_run.stderr).unwrap(), "a dry run lists the same keys");
+    let keys: Vec<&str> = listed.lines().map(|line| line.split(": ").nth(1).expect("a key")).collect();
     assert_eq!(keys, ["settings.classes.1", "settings.contracts.1.max-out", "known", "mood", "peers"]);
-    let (file, was) = (read(&new), &before["settings"]);
-    assert_eq!(file["listen"], before["listen"]);
-    let look = &file["settings"]["classes"][0];
+    let (migrated, old_settings) = (read(&new), &before["settings"]);
+    assert_eq!(migrated["listen"], before["listen"]);
+    let look = &migrated["settings"]["classes"][0];
     assert_eq!(
         (&look["effect"], &look["deadline-us"]),
-        (&was["classes"][0]["effect"], &was["classes"][0]["deadline-us"])
+        (&old_settings["classes"][0]["effect"], &old_settings["classes"][0]["deadline-us"])
+    );
+    assert_eq!(look["on-time-us"], 2_000_000, "the shape overrides the old value");
+    assert_eq!(migrated["settings"]["limits"]["max-attempts"], old_settings["limits"]["max-attempts"]);
+    let admission = archlink_admission_settings::from_json(&migrated["settings"]).unwrap().admission;
+    assert!(
+        !admission.may_probe
+            && !admission.may_advise
+            && admission.settles
+            && admission.classes[1].late_value == 0.0
+    );
+    assert!(
+        migrate(&old, &shape, &["--write", name]).status.code() == Some(1),
+        "a file is overwritten without --replace"
     );
-    assert_eq!(look["on-time-us"], 2_000_000, "the shape's own figure");
-    assert_eq!(file["settings"]["limits"]["max-attempts"], was["limits"]["max-attempts"]);
-    let told = archlink_admission_settings::from_json(&file["settings"]).unwrap().admission;
-    assert!(!told.may_probe && !told.may_advise && told.settles && told.classes[1].late_value == 0.0);
-    assert!(migrate(&old, &shape, &["--write", name]).status.code() == Some(1), "never over a file unasked");
     assert_eq!(migrate(&old, &shape, &["--write", name, "--replace"]).status.code(), Some(2));
-    let over_itself = migrate(&old, &shape, &["--write", old.to_str().unwrap(), "--replace"]);
-    assert!(over_itself.status.code() == Some(1) && read(&old) == before, "the way back stays");
+    let onto_old = migrate(&old, &shape, &["--write", old.to_str().unwrap(), "--replace"]);
+    assert!(onto_old.status.code() == Some(1) && read(&old) == before, "OLD is overwritten");
 }
 
 #[test]
-fn what_no_gateway_would_start_with_is_refused_by_its_key_and_not_written() {
-    let mut wrong = old();
-    wrong["counter"] = json!(null);
+fn invalid_migrated_configuration_is_rejected_with_its_key_and_not_written() {
+    let mut without_counter = old();
+    without_counter["counter"] = json!(null);
     let cases = [
-        ("counter: ", wrong, shape()),
+        ("counter: ", without_counter, shape()),
         ("settings.self-index: ", old(), json!({"peers-total": 2, "self-index": 2})),
         ("settings.classes.0.late-share: ", old(), json!({"classes": [{"name": "look", "late-share": 2}]})),
         ("settings.classes.0.name: ", old(), json!({"classes": [{"effect": "pure"}]})),
@@ -83,8 +91,8 @@
             json!({"contracts": [{"name": "team"}, {"name": "firm", "rate": 0}]}),
         ),
     ];
-    for (n, (key, old, shape)) in cases.iter().enumerate() {
-        let (old, shape) = (file(&format!("{n}-old"), old), file(&format!("{n}-shape"), shape));
+    for (index, (key, old, shape)) in cases.iter().enumerate() {
+        let (old, shape) = (file(&format!("{index}-old"), old), file(&format!("{index}-shape"), shape));
         let new = old.with_extension("new");
         let output = migrate(&old, &shape, &["--write", new.to_str().unwrap()]);
         let text = String::from_utf8_lossy(&output.stderr).to_string();
@@ -93,13 +101,14 @@
 }
 
 #[test]
-fn the_same_shape_carries_all_but_the_known_hosts_over() {
-    let mut plain: Value = serde_json::from_str(include_str!("../../gateway/examples/gateway.json")).unwrap();
-    plain.as_object_mut().unwrap().remove("known");
-    let (old, shape) = (file("plain", &plain), file("none", &json!({})));
+fn empty_shape_carries_over_a_configuration_without_known_hosts_unchanged() {
+    let mut without_known: Value =
+        serde_json::from_str(include_str!("../../gateway/examples/gateway.json")).unwrap();
+    without_known.as_object_mut().unwrap().remove("known");
+    let (old, shape) = (file("plain", &without_known), file("none", &json!({})));
     let output = migrate(&old, &shape, &[]);
     assert_eq!(
         (output.status.code(), serde_json::from_slice::<Value>(&output.stdout).unwrap()),
-        (Some(0), plain)
+        (Some(0), without_known)
     );
 }
