--- a/crates/control-node/tests/membership/leases.rs
+++ b/crates/control-node/tests/membership/leases.rs
@@ -21,7 +21,7 @@
                 0 | 1 => {
                     let old = voters[usize::from(length) % voters.len()];
                     let change = MembershipChange::Replace { old, new: spare };
-                    fleet.reseat(voters[usize::from(action) % voters.len()], n as u64, change);
+                    fleet.change_membership(voters[usize::from(action) % voters.len()], n as u64, change);
                 }
                 2 => fleet.freeze(holder, f64::from(length) / 64.0),
                 3 => (1..=4).for_each(|node| fleet.cut_for(holder, node, f64::from(length) / 64.0)),
@@ -73,7 +73,7 @@
             grants.filter(|grant| grant.role == role).map(|grant| grant.term).max()
         };
         let before = SINGLETON_ROLES.map(|role| max_term(&fleet, role));
-        fleet.reseat(1, 2, REPLACE);
+        fleet.change_membership(1, 2, REPLACE);
         fleet.run(2.5);
         assert_eq!(fleet.done.get(&2), Some(&Outcome::Chosen), "seed {seed}");
         (1..=4).for_each(|node| fleet.kill(node, false));
--- a/crates/control-node/tests/membership/lost_disk.rs
+++ b/crates/control-node/tests/membership/lost_disk.rs
@@ -16,7 +16,7 @@
         fleet.power_off(1, true);
         fleet.start(1, false);
         if seed % 2 == 1 {
-            fleet.reseat(2, 2, REPLACE);
+            fleet.change_membership(2, 2, REPLACE);
         }
         for n in 0..20 {
             fleet.replace(3, 10 + n, 8 + n);
@@ -38,7 +38,7 @@
         fleet.kill(1, true);
         fleet.start(1, false);
         fleet.run(0.3);
-        fleet.reseat(3, 2, MembershipChange::Replace { old: 2, new: 4 });
+        fleet.change_membership(3, 2, MembershipChange::Replace { old: 2, new: 4 });
         fleet.run(8.0);
         let context = format!("seed {seed}");
         assert_eq!(agreed_voter_set(&fleet, &context).voters, [1, 3, 4], "{context}");
@@ -91,7 +91,7 @@
         fleet.power_off(1, true);
         for _ in 0..3 {
             fleet.start(1, false);
-            fleet.reseat(2, 2 + seed, REPLACE);
+            fleet.change_membership(2, 2 + seed, REPLACE);
             fleet.run(1.0 + 0.1 * seed as f64);
             let is_known = fleet.disks[&1].kept.voter_set.is_known();
             let is_recovered = fleet.live[&1].acceptor.is_recovered();
--- a/crates/control-node/tests/membership/new_generation.rs
+++ b/crates/control-node/tests/membership/new_generation.rs
@@ -31,7 +31,7 @@
         // From here on the loss is no violation; a return of what was lost is.
         fleet.checks = Checks::default();
         let epoch = voter_set(&fleet, 1).epoch;
-        fleet.reseat(1, 3, MembershipChange::ForceNewGeneration { epoch, voters: vec![1, 4] });
+        fleet.change_membership(1, 3, MembershipChange::ForceNewGeneration { epoch, voters: vec![1, 4] });
         fleet.run(2.5);
         assert_eq!(fleet.done.get(&3), Some(&Outcome::Chosen), "{context}");
         fleet.run(3.0);
--- a/crates/control-node/tests/membership/replacement.rs
+++ b/crates/control-node/tests/membership/replacement.rs
@@ -16,7 +16,7 @@
         let mut fleet = started_fleet(seed);
         // Also through the node that is to become a voter.
         let through = [1, 2, 3, 4][seed as usize % 4];
-        fleet.reseat(through, 2, REPLACE);
+        fleet.change_membership(through, 2, REPLACE);
         fleet.run(2.5);
         assert_eq!(fleet.done.get(&2), Some(&Outcome::Chosen), "{context}");
         let voter_set = agreed_voter_set(&fleet, &context);
@@ -24,7 +24,7 @@
         let on_disk = &fleet.disks[&4].kept.slots[&Register::Configuration];
         assert_eq!(on_disk.accepted.as_ref().unwrap().revision, 8);
         // Requested once more it changes nothing.
-        fleet.reseat(2, 3, REPLACE);
+        fleet.change_membership(2, 3, REPLACE);
         assert_eq!(fleet.done.get(&3), Some(&Outcome::Chosen), "{context}");
         fleet.kill(3, true);
         fleet.power_off(1, true);
@@ -39,7 +39,7 @@
     let mut fleet = started_fleet(1);
     let rejected = |fleet: &mut Fleet, node, change, error| {
         let token = FIRST_HELPER_TOKEN + fleet.done.len() as u64;
-        fleet.reseat(node, token, change);
+        fleet.change_membership(node, token, change);
         assert_eq!(fleet.done.get(&token), Some(&Outcome::Rejected(error)));
     };
     let replace = |old, new| MembershipChange::Replace { old, new };
@@ -50,7 +50,7 @@
         |epoch, voters: &[NodeId]| MembershipChange::ForceNewGeneration { epoch, voters: voters.to_vec() };
     rejected(&mut fleet, 1, new_generation(2, &[1]), MembershipError::WrongEpoch);
     rejected(&mut fleet, 1, new_generation(1, &[2]), MembershipError::NotAVoter);
-    fleet.reseat(1, 2, REPLACE);
+    fleet.change_membership(1, 2, REPLACE);
     rejected(&mut fleet, 1, replace(2, 4), MembershipError::ChangeInProgress);
     fleet.run(3.0);
     // Two of three are gone: the one that is left is no quorum together with a new node.
@@ -78,7 +78,7 @@
             }
             let (proposer, lost) = (NodeId::from(who % 3) + 1, NodeId::from(who / 4 % 4) + 1);
             let for_good = how & 2 != 0;
-            fleet.reseat(proposer, 2, REPLACE);
+            fleet.change_membership(proposer, 2, REPLACE);
             fleet.replace(1, 3, 8);
             // The change takes some 1.2 s.
             fleet.run(f64::from(moment % 1500) * 1e-3);
@@ -112,7 +112,7 @@
             let voters = agreed_voter_set(&fleet, &context).voters;
             let spare = (4..=6).find(|node| !voters.contains(node)).expect("a spare node");
             let change = MembershipChange::Replace { old: voters[4], new: spare };
-            fleet.reseat(NodeId::from(who % 6) + 1, 2, change);
+            fleet.change_membership(NodeId::from(who % 6) + 1, 2, change);
             fleet.replace(1, 3, 8);
             fleet.run(f64::from(moment % 1500) * 1e-3);
             let lost = [NodeId::from(who / 6 % 6) + 1, NodeId::from(how / 4 % 6) + 1];
@@ -137,9 +137,9 @@
         let context = format!("seed {seed}");
         let mut fleet = Fleet::of(seed, 3, 5);
         fleet.run(1.5);
-        fleet.reseat(1, 2, REPLACE);
+        fleet.change_membership(1, 2, REPLACE);
         fleet.run(0.003 * (seed % 10) as f64);
-        fleet.reseat(2, 3, MembershipChange::Replace { old: 2, new: 5 });
+        fleet.change_membership(2, 3, MembershipChange::Replace { old: 2, new: 5 });
         fleet.run(6.0);
         let chosen = [2, 3].map(|token| fleet.done.get(&token) == Some(&Outcome::Chosen));
         assert!(chosen[0] || chosen[1], "{context}: {:?}", fleet.done);
@@ -156,7 +156,7 @@
     for seed in 0..5 {
         let context = format!("seed {seed}");
         let mut fleet = started_fleet(seed);
-        fleet.reseat(1, 2, REPLACE);
+        fleet.change_membership(1, 2, REPLACE);
         assert!(run_until(&mut fleet, 1.0, |fleet| voter_set(fleet, 1).is_joint()));
         fleet.kill(4, false);
         fleet.replace(1, 3, 8);
--- a/crates/control-node/tests/membership/returning_nodes.rs
+++ b/crates/control-node/tests/membership/returning_nodes.rs
@@ -28,7 +28,7 @@
         fleet.run(0.1);
     } else {
         fleet.heal();
-        fleet.reseat(1, 3, REPLACE);
+        fleet.change_membership(1, 3, REPLACE);
         let in_new_epoch = |fleet: &Fleet| fleet.live.values().any(|node| node.voter_set().epoch == 3);
         assert!(run_until(&mut fleet, 4.0, in_new_epoch));
     }
@@ -57,11 +57,11 @@
     let mut fleet = Fleet::of(seed, 3, 5);
     fleet.run(1.5);
     fleet.kill(3, false);
-    fleet.reseat(1, 1, REPLACE);
+    fleet.change_membership(1, 1, REPLACE);
     fleet.run(3.0);
     assert_eq!(fleet.done.get(&1), Some(&Outcome::Chosen), "seed {seed}");
     fleet.kill(2, false);
-    fleet.reseat(4, 2, MembershipChange::Replace { old: 2, new: 5 });
+    fleet.change_membership(4, 2, MembershipChange::Replace { old: 2, new: 5 });
     fleet.run(3.0);
     assert_eq!(fleet.done.get(&2), Some(&Outcome::Chosen), "seed {seed}");
     fleet.replace(5, 3, 3);
@@ -118,7 +118,7 @@
         fleet.kill(1, false);
         for n in 0..2 {
             let (token, old, new) = (2 + n as u64, voters[3 + n], spare[n]);
-            fleet.reseat(2, token, MembershipChange::Replace { old, new });
+            fleet.change_membership(2, token, MembershipChange::Replace { old, new });
             fleet.run(3.0);
             assert_eq!(fleet.done.get(&token), Some(&Outcome::Chosen), "{context}");
         }
--- a/crates/simulation/src/fleet/operators.rs
+++ b/crates/simulation/src/fleet/operators.rs
@@ -46,7 +46,7 @@
     }
 
     /// Submits a membership change.
-    pub fn reseat(&mut self, node: NodeId, token: u64, change: MembershipChange) {
+    pub fn change_membership(&mut self, node: NodeId, token: u64, change: MembershipChange) {
         self.submit(node, token, Operation::Membership(change));
     }
 
--- a/crates/simulation/src/runner/steps.rs
+++ b/crates/simulation/src/runner/steps.rs
@@ -71,7 +71,7 @@
 
     fn replace_voter(&mut self, node: NodeId, removed: NodeId, added: NodeId) {
         let token = self.next_token();
-        self.fleet.reseat(node, token, MembershipChange::Replace { old: removed, new: added });
+        self.fleet.change_membership(node, token, MembershipChange::Replace { old: removed, new: added });
     }
 
     fn read(&mut self, node: NodeId, interval: f64, seconds: f64) {
