--- a/crates/control-node/tests/membership/lost_disk.rs
+++ b/crates/control-node/tests/membership/lost_disk.rs
@@ -93,14 +93,14 @@
             fleet.start(1, false);
             fleet.change_membership(2, 2 + seed, REPLACE);
             fleet.run(1.0 + 0.1 * seed as f64);
-            let is_known = fleet.disks[&1].kept.voter_set.is_known();
+            let is_known = fleet.disks[&1].durable.voter_set.is_known();
             let is_recovered = fleet.live[&1].acceptor.is_recovered();
             assert!(!is_known && !is_recovered, "seed {seed}");
             fleet.kill(1, false);
         }
         fleet.start(1, false);
         fleet.run(14.0);
-        let durable = &fleet.disks[&1].kept;
+        let durable = &fleet.disks[&1].durable;
         assert!(durable.voter_set.is_known(), "seed {seed}");
         assert!(durable.slots[&Register::Configuration].accepted.is_some(), "seed {seed}");
     }
--- a/crates/control-node/tests/membership/returning_nodes.rs
+++ b/crates/control-node/tests/membership/returning_nodes.rs
@@ -72,7 +72,7 @@
             fleet.cut(voter, former);
         }
         if forget {
-            fleet.disks.get_mut(&former).unwrap().kept.voter_set = VoterSet::initial(&[1, 2, 3]);
+            fleet.disks.get_mut(&former).unwrap().durable.voter_set = VoterSet::initial(&[1, 2, 3]);
         }
     }
     fleet.strict = !forget;
--- a/crates/simulation/src/fleet/disk.rs
+++ b/crates/simulation/src/fleet/disk.rs
@@ -14,7 +14,7 @@
 
 /// The durable content of a disk.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Kept {
+pub struct DurableState {
     /// Acceptor state by register.
     pub slots: BTreeMap<Register, AcceptorState>,
     /// Lease grants by role.
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Disk {
     /// Its durable content.
-    pub kept: Kept,
+    pub durable: DurableState,
     /// Duration of a sync, in seconds.
     pub sync: f64,
     /// Simulated time, in seconds, before which no write becomes durable.
@@ -51,10 +51,10 @@
     /// Makes a record durable.
     pub(crate) fn apply(&mut self, record: DurableRecord) {
         if let Some(voter_set) = record.voter_set {
-            self.kept.voter_set = voter_set;
+            self.durable.voter_set = voter_set;
         }
-        self.kept.slots.extend(record.acceptors);
-        self.kept.grants.extend(record.grants.into_iter().map(|grant| (grant.role, grant)));
+        self.durable.slots.extend(record.acceptors);
+        self.durable.grants.extend(record.grants.into_iter().map(|grant| (grant.role, grant)));
     }
 }
 
--- a/crates/simulation/src/fleet/lifecycle.rs
+++ b/crates/simulation/src/fleet/lifecycle.rs
@@ -1,7 +1,7 @@
 //! Starts, crashes, pauses, joins and decommissions machines.
 
 use super::Fleet;
-use super::disk::Kept;
+use super::disk::DurableState;
 use super::event_queue::Event;
 use archlink_consensus::Outcome;
 use archlink_control_node::node::{ControlNodeState, InitialState};
@@ -29,10 +29,10 @@
             return self.events.push(disk.hangs_until, Event::Start { node, first_start });
         }
         // As in the deployed program, the seeds become durable before anything else happens.
-        if first_start && !disk.kept.voter_set.is_known() {
-            disk.kept.voter_set = VoterSet::initial(&self.seeds);
+        if first_start && !disk.durable.voter_set.is_known() {
+            disk.durable.voter_set = VoterSet::initial(&self.seeds);
         }
-        let durable = disk.kept.clone();
+        let durable = disk.durable.clone();
         let control = self.recover(node, durable);
         self.trace(|_| {
             let recovered = control.acceptor.is_recovered();
@@ -46,7 +46,7 @@
         self.connect_to_peers(node);
     }
 
-    fn recover(&mut self, node: NodeId, durable: Kept) -> ControlNodeState {
+    fn recover(&mut self, node: NodeId, durable: DurableState) -> ControlNodeState {
         let initial = InitialState {
             identity: control_node(node),
             required_voters: self.required_voters,
@@ -101,7 +101,7 @@
             writing.into_iter().for_each(|write| disk.apply(write.record));
         }
         if wipe {
-            disk.kept = Kept::default();
+            disk.durable = DurableState::default();
         }
         self.trace(|_| format!("node {node} crashes{}", if wipe { " and loses its disk" } else { "" }));
         for token in self.checks.open_operations(node) {
