--- a/crates/control-node/tests/membership/lost_disk.rs
+++ b/crates/control-node/tests/membership/lost_disk.rs
@@ -102,6 +102,6 @@
         fleet.run(14.0);
         let durable = &fleet.disks[&1].durable;
         assert!(durable.voter_set.is_known(), "seed {seed}");
-        assert!(durable.slots[&Register::Configuration].accepted.is_some(), "seed {seed}");
+        assert!(durable.acceptors[&Register::Configuration].accepted.is_some(), "seed {seed}");
     }
 }
--- a/crates/control-node/tests/membership/replacement.rs
+++ b/crates/control-node/tests/membership/replacement.rs
@@ -21,7 +21,7 @@
         assert_eq!(fleet.done.get(&2), Some(&Outcome::Chosen), "{context}");
         let voter_set = agreed_voter_set(&fleet, &context);
         assert_eq!((voter_set.epoch, voter_set.voters), (3, vec![1, 2, 4]), "{context}");
-        let on_disk = &fleet.disks[&4].durable.slots[&Register::Configuration];
+        let on_disk = &fleet.disks[&4].durable.acceptors[&Register::Configuration];
         assert_eq!(on_disk.accepted.as_ref().unwrap().revision, 8);
         // Requested once more it changes nothing.
         fleet.change_membership(2, 3, REPLACE);
--- a/crates/simulation/src/fleet/disk.rs
+++ b/crates/simulation/src/fleet/disk.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DurableState {
     /// Acceptor state by register.
-    pub slots: BTreeMap<Register, AcceptorState>,
+    pub acceptors: BTreeMap<Register, AcceptorState>,
     /// Lease grants by role.
     pub grants: BTreeMap<SingletonRole, LeaseGrant>,
     /// The newest voter set.
@@ -53,7 +53,7 @@
         if let Some(voter_set) = record.voter_set {
             self.durable.voter_set = voter_set;
         }
-        self.durable.slots.extend(record.acceptors);
+        self.durable.acceptors.extend(record.acceptors);
         self.durable.grants.extend(record.grants.into_iter().map(|grant| (grant.role, grant)));
     }
 }
--- a/crates/simulation/src/fleet/lifecycle.rs
+++ b/crates/simulation/src/fleet/lifecycle.rs
@@ -51,7 +51,7 @@
             identity: control_node(node),
             required_voters: self.required_voters,
             catch_up: self.catch_up,
-            acceptors: durable.voter_set.is_known().then_some(durable.slots),
+            acceptors: durable.voter_set.is_known().then_some(durable.acceptors),
             voter_set: durable.voter_set,
             grants: durable.grants.into_values().collect(),
             seed: self.rng.rand_u64(),
