--- a/crates/control-node/tests/cluster.rs
+++ b/crates/control-node/tests/cluster.rs
@@ -50,7 +50,7 @@
         fleet.replace(2, 3, 4);
         fleet.run(1.0);
         assert_eq!(fleet.done.get(&3), Some(&Outcome::Chosen));
-        let values = fleet.checks.lines[&Register::Configuration].values.values();
+        let values = fleet.checks.histories[&Register::Configuration].values.values();
         let revisions: BTreeSet<u64> = values.map(|seen| seen.stamp).collect();
         assert_eq!(revisions.len(), 1, "seed {seed}");
     }
--- a/crates/simulation/src/invariants/mod.rs
+++ b/crates/simulation/src/invariants/mod.rs
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Invariants {
     /// Chosen values by register.
-    pub lines: BTreeMap<Register, RegisterHistory>,
+    pub histories: BTreeMap<Register, RegisterHistory>,
     /// Voter sets by epoch.
     pub voter_sets: BTreeMap<u64, VoterSet>,
     /// Operations by token.
@@ -115,7 +115,7 @@
             return Err(Violation::ProposalDecreased { node, chosen: Box::new(chosen.clone()) });
         }
         *observed = chosen.proposal;
-        self.lines.entry(register).or_default().record_learned(now, chosen)?;
+        self.histories.entry(register).or_default().record_learned(now, chosen)?;
         for version in &chosen.recent_versions {
             let known = *self.version_digests.entry(version.version).or_insert(version.digest);
             if known != version.digest {
@@ -134,7 +134,7 @@
         confirmed: ProposalNumber,
         requested_at: f64,
     ) -> Result<(), Violation> {
-        let known = self.lines.get(&register).and_then(|history| history.known_before(requested_at));
+        let known = self.histories.get(&register).and_then(|history| history.known_before(requested_at));
         match known {
             Some(known) if known > confirmed => {
                 Err(Violation::StaleConfirmation { node, register, confirmed, known })
--- a/crates/simulation/src/invariants/operations.rs
+++ b/crates/simulation/src/invariants/operations.rs
@@ -110,7 +110,7 @@
     }
 
     fn chosen_values(&self, register: Register) -> impl DoubleEndedIterator<Item = &ChosenValue> {
-        self.lines.get(&register).into_iter().flat_map(|history| history.values.values())
+        self.histories.get(&register).into_iter().flat_map(|history| history.values.values())
     }
 
     fn check_configuration_outcome(
--- a/crates/simulation/src/runner/recovery.rs
+++ b/crates/simulation/src/runner/recovery.rs
@@ -129,7 +129,7 @@
         }
         for register in REGISTERS {
             let value = control.proposer.committed(register).map(|chosen| &chosen.value);
-            let latest = self.fleet.checks.lines.get(&register).and_then(|history| history.latest());
+            let latest = self.fleet.checks.histories.get(&register).and_then(|history| history.latest());
             if value != latest.map(|latest| &latest.value) {
                 let (value, latest) = (value.cloned(), latest.cloned());
                 return Err(Violation::NotLatest { node, register, value, latest });
@@ -158,7 +158,7 @@
 
     /// Checks that the committed state reflects the last operation on each zone, where it is certain which one was last.
     fn check_evacuations(&self) -> Result<(), Violation> {
-        let history = self.fleet.checks.lines.get(&Register::Evacuations);
+        let history = self.fleet.checks.histories.get(&Register::Evacuations);
         let latest = history.and_then(|history| history.latest());
         let committed = latest.map(|latest| decode_evacuated_zones(&latest.value)).unwrap_or_default();
         for (zone, last) in self.last_evacuations() {
