--- a/crates/control-node/tests/cluster.rs
+++ b/crates/control-node/tests/cluster.rs
@@ -51,7 +51,7 @@
         fleet.run(1.0);
         assert_eq!(fleet.done.get(&3), Some(&Outcome::Chosen));
         let values = fleet.checks.histories[&Register::Configuration].values.values();
-        let revisions: BTreeSet<u64> = values.map(|seen| seen.stamp).collect();
+        let revisions: BTreeSet<u64> = values.map(|seen| seen.revision).collect();
         assert_eq!(revisions.len(), 1, "seed {seed}");
     }
 }
--- a/crates/simulation/src/invariants/history.rs
+++ b/crates/simulation/src/invariants/history.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ChosenValue {
     /// Its revision in the register.
-    pub stamp: u64,
+    pub revision: u64,
     /// The value itself.
     pub value: Bytes,
     /// Simulated time, in seconds, at which the first node learned it.
@@ -41,7 +41,7 @@
     /// Records a value that a node learned.
     pub(super) fn record_learned(&mut self, now: f64, learned: &AcceptedValue) -> Result<(), Violation> {
         if let Some(known) = self.values.get(&learned.proposal) {
-            if known.stamp == learned.revision && known.value == learned.value {
+            if known.revision == learned.revision && known.value == learned.value {
                 return Ok(());
             }
             return Err(Violation::ConflictingValues {
@@ -50,7 +50,7 @@
             });
         }
         self.check_order(learned)?;
-        let value = ChosenValue { stamp: learned.revision, value: learned.value.clone(), at: now };
+        let value = ChosenValue { revision: learned.revision, value: learned.value.clone(), at: now };
         self.values.insert(learned.proposal, value);
         if self.newest_proposals.last().is_none_or(|newest| newest.proposal < learned.proposal) {
             self.newest_proposals.push(NewestProposal { since: now, proposal: learned.proposal });
@@ -63,7 +63,7 @@
                         (later_revision, later): (u64, &Bytes)| {
             earlier_revision < later_revision || (earlier_revision == later_revision && earlier == later)
         };
-        let revision_and_value = |chosen: &ChosenValue| (chosen.stamp, chosen.value.clone());
+        let revision_and_value = |chosen: &ChosenValue| (chosen.revision, chosen.value.clone());
         let before =
             self.values.range(..learned.proposal).next_back().map(|(_, chosen)| revision_and_value(chosen));
         let after =
--- a/crates/simulation/src/invariants/operations.rs
+++ b/crates/simulation/src/invariants/operations.rs
@@ -125,7 +125,8 @@
         if newest_revision <= version {
             return Err(Violation::AcknowledgedVersionMissing { version, newest_revision });
         }
-        let chosen = self.chosen_values(Register::Configuration).find(|chosen| chosen.stamp == version + 1);
+        let chosen =
+            self.chosen_values(Register::Configuration).find(|chosen| chosen.revision == version + 1);
         let is_own_text = chosen.is_none_or(|chosen| chosen.value == *text);
         if !is_own_text && outcome == Outcome::Chosen {
             return Err(Violation::AcknowledgedTextReplaced { text: text.clone(), chosen: chosen.cloned() });
--- a/crates/simulation/src/invariants/tests.rs
+++ b/crates/simulation/src/invariants/tests.rs
@@ -28,7 +28,7 @@
         accepted(4, 2, "b"),
         accepted(3, 2, "b"),
     ]);
-    assert_eq!(history.latest().map(|latest| (latest.stamp, &latest.value[..])), Some((3, &b"c"[..])));
+    assert_eq!(history.latest().map(|latest| (latest.revision, &latest.value[..])), Some((3, &b"c"[..])));
 }
 
 #[test]
@@ -75,13 +75,13 @@
     let role = SingletonRole::QuotaCounter;
     let text = Bytes::from("v77");
     let proposal = ProposalNumber::default();
-    let known = ChosenValue { stamp: 77, value: text.clone(), at: 1.0 };
+    let known = ChosenValue { revision: 77, value: text.clone(), at: 1.0 };
     let version = VersionDigest { version: 77, digest: [0; 16] };
     let zone = || "zone77".to_string();
     let operation = Operation::Evacuation { zone: zone(), evacuated: true };
     let committed = BTreeSet::new();
     for (violation, found) in [
-        (Violation::ConflictingValues { known, learned: chosen() }, "stamp: 77"),
+        (Violation::ConflictingValues { known, learned: chosen() }, "ChosenValue { revision: 77"),
         (Violation::ConflictingVersions { version, chosen: chosen() }, "version: 77"),
         (
             Violation::StaleConfirmation { node: 77, register, confirmed: proposal, known: proposal },
