--- a/crates/control-node/tests/cluster.rs
+++ b/crates/control-node/tests/cluster.rs
@@ -203,7 +203,7 @@
         let mut fleet = Fleet::of(seed, 5, 6);
         fleet.net.lossy = 0.05;
         fleet.run(4.0);
-        let voter_sets = fleet.sets();
+        let voter_sets = fleet.voter_sets();
         let five_voters = voter_sets.iter().all(|voters| voters.len() == 5);
         assert!(voter_sets.len() == 1 && five_voters, "seed {seed}: {voter_sets:?}");
         fleet.net.lossy = 0.0;
--- a/crates/simulation/src/fleet/operators.rs
+++ b/crates/simulation/src/fleet/operators.rs
@@ -79,7 +79,7 @@
     }
 
     /// The distinct voter sets adopted by the nodes that are up.
-    pub fn sets(&self) -> BTreeSet<Vec<NodeId>> {
+    pub fn voter_sets(&self) -> BTreeSet<Vec<NodeId>> {
         self.live.values().map(|control| control.voter_set().all_voters()).collect()
     }
 }
