--- a/crates/control-node/tests/cluster.rs
+++ b/crates/control-node/tests/cluster.rs
@@ -200,7 +200,7 @@
 #[test]
 fn six_nodes_agree_on_five_voters_and_survive_two_lost_disks() {
     for seed in 0..15 {
-        let mut fleet = Fleet::of(seed, 5, 6);
+        let mut fleet = Fleet::with_size(seed, 5, 6);
         fleet.net.lossy = 0.05;
         fleet.run(4.0);
         let voter_sets = fleet.voter_sets();
--- a/crates/control-node/tests/membership/first_start.rs
+++ b/crates/control-node/tests/membership/first_start.rs
@@ -13,7 +13,7 @@
     bolero::check!().with_iterations(120).with_type::<(u64, u16, u8, u8)>().for_each(
         |&(seed, moment, killed, emptied)| {
             let context = format!("{seed} {moment} {killed} {emptied}");
-            let mut fleet = Fleet::of(seed, 5, 6);
+            let mut fleet = Fleet::with_size(seed, 5, 6);
             (1..=6).for_each(|node| fleet.set_sync(node, 0.002));
             fleet.run(f64::from(moment % 3000) * 1e-3);
             let is_killed = |node: NodeId| killed & 0x40 == 0 || killed >> (node - 1) & 1 == 1;
@@ -39,7 +39,7 @@
 #[test]
 fn a_first_start_adds_voters_quickly_and_accepts_no_proposal_before() {
     for seed in 0..10 {
-        let mut fleet = Fleet::of(seed, 5, 6);
+        let mut fleet = Fleet::with_size(seed, 5, 6);
         fleet.net.least = 0.012;
         fleet.net.spread = 0.001;
         (1..=6).for_each(|node| fleet.set_sync(node, 0.002));
@@ -55,7 +55,7 @@
 
 #[test]
 fn a_first_start_completes_with_the_seed_nodes_alone() {
-    let mut fleet = Fleet::of(3, 5, 3);
+    let mut fleet = Fleet::with_size(3, 5, 3);
     fleet.run(4.0);
     let voter_set = agreed_voter_set(&fleet, "alone");
     assert_eq!((voter_set.epoch, voter_set.voters.len()), (3, 3));
@@ -65,7 +65,7 @@
 /// A voter set with fewer voters than required grows once other nodes have been there for some time.
 #[test]
 fn a_small_voter_set_grows_automatically() {
-    let mut fleet = Fleet::of(2, 5, 6);
+    let mut fleet = Fleet::with_size(2, 5, 6);
     (4..=6).for_each(|node| fleet.kill(node, false));
     fleet.run(4.0);
     assert_eq!(agreed_voter_set(&fleet, "alone").voters, [1, 2, 3]);
--- a/crates/control-node/tests/membership/replacement.rs
+++ b/crates/control-node/tests/membership/replacement.rs
@@ -107,7 +107,7 @@
     bolero::check!().with_iterations(50).with_type::<(u64, u8, u16, u8)>().for_each(
         |&(seed, who, moment, how)| {
             let context = format!("{seed} {who} {moment} {how}");
-            let mut fleet = Fleet::of(seed, 5, 6);
+            let mut fleet = Fleet::with_size(seed, 5, 6);
             fleet.run(2.0);
             let voters = agreed_voter_set(&fleet, &context).voters;
             let spare = (4..=6).find(|node| !voters.contains(node)).expect("a spare node");
@@ -135,7 +135,7 @@
 fn concurrent_changes_are_serialized() {
     for seed in 0..20 {
         let context = format!("seed {seed}");
-        let mut fleet = Fleet::of(seed, 3, 5);
+        let mut fleet = Fleet::with_size(seed, 3, 5);
         fleet.run(1.5);
         fleet.change_membership(1, 2, REPLACE);
         fleet.run(0.003 * (seed % 10) as f64);
--- a/crates/control-node/tests/membership/returning_nodes.rs
+++ b/crates/control-node/tests/membership/returning_nodes.rs
@@ -54,7 +54,7 @@
 /// Two nodes that were a quorum of the first voter set come back after two changes and reach nobody but each
 /// other. `forget`: the planted fault, a disk that doesn't keep the epoch that it was given.
 fn return_of_former_voters(seed: u64, forget: bool) -> Fleet {
-    let mut fleet = Fleet::of(seed, 3, 5);
+    let mut fleet = Fleet::with_size(seed, 3, 5);
     fleet.run(1.5);
     fleet.kill(3, false);
     fleet.change_membership(1, 1, REPLACE);
@@ -111,7 +111,7 @@
 fn a_voter_that_missed_two_changes_finds_the_current_epoch() {
     for seed in 0..10 {
         let context = format!("seed {seed}");
-        let mut fleet = Fleet::of(seed, 5, 7);
+        let mut fleet = Fleet::with_size(seed, 5, 7);
         fleet.run(3.0);
         let voters = agreed_voter_set(&fleet, &context).voters;
         let spare: Vec<NodeId> = (4..=7).filter(|node| !voters.contains(node)).collect();
--- a/crates/simulation/src/fleet/mod.rs
+++ b/crates/simulation/src/fleet/mod.rs
@@ -92,17 +92,17 @@
 impl Fleet {
     /// Starts four nodes, the first three of which are the seeds; one disk may be lost at a time.
     pub fn new(seed: u64) -> Fleet {
-        Fleet::of(seed, 3, 4)
+        Fleet::with_size(seed, 3, 4)
     }
 
     /// Starts `node_count` nodes for the first time, `required_voters` of which are to vote. The seeds are nodes 1, 2 and 3.
-    pub fn of(seed: u64, required_voters: usize, node_count: NodeId) -> Fleet {
+    pub fn with_size(seed: u64, required_voters: usize, node_count: NodeId) -> Fleet {
         let mut fleet = Fleet::empty(seed, required_voters, node_count);
         (1..=node_count).for_each(|node| fleet.start(node, true));
         fleet
     }
 
-    /// Creates the same fleet as [`Fleet::of`] without starting any node.
+    /// Creates the same fleet as [`Fleet::with_size`] without starting any node.
     pub fn empty(seed: u64, required_voters: usize, node_count: NodeId) -> Fleet {
         Fleet {
             now: START_TIME,
