--- a/crates/control-node/tests/membership/new_generation.rs
+++ b/crates/control-node/tests/membership/new_generation.rs
@@ -3,7 +3,7 @@
 use crate::{agreed_voter_set, check_cluster, configuration_revision, started_fleet, voter_set};
 use archlink_consensus::{MembershipChange, Outcome};
 use archlink_messages::Register;
-use archlink_simulation::checks::Checks;
+use archlink_simulation::invariants::Invariants;
 
 /// Two of three voters are gone for good. An operator forces a new generation on the survivor, which adds
 /// another node that was named. What the lost voters had chosen without the survivor is lost, and doesn't
@@ -29,7 +29,7 @@
                 .any(|(register, revision, _)| (*register, *revision) == (Register::Configuration, 8))
         );
         // From here on the loss is no violation; a return of what was lost is.
-        fleet.checks = Checks::default();
+        fleet.checks = Invariants::default();
         let epoch = voter_set(&fleet, 1).epoch;
         fleet.change_membership(1, 3, MembershipChange::ForceNewGeneration { epoch, voters: vec![1, 4] });
         fleet.run(2.5);
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -12,11 +12,6 @@
 pub mod scenario;
 pub mod shrink;
 
-/// Former path of [`invariants`], still used by the tests of `control-node`.
-pub mod checks {
-    pub use crate::invariants::Invariants as Checks;
-}
-
 pub use error::SimulationError;
 pub use fleet::Fleet;
 pub use fleet::operators::digest;
