--- a/crates/control-node/tests/cluster.rs
+++ b/crates/control-node/tests/cluster.rs
@@ -130,7 +130,7 @@
         let mut fleet = Fleet::new(seed);
         // All links have the same latency: the successor's request reaches no voter before the release of the
         // lease.
-        fleet.net.spread = 0.0;
+        fleet.net.jitter = 0.0;
         fleet.run(2.0);
         let holder = fleet.agreed(SingletonRole::HostDiscovery).expect("a holder");
         fleet.step(holder, |control_node, now| control_node.begin_shutdown(now));
--- a/crates/control-node/tests/machine_replacement.rs
+++ b/crates/control-node/tests/machine_replacement.rs
@@ -31,7 +31,7 @@
 
 /// Links of 12 ms each way, and syncs of `sync` seconds on every disk.
 fn set_latencies(fleet: &mut Fleet, sync: f64) {
-    (fleet.net.least, fleet.net.spread) = (0.012, 0.002);
+    (fleet.net.min_latency, fleet.net.jitter) = (0.012, 0.002);
     let nodes: Vec<NodeId> = fleet.nodes().collect();
     nodes.into_iter().for_each(|node| fleet.set_sync(node, sync));
 }
--- a/crates/control-node/tests/membership/first_start.rs
+++ b/crates/control-node/tests/membership/first_start.rs
@@ -40,8 +40,8 @@
 fn a_first_start_adds_voters_quickly_and_accepts_no_proposal_before() {
     for seed in 0..10 {
         let mut fleet = Fleet::with_size(seed, 5, 6);
-        fleet.net.least = 0.012;
-        fleet.net.spread = 0.001;
+        fleet.net.min_latency = 0.012;
+        fleet.net.jitter = 0.001;
         (1..=6).for_each(|node| fleet.set_sync(node, 0.002));
         fleet.replace(1, 1, 4);
         assert_eq!(fleet.done.get(&1), Some(&Outcome::Unknown));
--- a/crates/simulation/src/fleet/network.rs
+++ b/crates/simulation/src/fleet/network.rs
@@ -14,9 +14,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Net {
     /// Minimum latency of a message, in seconds.
-    pub least: f64,
+    pub min_latency: f64,
     /// Maximum additional latency, in seconds, drawn uniformly for each message.
-    pub spread: f64,
+    pub jitter: f64,
     /// Fraction of messages that are lost, from 0 to 1.
     pub lossy: f64,
     /// Fraction of messages that are delivered twice, from 0 to 1.
@@ -29,7 +29,7 @@
 
 impl Default for Net {
     fn default() -> Net {
-        Net { least: 0.002, spread: 0.02, lossy: 0.0, duplicated: 0.0, delayed: 0.0, max_delay: 0.0 }
+        Net { min_latency: 0.002, jitter: 0.02, lossy: 0.0, duplicated: 0.0, delayed: 0.0, max_delay: 0.0 }
     }
 }
 
@@ -107,7 +107,7 @@
     /// Schedules the delivery of a message that the network accepted.
     fn transmit(&mut self, from: NodeId, to: NodeId, message: Message) {
         let net = self.net;
-        let mut at = self.now + net.least + net.spread * self.rng.rand_float();
+        let mut at = self.now + net.min_latency + net.jitter * self.rng.rand_float();
         if net.delayed > 0.0 && self.rng.rand_float() < net.delayed {
             at += net.max_delay * self.rng.rand_float();
         }
