--- a/crates/control-node/tests/cluster.rs
+++ b/crates/control-node/tests/cluster.rs
@@ -151,7 +151,7 @@
         |(seed, schedule)| {
             let mut fleet = Fleet::new(*seed);
             fleet.run(1.0);
-            fleet.net.lossy = 0.05;
+            fleet.net.lost = 0.05;
             let mut token = 0;
             for &(action, nodes, length) in schedule.iter().take(16) {
                 let (node, peer) = (NodeId::from(nodes % 4) + 1, NodeId::from(nodes / 4 % 4) + 1);
@@ -167,7 +167,7 @@
                     }
                     _ => {
                         fleet.heal();
-                        fleet.net.lossy = 0.05;
+                        fleet.net.lost = 0.05;
                     }
                 }
                 fleet.run(f64::from(length) / 128.0);
@@ -201,12 +201,12 @@
 fn six_nodes_agree_on_five_voters_and_survive_two_lost_disks() {
     for seed in 0..15 {
         let mut fleet = Fleet::with_size(seed, 5, 6);
-        fleet.net.lossy = 0.05;
+        fleet.net.lost = 0.05;
         fleet.run(4.0);
         let voter_sets = fleet.voter_sets();
         let five_voters = voter_sets.iter().all(|voters| voters.len() == 5);
         assert!(voter_sets.len() == 1 && five_voters, "seed {seed}: {voter_sets:?}");
-        fleet.net.lossy = 0.0;
+        fleet.net.lost = 0.0;
         fleet.replace(6, 1, 7);
         fleet.run(1.0);
         assert_eq!(fleet.done.get(&1), Some(&Outcome::Chosen), "seed {seed}");
--- a/crates/simulation/src/fleet/network.rs
+++ b/crates/simulation/src/fleet/network.rs
@@ -18,7 +18,7 @@
     /// Maximum additional latency, in seconds, drawn uniformly for each message.
     pub jitter: f64,
     /// Fraction of messages that are lost, from 0 to 1.
-    pub lossy: f64,
+    pub lost: f64,
     /// Fraction of messages that are delivered twice, from 0 to 1.
     pub duplicated: f64,
     /// Fraction of messages that are delayed, from 0 to 1.
@@ -29,7 +29,7 @@
 
 impl Default for Net {
     fn default() -> Net {
-        Net { min_latency: 0.002, jitter: 0.02, lossy: 0.0, duplicated: 0.0, delayed: 0.0, max_delay: 0.0 }
+        Net { min_latency: 0.002, jitter: 0.02, lost: 0.0, duplicated: 0.0, delayed: 0.0, max_delay: 0.0 }
     }
 }
 
@@ -70,7 +70,7 @@
         self.partitioned_until.clear();
         self.events.resume(self.now, &resume_times);
         self.disks.values_mut().for_each(|disk| disk.hangs_until = 0.0);
-        self.net = Net { lossy: 0.0, duplicated: 0.0, delayed: 0.0, ..self.net };
+        self.net = Net { lost: 0.0, duplicated: 0.0, delayed: 0.0, ..self.net };
     }
 
     fn is_partitioned(&self, from: NodeId, to: NodeId) -> bool {
@@ -94,7 +94,7 @@
             return;
         }
         let net = self.net;
-        if net.lossy > 0.0 && self.rng.rand_float() < net.lossy {
+        if net.lost > 0.0 && self.rng.rand_float() < net.lost {
             return;
         }
         let is_duplicated = net.duplicated > 0.0 && self.rng.rand_float() < net.duplicated;
--- a/crates/simulation/src/runner/steps.rs
+++ b/crates/simulation/src/runner/steps.rs
@@ -31,7 +31,7 @@
                 self.stall_links(node, peers, seconds);
             }
             Step::DegradeNetwork { lost, duplicated, delayed, max_delay, seconds } => {
-                let net = Net { lossy: lost, duplicated, delayed, max_delay, ..self.fleet.net };
+                let net = Net { lost, duplicated, delayed, max_delay, ..self.fleet.net };
                 self.degrade_network(net, seconds);
             }
             Step::Pause { node, seconds } => self.pause(node, seconds),
