--- a/crates/storage/src/file_system.rs
+++ b/crates/storage/src/file_system.rs
@@ -1,4 +1,4 @@
-//! The file system as [`Disk`], with `okaywal` as the writer of logs.
+//! Implements [`Disk`] on the operating system's file system, with logs written by `okaywal`.
 
 use crate::disk::{Disk, Log};
 use crate::error::WriteError;
@@ -8,11 +8,11 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::path::Path;
 
-/// Bytes that a log's file is preallocated with, so that the sync of an entry does not have to write a new file length.
-/// Above the length at which small states are checkpointed (192 KiB).
+/// Preallocated length of a segment file, so that syncing an entry does not also have to write a new file length. It exceeds
+/// the log length at which small states are checkpointed (192 KiB).
 const SEGMENT_BYTES: u32 = 256 * 1024;
 
-/// The file system. Keeps the lock of the data folder as long as it exists.
+/// The operating system's file system. Holds the lock on the data folder until it is dropped.
 #[derive(Debug, Default)]
 pub struct FileSystem {
     lock: Option<File>,
@@ -78,8 +78,8 @@
     }
 }
 
-/// Opens a log that `okaywal` never checkpoints by itself. Its own checkpoint renames files without syncing their folder:
-/// after a power loss, entries that it reported as synced would be under a name that is gone.
+/// Opens a log with `okaywal`'s own checkpoints disabled. They rename segment files without syncing the folder, so a power
+/// loss could leave entries that were reported as synced under a name that no longer exists.
 pub fn open_log(folder: &Path, segment_bytes: u32) -> io::Result<WriteAheadLog> {
     Configuration::default_for(folder)
         .preallocate_bytes(segment_bytes)
@@ -89,12 +89,12 @@
 
 impl Log for WriteAheadLog {
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
-        // The library panics where it cannot roll back a partial entry.
+        // `okaywal` panics if it cannot roll back a partially written entry.
         catch_unwind(AssertUnwindSafe(|| {
             let mut entry = self.begin_entry()?;
             entry.write_chunk(bytes)?;
             entry.commit().map(drop)
         }))
-        .unwrap_or_else(|_| Err(WriteError::NotRolledBack.into()))
+        .unwrap_or_else(|_| Err(WriteError::RollbackFailed.into()))
     }
 }
--- a/crates/storage/src/format.rs
+++ b/crates/storage/src/format.rs
@@ -1,33 +1,36 @@
-//! The bytes of snapshots and log entries, version 1.
+//! The encoding of snapshots and log entries, version 1.
 //!
-//! Both begin with a head of 16 bytes: magic (seven bytes), version (one), number of the last change (eight, little-endian).
-//! A snapshot goes on with a CRC-32C of head and body (four bytes, little-endian) and the [`DurableState`] in postcard; an
-//! entry with a [`ChangeRecord`] in postcard, whose checksum is `okaywal`'s.
+//! Both begin with a 16-byte header: a magic (7 bytes), the format version (1 byte) and the sequence number of the last
+//! change (8 bytes, little-endian). In a snapshot, a CRC-32C of header and body (4 bytes, little-endian) and the
+//! [`DurableState`] in postcard follow. In a log entry, a [`ChangeRecord`] in postcard follows; `okaywal` adds the
+//! checksum.
 //!
-//! Invariant: decoding gives a complete value or an error. A later version is an error, never guessed at.
+//! Invariant: decoding returns a complete value or an error. A later format version is an error, even where it would decode.
 
 use crate::{DurableState, StateChange, StorageError};
 use archlink_messages::{ProposalNumber, Register};
 use error_stack::{Report, ResultExt, bail, ensure};
 use serde::{Deserialize, Serialize};
 
-/// Begins a snapshot. No legacy snapshot begins with it: it would contain 76 voters, the first of them 0.0.0.79.
+/// Magic of a snapshot. It tells snapshots from legacy ones, which have no header: a legacy snapshot with these first bytes
+/// would have 76 voters, the first of them 0.0.0.79.
 const SNAPSHOT_MAGIC: &[u8; 7] = b"LOGBOOK";
 
-/// Begins an entry.
+/// Magic of a log entry.
 pub const ENTRY_MAGIC: &[u8; 7] = b"LOGLINE";
 
-/// The version of both that is written, and the highest that is read.
+/// The format version that is written, and the highest one that is read.
 const VERSION: u8 = 1;
 
-/// Bytes of the head: magic, version, number.
-const HEAD_BYTES: usize = 16;
+/// Length of the header: magic, version and sequence number.
+const HEADER_BYTES: usize = 16;
 
-/// Bytes of a snapshot's checksum.
+/// Length of a snapshot's checksum.
 const CHECKSUM_BYTES: usize = 4;
 
-/// A change as it is written to the log. An acceptor state whose accepted value did not change is reduced to its promise: a
-/// promise then costs some tens of bytes, however large the value is. The order of the fields is the format.
+/// The form in which a [`StateChange`] is written to the log. An acceptor state whose accepted value did not change is
+/// reduced to its promise, so that a promise takes some tens of bytes however large the value is. The order of the
+/// fields is part of the format.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ChangeRecord {
     change: StateChange,
@@ -35,7 +38,7 @@
 }
 
 impl ChangeRecord {
-    /// The record of a change on `state`.
+    /// Creates the record of a change to `state`.
     pub fn new(state: &DurableState, mut change: StateChange) -> ChangeRecord {
         let mut promises = Vec::new();
         change.acceptors.retain(|(register, acceptor)| {
@@ -49,7 +52,7 @@
         ChangeRecord { change, promises }
     }
 
-    /// Applies the change to the state that it was made on.
+    /// Applies the change to `state`, which has to equal the state that the record was created from.
     pub fn apply_to(self, state: &mut DurableState) {
         state.apply(self.change);
         for (register, proposal) in self.promises {
@@ -58,67 +61,67 @@
     }
 }
 
-/// Whether the bytes begin as a snapshot of a version with a head.
+/// Whether the bytes begin with the magic of a snapshot; a legacy snapshot has none.
 pub fn is_snapshot(bytes: &[u8]) -> bool {
     bytes.starts_with(SNAPSHOT_MAGIC)
 }
 
-/// The snapshot of the state after the change of this number.
-pub fn encode_snapshot(number: u64, state: &DurableState) -> Result<Vec<u8>, postcard::Error> {
-    let mut bytes = encode_head(SNAPSHOT_MAGIC, number);
+/// Encodes a snapshot of the state after the change with this sequence number.
+pub fn encode_snapshot(sequence_number: u64, state: &DurableState) -> Result<Vec<u8>, postcard::Error> {
+    let mut bytes = encode_header(SNAPSHOT_MAGIC, sequence_number);
     let body = postcard::to_stdvec(state)?;
     bytes.extend(snapshot_checksum(&bytes, &body).to_le_bytes());
     bytes.extend(body);
     Ok(bytes)
 }
 
-/// The number of the last change in a snapshot, and its state.
+/// Decodes a snapshot into the sequence number of its last change and the state.
 pub fn decode_snapshot(bytes: &[u8]) -> Result<(u64, DurableState), Report<StorageError>> {
-    let (number, rest) = decode_head(SNAPSHOT_MAGIC, bytes)?;
+    let (sequence_number, rest) = decode_header(SNAPSHOT_MAGIC, bytes)?;
     let Some((checksum, body)) = rest.split_first_chunk::<CHECKSUM_BYTES>() else {
-        bail!(Report::new(StorageError::Damaged).attach("shorter than its head"));
+        bail!(Report::new(StorageError::Corrupted).attach("shorter than header and checksum"));
     };
     ensure!(
-        snapshot_checksum(&bytes[..HEAD_BYTES], body) == u32::from_le_bytes(*checksum),
-        Report::new(StorageError::Damaged).attach("its checksum is another")
+        snapshot_checksum(&bytes[..HEADER_BYTES], body) == u32::from_le_bytes(*checksum),
+        Report::new(StorageError::Corrupted).attach("checksum mismatch")
     );
-    Ok((number, postcard::from_bytes(body).change_context(StorageError::Damaged)?))
+    Ok((sequence_number, postcard::from_bytes(body).change_context(StorageError::Corrupted)?))
 }
 
-/// The log entry of the change of this number.
-pub fn encode_entry(number: u64, record: &ChangeRecord) -> Result<Vec<u8>, postcard::Error> {
-    postcard::to_extend(record, encode_head(ENTRY_MAGIC, number))
+/// Encodes the log entry of the change with this sequence number.
+pub fn encode_entry(sequence_number: u64, record: &ChangeRecord) -> Result<Vec<u8>, postcard::Error> {
+    postcard::to_extend(record, encode_header(ENTRY_MAGIC, sequence_number))
 }
 
-/// The number of the change in a log entry, and the change.
+/// Decodes a log entry into the sequence number of its change and the change.
 pub fn decode_entry(bytes: &[u8]) -> Result<(u64, ChangeRecord), Report<StorageError>> {
-    let (number, body) = decode_head(ENTRY_MAGIC, bytes)?;
+    let (sequence_number, body) = decode_header(ENTRY_MAGIC, bytes)?;
     let record = postcard::from_bytes(body)
-        .change_context(StorageError::Damaged)
-        .attach_with(|| format!("entry {number}"))?;
-    Ok((number, record))
+        .change_context(StorageError::Corrupted)
+        .attach_with(|| format!("entry {sequence_number}"))?;
+    Ok((sequence_number, record))
 }
 
-fn encode_head(magic: &[u8; 7], number: u64) -> Vec<u8> {
-    [magic.as_slice(), &[VERSION], &number.to_le_bytes()].concat()
+fn encode_header(magic: &[u8; 7], sequence_number: u64) -> Vec<u8> {
+    [magic.as_slice(), &[VERSION], &sequence_number.to_le_bytes()].concat()
 }
 
-/// The number in the head, and the body, where the version is known.
-fn decode_head<'a>(magic: &[u8; 7], bytes: &'a [u8]) -> Result<(u64, &'a [u8]), Report<StorageError>> {
-    let Some((head, body)) = bytes.split_first_chunk::<HEAD_BYTES>() else {
-        bail!(Report::new(StorageError::Damaged).attach("shorter than its head"));
+/// Splits off and checks the header, and returns the sequence number and the body.
+fn decode_header<'a>(magic: &[u8; 7], bytes: &'a [u8]) -> Result<(u64, &'a [u8]), Report<StorageError>> {
+    let Some((header, body)) = bytes.split_first_chunk::<HEADER_BYTES>() else {
+        bail!(Report::new(StorageError::Corrupted).attach("shorter than the header"));
     };
-    ensure!(head.starts_with(magic), Report::new(StorageError::Damaged).attach("does not begin as it must"));
-    let version = head[magic.len()];
+    ensure!(header.starts_with(magic), Report::new(StorageError::Corrupted).attach("wrong magic"));
+    let version = header[magic.len()];
     ensure!(
         (1..=VERSION).contains(&version),
         Report::new(StorageError::UnsupportedVersion)
-            .attach(format!("version {version}; known up to {VERSION}"))
+            .attach(format!("format version {version}; the highest supported is {VERSION}"))
     );
-    let number = head.last_chunk::<8>().map_or(0, |bytes| u64::from_le_bytes(*bytes));
-    Ok((number, body))
+    let sequence_number = header.last_chunk::<8>().map_or(0, |bytes| u64::from_le_bytes(*bytes));
+    Ok((sequence_number, body))
 }
 
-fn snapshot_checksum(head: &[u8], body: &[u8]) -> u32 {
-    crc32c::crc32c_append(crc32c::crc32c(head), body)
+fn snapshot_checksum(header: &[u8], body: &[u8]) -> u32 {
+    crc32c::crc32c_append(crc32c::crc32c(header), body)
 }
--- a/crates/storage/src/legacy_format.rs
+++ b/crates/storage/src/legacy_format.rs
@@ -1,7 +1,7 @@
-//! The bytes of data folders of versions without numbers and heads: a snapshot and log entries in postcard alone. They are
-//! read once, at the first start of this version.
+//! The legacy format of data folders: a snapshot and log entries in plain postcard, without headers and sequence numbers. A
+//! legacy folder is read once, by the first start of a version that writes the present format.
 //!
-//! Invariant: these types keep the layout of then, whatever becomes of the present ones.
+//! Invariant: the layout of these types never changes, even when their counterparts in the present format do.
 
 use crate::StorageError;
 use archlink_messages::{LeaseGrant, NodeId, ProposalNumber, Register, SingletonRole, VoterSet};
@@ -10,63 +10,63 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// An accepted value, without recent versions.
+/// An accepted value; the legacy format has no recent versions.
 #[derive(Serialize, Deserialize)]
 pub struct AcceptedValue {
-    /// The proposal under which it was accepted.
+    /// The proposal under which the value was accepted.
     pub proposal: ProposalNumber,
-    /// The revision.
+    /// The revision of the value.
     pub revision: u64,
-    /// The content.
+    /// The value itself.
     pub value: Bytes,
 }
 
 /// The state of one acceptor.
 #[derive(Serialize, Deserialize)]
 pub struct AcceptorState {
-    /// The highest proposal that was promised.
+    /// The highest proposal promised.
     pub promised: ProposalNumber,
-    /// The value accepted last.
+    /// The value accepted most recently.
     pub accepted: Option<AcceptedValue>,
 }
 
-/// The snapshot.
+/// The contents of a snapshot.
 #[derive(Default, Serialize, Deserialize)]
 pub struct DurableState {
-    /// The voters.
+    /// The voters of the cluster.
     pub voters: Vec<NodeId>,
     /// The acceptor state of each register.
     pub acceptors: BTreeMap<Register, AcceptorState>,
-    /// The latest grant of each role.
+    /// The latest lease grant of each role.
     pub grants: BTreeMap<SingletonRole, LeaseGrant>,
 }
 
-/// A log entry.
+/// The contents of a log entry.
 #[derive(Default, Serialize, Deserialize)]
 pub struct StateChange {
-    /// The voters, if they were set.
+    /// The voters, if the change sets them.
     pub voters: Option<Vec<NodeId>>,
-    /// The acceptor states that changed.
+    /// The acceptor states after the change, of the registers that it changes.
     pub acceptors: Vec<(Register, AcceptorState)>,
-    /// The new grants.
+    /// The leases granted.
     pub grants: Vec<LeaseGrant>,
 }
 
-/// Decodes a snapshot.
+/// Decodes a legacy snapshot and converts it to the present types.
 pub fn decode_snapshot(bytes: &[u8]) -> Result<crate::DurableState, Report<StorageError>> {
-    postcard::from_bytes::<DurableState>(bytes).map(Into::into).change_context(StorageError::Damaged)
+    postcard::from_bytes::<DurableState>(bytes).map(Into::into).change_context(StorageError::Corrupted)
 }
 
-/// Decodes a log entry.
+/// Decodes a legacy log entry and converts it to the present types.
 pub fn decode_entry(bytes: &[u8]) -> Result<crate::StateChange, Report<StorageError>> {
-    postcard::from_bytes::<StateChange>(bytes).map(Into::into).change_context(StorageError::Damaged)
+    postcard::from_bytes::<StateChange>(bytes).map(Into::into).change_context(StorageError::Corrupted)
 }
 
 impl From<DurableState> for crate::DurableState {
     fn from(legacy: DurableState) -> Self {
         crate::DurableState {
-            voter_set: voter_set(&legacy.voters).unwrap_or_default(),
-            acceptors: legacy.acceptors.into_iter().filter_map(acceptor).collect(),
+            voter_set: initial_voter_set(&legacy.voters).unwrap_or_default(),
+            acceptors: legacy.acceptors.into_iter().filter_map(acceptor_state).collect(),
             grants: legacy.grants,
         }
     }
@@ -75,20 +75,22 @@
 impl From<StateChange> for crate::StateChange {
     fn from(legacy: StateChange) -> Self {
         crate::StateChange {
-            voter_set: legacy.voters.and_then(|voters| voter_set(&voters)),
-            acceptors: legacy.acceptors.into_iter().filter_map(acceptor).collect(),
+            voter_set: legacy.voters.and_then(|voters| initial_voter_set(&voters)),
+            acceptors: legacy.acceptors.into_iter().filter_map(acceptor_state).collect(),
             grants: legacy.grants,
         }
     }
 }
 
-/// The voters were agreed on once, by the seed nodes, and never changed: they are the voter set of the first epoch.
-fn voter_set(voters: &[NodeId]) -> Option<VoterSet> {
+/// Converts the voters to a voter set of the first epoch: in the legacy format the seed nodes agreed on the voters once, and
+/// they never changed.
+fn initial_voter_set(voters: &[NodeId]) -> Option<VoterSet> {
     Some(VoterSet::initial(voters)).filter(|voter_set| !voter_set.voters.is_empty())
 }
 
-/// In the place of the present register of voter sets was a vote on the first set, which is of no use any more.
-fn acceptor(
+/// Converts an acceptor state. [`Register::VoterSet`] is left out: in the legacy format its position held the vote on
+/// the first voter set, which is no longer needed.
+fn acceptor_state(
     (register, legacy): (Register, AcceptorState),
 ) -> Option<(Register, archlink_messages::AcceptorState)> {
     let acceptor = archlink_messages::AcceptorState {
--- a/crates/storage/src/state.rs
+++ b/crates/storage/src/state.rs
@@ -1,29 +1,35 @@
-//! The state that is persisted, and changes of it.
+//! The durable state of a control node, and changes to it.
 
 use archlink_messages::{AcceptorState, LeaseGrant, Register, SingletonRole, VoterSet};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// All that is persisted. An unknown voter set means that nothing was ever persisted here. The order of the fields is the
-/// format of the snapshot.
+/// The durable state of a control node. If the voter set is unknown, nothing was ever persisted on this disk.
+///
+/// The order of the fields is part of the snapshot format.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DurableState {
-    /// The voter set. A disk that has one is complete: it also has all acceptor states of this node.
+    /// The voter set. A disk that has one also has every acceptor state of this node.
     pub voter_set: VoterSet,
-    /// The acceptor state of each register.
+    /// The acceptor state of each register that has one.
     pub acceptors: BTreeMap<Register, AcceptorState>,
-    /// The latest grant of each role.
+    /// The latest lease grant of each role.
     pub grants: BTreeMap<SingletonRole, LeaseGrant>,
 }
 
-/// New values for parts of the state; what is not named stays as it is. The order of the fields is the format of log entries.
+/// A change to a [`DurableState`]: the new values of the parts that change. The other parts stay as they are.
+///
+/// `archlink_consensus::DurableRecord` has the same parts, but is a request: the consensus core, which does no I/O,
+/// returns it to ask its driver for a write, and it is never serialized. A `StateChange` is what the driver gives to the
+/// storage. It can be merged with later changes and is serialized in log entries, so the order of its fields is part of
+/// their format.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct StateChange {
     /// The new voter set, if it changed.
     pub voter_set: Option<VoterSet>,
-    /// The acceptor states that changed.
+    /// The acceptor states after the change, of the registers that it changes.
     pub acceptors: Vec<(Register, AcceptorState)>,
-    /// The new grants.
+    /// The leases granted.
     pub grants: Vec<LeaseGrant>,
 }
 
@@ -38,22 +44,22 @@
 }
 
 impl StateChange {
-    /// Whether the change names nothing.
+    /// Whether the change leaves every part of the state as it is.
     pub fn is_empty(&self) -> bool {
         self.voter_set.is_none() && self.acceptors.is_empty() && self.grants.is_empty()
     }
 
-    /// Combines this change with a later one. The result has the effect of both in turn and names each part once.
+    /// Merges a later change into this one. The result has the effect of both in order and contains each part at most once.
     pub fn merge(&mut self, later: StateChange) {
         if later.voter_set.is_some() {
             self.voter_set = later.voter_set;
         }
         for (register, acceptor) in later.acceptors {
-            self.acceptors.retain(|(known, _)| *known != register);
+            self.acceptors.retain(|(earlier, _)| *earlier != register);
             self.acceptors.push((register, acceptor));
         }
         for grant in later.grants {
-            self.grants.retain(|known| known.role != grant.role);
+            self.grants.retain(|earlier| earlier.role != grant.role);
             self.grants.push(grant);
         }
     }
--- a/crates/storage/src/store.rs
+++ b/crates/storage/src/store.rs
@@ -1,13 +1,15 @@
-//! The order of writes in the data folder, as in any write-ahead log with snapshots. Every change has a number; a snapshot
-//! covers all changes up to its own number, and the log has those that follow.
+//! The order of writes in the data folder: a write-ahead log with snapshots. Every change has a sequence number; a snapshot
+//! covers all changes up to its own sequence number, and the log has the changes after it.
 //!
 //! Invariants:
 //!
-//! - A change is in memory only once it is durable. Nothing on disk is ever read back over the state in memory.
-//! - A change that the log refused may be in it or not. The log is not used again, and the change goes to disk in a snapshot
-//!   under the same number: whichever of the two is found, it is the same change.
-//! - A snapshot is synced before it is renamed, and its folder before the first entry of the new log. Older logs are removed
-//!   after that; whichever of their files survive a power loss, their entries are not above the snapshot's number.
+//! - A change is applied to the state in memory only once it is durable. After startup the state in memory is never
+//!   replaced by what is on disk.
+//! - After a failed append it is unknown whether the entry is in the log. The log is not used again, and the change is
+//!   written in a snapshot under the same sequence number, so recovery finds the same change in either place.
+//! - A snapshot is synced before it is renamed, and its folder is synced before the first entry of the new log is
+//!   written. Older logs are removed after that. Entries in any of their files that survive a power loss are not above
+//!   the snapshot's sequence number.
 
 use crate::data_folder::{LEGACY_LOG, SNAPSHOT, TEMPORARY_SNAPSHOT, log_name, log_number};
 use crate::disk::{Disk, Log};
@@ -20,37 +22,40 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// The least bytes in a log at which it is replaced by a snapshot: some thousand promises, and little on any disk.
+/// The minimum log length above which the log is replaced by a snapshot. It holds some thousand promises and is small on any
+/// disk.
 pub const MIN_CHECKPOINT_BYTES: usize = 192 * 1024;
 
-/// A log also has to reach this many times the snapshot's length, so that checkpoints add a quarter to what large values
-/// write and do not double it.
-const CHECKPOINT_SNAPSHOT_LENGTHS: usize = 4;
+/// A log also has to exceed this many times the snapshot's length before it is replaced. With large values, checkpoints then
+/// add a quarter to the bytes written instead of doubling them.
+const MIN_LOG_TO_SNAPSHOT_RATIO: usize = 4;
 
-/// An open data folder.
+/// An open data folder and the state in it.
 pub struct Store<D: Disk> {
     disk: D,
     folder: PathBuf,
     state: DurableState,
-    /// The number of the last change in `state`.
-    number: u64,
-    /// None: the next change goes to disk in a snapshot.
+    /// The sequence number of the last change in `state`.
+    sequence_number: u64,
+    /// The log in use. Without one, the next change is written in a snapshot.
     log: Option<D::Log>,
-    /// The number of the log that the next checkpoint creates; the log in use has the one below.
-    next_log: u64,
-    /// Bytes in the log.
+    /// The number of the log that the next checkpoint creates. The log in use has the number before it.
+    next_log_number: u64,
+    /// Bytes of entries in the log.
     log_bytes: usize,
-    /// Bytes in the log above which it is replaced by a snapshot.
-    checkpoint_bytes: usize,
-    /// The least `checkpoint_bytes`.
+    /// The log is replaced by a snapshot when `log_bytes` exceeds this.
+    checkpoint_threshold_bytes: usize,
+    /// The minimum of `checkpoint_threshold_bytes` after a checkpoint.
     min_checkpoint_bytes: usize,
 }
 
 impl<D: Disk> Store<D> {
-    /// Locks and reads the folder, and makes what was read durable, by a checkpoint or, on a full disk, by syncing it.
+    /// Locks and reads the folder, and makes the state that was read durable: by a checkpoint, or, if the checkpoint
+    /// fails, by syncing the files that were read.
     ///
     /// # Errors
-    /// As [`recover`]; the contents of the folder are unaltered then.
+    /// If the folder cannot be locked, read or synced, or its contents are invalid as in [`recover`]. The contents are
+    /// unaltered after an error of [`recover`].
     pub fn open(
         mut disk: D,
         folder: &Path,
@@ -62,120 +67,120 @@
             disk,
             folder: folder.to_path_buf(),
             state: recovered.state,
-            number: recovered.number,
+            sequence_number: recovered.sequence_number,
             log: None,
-            next_log: recovered.next_log,
+            next_log_number: recovered.next_log_number,
             log_bytes: 0,
-            checkpoint_bytes: 0,
+            checkpoint_threshold_bytes: 0,
             min_checkpoint_bytes,
         };
-        if let Err(error) = store.checkpoint(store.number, &store.state.clone()) {
+        if let Err(error) = store.checkpoint(store.sequence_number, &store.state.clone()) {
             let folder = folder.display();
-            log::warn!(folder:%; "disk refused: {error}; goes on from what is there");
-            // A full disk may still sync.
-            let synced = recovered.sources.iter().try_for_each(|path| store.disk.sync(path));
+            log::warn!(folder:%; "checkpoint at startup failed: {error}; using the existing files");
+            // On a full disk, a sync may still succeed.
+            let synced = recovered.source_paths.iter().try_for_each(|path| store.disk.sync(path));
             synced.change_context(StorageError::Disk)?;
         }
         Ok(store)
     }
 
-    /// The state; all of it is durable.
+    /// The current state. All of it is durable.
     pub fn state(&self) -> &DurableState {
         &self.state
     }
 
-    /// Makes a change durable, however long the disk refuses; retries after `retry_interval`.
+    /// Makes a change durable and applies it to the state. Blocks while writes fail, with a retry every `retry_interval`.
     pub fn persist(&mut self, change: StateChange, retry_interval: Duration) {
         let record = ChangeRecord::new(&self.state, change);
-        let number = self.number + 1;
-        let mut state = self.state.clone();
-        record.clone().apply_to(&mut state);
-        if let Err(error) = self.append(number, &record) {
-            self.log_refusal(number, &error);
-            // Nothing is appended to this log any more.
-            while let Err(error) = self.checkpoint(number, &state) {
-                self.log_refusal(number, &error);
+        let sequence_number = self.sequence_number + 1;
+        let mut next_state = self.state.clone();
+        record.clone().apply_to(&mut next_state);
+        if let Err(error) = self.append(sequence_number, &record) {
+            self.log_write_failure(sequence_number, &error);
+            // The log must not be used after a failed append; a checkpoint replaces it.
+            while let Err(error) = self.checkpoint(sequence_number, &next_state) {
+                self.log_write_failure(sequence_number, &error);
                 std::thread::sleep(retry_interval);
             }
         }
-        (self.number, self.state) = (number, state);
+        (self.sequence_number, self.state) = (sequence_number, next_state);
     }
 
-    /// Replaces a log that has grown long by a snapshot. Where the disk refuses, the log stays in use.
+    /// Replaces the log by a snapshot if the log is long enough. If that fails, the log stays in use.
     pub fn checkpoint_if_due(&mut self) {
-        if self.log_bytes > self.checkpoint_bytes
-            && let Err(error) = self.checkpoint(self.number, &self.state.clone())
+        if self.log_bytes > self.checkpoint_threshold_bytes
+            && let Err(error) = self.checkpoint(self.sequence_number, &self.state.clone())
         {
             let folder = self.folder.display();
-            log::warn!(folder:%, number = self.number, log_bytes = self.log_bytes; "disk refused a snapshot: {error}");
-            self.checkpoint_bytes = self.log_bytes + self.min_checkpoint_bytes;
+            log::warn!(folder:%, number = self.sequence_number, log_bytes = self.log_bytes; "checkpoint failed: {error}");
+            self.checkpoint_threshold_bytes = self.log_bytes + self.min_checkpoint_bytes;
         }
     }
 
-    fn log_refusal(&self, number: u64, error: &io::Error) {
+    fn log_write_failure(&self, sequence_number: u64, error: &io::Error) {
         let folder = self.folder.display();
-        log::warn!(folder:%, number; "disk refused: {error}");
+        log::warn!(folder:%, number = sequence_number; "write failed: {error}");
     }
 
-    fn append(&mut self, number: u64, record: &ChangeRecord) -> io::Result<()> {
+    fn append(&mut self, sequence_number: u64, record: &ChangeRecord) -> io::Result<()> {
         let log = self.log.as_mut().ok_or(WriteError::NoLog)?;
-        let bytes = format::encode_entry(number, record).map_err(WriteError::Encode)?;
+        let bytes = format::encode_entry(sequence_number, record).map_err(WriteError::Encode)?;
         log.append(&bytes)?;
         self.log_bytes += bytes.len();
         Ok(())
     }
 
-    /// Writes a snapshot and begins a new log. After an error the old snapshot and log are as they were, or the new snapshot
-    /// is in place without being known to be durable.
-    fn checkpoint(&mut self, number: u64, state: &DurableState) -> io::Result<()> {
-        let snapshot = format::encode_snapshot(number, state).map_err(WriteError::Encode)?;
+    /// Writes a snapshot and starts a new log. After an error, either the old snapshot and log are unaltered, or the
+    /// new snapshot is in place but may not be durable.
+    fn checkpoint(&mut self, sequence_number: u64, state: &DurableState) -> io::Result<()> {
+        let snapshot = format::encode_snapshot(sequence_number, state).map_err(WriteError::Encode)?;
         match self.replace_snapshot(&snapshot) {
             Ok(log) => {
                 self.log = log;
-                self.next_log += 1;
+                self.next_log_number += 1;
                 self.log_bytes = 0;
-                self.checkpoint_bytes =
-                    self.min_checkpoint_bytes.max(CHECKPOINT_SNAPSHOT_LENGTHS * snapshot.len());
+                self.checkpoint_threshold_bytes =
+                    self.min_checkpoint_bytes.max(MIN_LOG_TO_SNAPSHOT_RATIO * snapshot.len());
                 self.remove_old_logs();
                 Ok(())
             }
             Err(error) => {
-                self.remove_unfinished();
+                self.remove_unfinished_checkpoint();
                 Err(error)
             }
         }
     }
 
-    /// Written under a temporary name, synced, renamed, and the folder synced: either the old snapshot or the new one is
-    /// there, complete. The sync of the folder also makes the new log's name durable. A log that cannot be created is no
-    /// error.
+    /// Writes the snapshot under a temporary name, syncs it, renames it and syncs the folder, so that at any time
+    /// either the old or the new snapshot is there, complete. The sync of the folder also makes the new log's directory
+    /// entry durable. Returns `None` if the log cannot be created.
     fn replace_snapshot(&self, snapshot: &[u8]) -> io::Result<Option<D::Log>> {
         let temporary = self.folder.join(TEMPORARY_SNAPSHOT);
-        let log_folder = self.folder.join(log_name(self.next_log));
+        let log_folder = self.folder.join(log_name(self.next_log_number));
         self.disk.write(&temporary, snapshot)?;
         self.disk.sync(&temporary)?;
-        // Of an earlier attempt; nothing in it was ever reported as durable.
+        // A log of an earlier attempt may be left over; nothing in it was reported as durable.
         self.disk.remove(&log_folder)?;
         let log = self.disk.create_log(&log_folder).inspect_err(|error| {
             let log_folder = log_folder.display();
-            log::warn!(log_folder:%; "disk refused a log: {error}");
+            log::warn!(log_folder:%; "log cannot be created: {error}");
         });
         self.disk.rename(&temporary, &self.folder.join(SNAPSHOT))?;
         self.disk.sync(&self.folder)?;
         Ok(log.ok())
     }
 
-    /// Removes what a failed checkpoint left: a full disk needs the space.
-    fn remove_unfinished(&self) {
-        for name in [log_name(self.next_log), TEMPORARY_SNAPSHOT.to_string()] {
+    /// Removes the files of a failed checkpoint, to free the space on a full disk.
+    fn remove_unfinished_checkpoint(&self) {
+        for name in [log_name(self.next_log_number), TEMPORARY_SNAPSHOT.to_string()] {
             self.disk.remove(&self.folder.join(name)).ok();
         }
     }
 
-    /// Removes the logs that the snapshot covers. One that cannot be removed is retried after the next checkpoint.
+    /// Removes the logs that the snapshot covers. If one cannot be removed, the next checkpoint tries again.
     fn remove_old_logs(&self) {
         for name in self.disk.list(&self.folder).unwrap_or_default() {
-            let is_old_log = log_number(&name).is_some_and(|number| number + 1 != self.next_log);
+            let is_old_log = log_number(&name).is_some_and(|number| number + 1 != self.next_log_number);
             if name == LEGACY_LOG || is_old_log {
                 self.disk.remove(&self.folder.join(name)).ok();
             }
--- a/crates/storage/src/tests/bounds.rs
+++ b/crates/storage/src/tests/bounds.rs
@@ -87,7 +87,7 @@
 fn queued_changes_are_written_as_one_entry_and_a_rejected_change_is_not_written() {
     let disk = SimulatedDisk::new(DiskImage::empty());
     let (storage, _) = Storage::open_on(disk.clone(), Path::new(FOLDER), Duration::ZERO).unwrap();
-    let number_before = recover(&disk, Path::new(FOLDER)).unwrap().number;
+    let number_before = recover(&disk, Path::new(FOLDER)).unwrap().sequence_number;
     let ((report_hang, hanging), (release, released)) = (channel(), channel::<()>());
     disk.observe(move |_, _| {
         report_hang.send(()).unwrap_or_default();
@@ -107,7 +107,7 @@
     assert!((0..=capacity).all(|n| durable.recv().unwrap() == n));
     let found = recover(&disk, Path::new(FOLDER)).unwrap();
     assert_eq!(
-        (found.number - number_before, &found.state.acceptors[&Register::Configuration]),
+        (found.sequence_number - number_before, &found.state.acceptors[&Register::Configuration]),
         (2, &acceptor(capacity, 9))
     );
 }
--- a/crates/storage/src/tests/crashes.rs
+++ b/crates/storage/src/tests/crashes.rs
@@ -40,7 +40,7 @@
         match self.states.iter().rposition(|state| *state == found.state) {
             Some(index) if index >= self.durable => Ok(index),
             Some(index) => Err(format!("state {index} recovered, {} was durable", self.durable)),
-            None => Err(format!("a state that never was, number {}", found.number)),
+            None => Err(format!("a state that never was, number {}", found.sequence_number)),
         }
     }
 }
--- a/crates/storage/src/tests/folders.rs
+++ b/crates/storage/src/tests/folders.rs
@@ -144,14 +144,14 @@
     let remove: Damage = Box::new(move |files| drop(files.remove(&removed)));
     let truncate: Damage = Box::new(move |files| files.get_mut(&truncated).unwrap().truncate(30));
     let cases: [(&str, StorageError, Damage); 10] = [
-        ("first entry", StorageError::Damaged, set_byte(&log, entries[0] + 30, 255)),
-        ("second entry", StorageError::Damaged, set_byte(&log, entries[1] + 30, 255)),
-        ("length of the second entry", StorageError::Damaged, set_byte(&log, entries[1] - 2, 255)),
-        ("head of the log", StorageError::Damaged, set_byte(&log, 0, 255)),
-        ("a byte of the snapshot", StorageError::Damaged, set_byte(&snapshot, 40, 255)),
-        ("magic of the snapshot", StorageError::Damaged, set_byte(&snapshot, 0, 255)),
-        ("snapshot truncated", StorageError::Damaged, truncate),
-        ("snapshot removed", StorageError::Damaged, remove),
+        ("first entry", StorageError::Corrupted, set_byte(&log, entries[0] + 30, 255)),
+        ("second entry", StorageError::Corrupted, set_byte(&log, entries[1] + 30, 255)),
+        ("length of the second entry", StorageError::Corrupted, set_byte(&log, entries[1] - 2, 255)),
+        ("head of the log", StorageError::Corrupted, set_byte(&log, 0, 255)),
+        ("a byte of the snapshot", StorageError::Corrupted, set_byte(&snapshot, 40, 255)),
+        ("magic of the snapshot", StorageError::Corrupted, set_byte(&snapshot, 0, 255)),
+        ("snapshot truncated", StorageError::Corrupted, truncate),
+        ("snapshot removed", StorageError::Corrupted, remove),
         ("later entry", StorageError::UnsupportedVersion, set_later_version_of_entry(&log, entries[2])),
         ("later snapshot", StorageError::UnsupportedVersion, set_byte(&snapshot, 7, 99)),
     ];
--- a/crates/storage/src/writer.rs
+++ b/crates/storage/src/writer.rs
@@ -1,4 +1,4 @@
-//! The handle of the storage and the thread that writes.
+//! The storage handle and the writer thread.
 
 use crate::disk::Disk;
 use crate::file_system::FileSystem;
@@ -10,30 +10,31 @@
 use std::thread;
 use std::time::Duration;
 
-/// Changes that can wait for the disk. When the queue is full the disk hangs: the change is rejected, and the voter does
-/// not send what depends on it.
+/// Number of changes that can wait to be written. A full queue means that the disk hangs: further changes are rejected,
+/// and the voter does not send the messages that depend on them.
 pub(crate) const QUEUE_CAPACITY: usize = 256;
 
-/// How long the writer waits before it retries a write that the disk refused.
+/// How long the writer waits before it retries a failed write.
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
+/// A change in the queue, and the callback for when it is durable.
 struct WriteRequest {
     change: StateChange,
     on_durable: Box<dyn FnOnce() + Send>,
 }
 
-/// The handle of an open data folder. Writes are done by a thread of their own, which ends when all handles are dropped.
+/// A handle to an open data folder. A dedicated thread performs the writes; it ends when all handles are dropped.
 #[derive(Clone)]
 pub struct Storage {
     requests: SyncSender<WriteRequest>,
 }
 
 impl Storage {
-    /// Opens the data folder, creates it where it is missing, and returns the state found there. That state is durable.
+    /// Opens the data folder, creating it if it is missing, and returns the state found there. That state is durable.
     ///
     /// # Errors
-    /// [`StorageError::Disk`] where the folder cannot be used at present, also where another process uses it; otherwise the
-    /// report names the file. The folder's contents are unaltered after an error about them.
+    /// [`StorageError::Disk`] if the folder cannot currently be accessed, for example because another process has locked it.
+    /// The other errors concern the contents, which are left unaltered; the report names the file or folder.
     pub fn open(folder: &Path) -> Result<(Storage, DurableState), Report<StorageError>> {
         Storage::open_on(FileSystem::default(), folder, RETRY_INTERVAL)
     }
@@ -53,14 +54,15 @@
         Ok((Storage { requests }, state))
     }
 
-    /// Persists a change. `on_durable` is called from the writing thread once the change is synced, in the order of the
-    /// calls. Returns false, and drops the change, where 256 changes are waiting already.
+    /// Enqueues a change to be persisted. The writer thread calls `on_durable` once the change is synced, in the order
+    /// in which changes were enqueued. Returns false and drops the change if 256 changes are already waiting.
     pub fn enqueue(&self, change: StateChange, on_durable: impl FnOnce() + Send + 'static) -> bool {
         self.requests.try_send(WriteRequest { change, on_durable: Box::new(on_durable) }).is_ok()
     }
 }
 
-/// Serves requests until all handles are dropped. Requests that are waiting are written as one entry, with one sync.
+/// Performs write requests until all handles are dropped. Requests that are waiting are written together, as one log
+/// entry with one sync.
 fn write_requests<D: Disk>(mut store: Store<D>, queue: &Receiver<WriteRequest>, retry_interval: Duration) {
     while let Ok(first) = queue.recv() {
         let batch: Vec<WriteRequest> =
@@ -70,11 +72,12 @@
             store.persist(change, retry_interval);
         }
         batch.into_iter().for_each(|request| (request.on_durable)());
-        // After the callbacks: only later requests wait for a checkpoint.
+        // After the callbacks, so that only later requests wait for a checkpoint.
         store.checkpoint_if_due();
     }
 }
 
+/// Merges the changes of a batch in order.
 fn merged_change(batch: &[WriteRequest]) -> StateChange {
     let mut merged = StateChange::default();
     for request in batch {
