--- a/crates/storage/src/tests/counting_disk.rs
+++ b/crates/storage/src/tests/counting_disk.rs
@@ -1,4 +1,4 @@
-//! A disk in memory that counts what is written.
+//! An in-memory disk that counts the bytes written, the syncs and the bytes in use.
 
 use crate::disk::{Disk, Log};
 use std::collections::BTreeMap;
@@ -6,10 +6,10 @@
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Mutex};
 
-/// Bytes that a log's file is preallocated with, as on the file system.
+/// Preallocated length of a segment file, as on the file system.
 pub const SEGMENT_BYTES: usize = 256 * 1024;
 
-/// What `okaywal` adds to an entry: mark and id, mark and length, checksum, mark.
+/// Bytes that `okaywal` adds to an entry: marker and id, chunk marker and length, checksum, end marker.
 const ENTRY_OVERHEAD_BYTES: usize = 19;
 
 #[derive(Clone, Default)]
@@ -85,27 +85,27 @@
     fn create_log(&self, folder: &Path) -> io::Result<CountingLog> {
         let file = folder.join("wal-1");
         self.append(&file, &[0; SEGMENT_BYTES], true);
-        Ok(CountingLog { disk: self.clone(), file, used: 0 })
+        Ok(CountingLog { disk: self.clone(), file, used_bytes: 0 })
     }
 }
 
 pub struct CountingLog {
     disk: CountingDisk,
     file: PathBuf,
-    used: usize,
+    used_bytes: usize,
 }
 
 impl Log for CountingLog {
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
-        let is_first = self.used == 0;
+        let is_first = self.used_bytes == 0;
         let entry_bytes = bytes.len() + ENTRY_OVERHEAD_BYTES;
-        self.used += entry_bytes;
+        self.used_bytes += entry_bytes;
         self.disk.counts.lock().unwrap().bytes_written += entry_bytes;
-        let growth = self.used.saturating_sub(self.disk.files.lock().unwrap()[&self.file].len());
+        let growth = self.used_bytes.saturating_sub(self.disk.files.lock().unwrap()[&self.file].len());
         self.disk.append(&self.file, &vec![0; growth], false);
         let mut counts = self.disk.counts.lock().unwrap();
         counts.syncs += if is_first { 2 } else { 1 };
-        // Counted in `entry_bytes` already.
+        // `entry_bytes` already includes them.
         counts.bytes_written -= growth;
         Ok(())
     }
--- a/crates/storage/src/tests/crashes.rs
+++ b/crates/storage/src/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! What a crash leaves, at every point of a run.
+//! Recovery after a process crash or a power loss, at every disk operation of a run.
 
 use super::simulated_disk::{DiskImage, FOLDER, SimulatedDisk, for_each_power_loss};
 use super::{nth_change, state_after};
@@ -11,12 +11,12 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// So low that a few changes make a checkpoint due.
+/// Small enough that a few changes make a checkpoint due.
 const MIN_CHECKPOINT_BYTES: usize = 700;
-/// Power losses tried at one point of the run.
-const MAX_LOSSES: u64 = 300;
+/// The maximum number of power loss outcomes enumerated after one operation.
+const MAX_POWER_LOSSES: u64 = 300;
 
-/// All states in their order, and the index of the last one that was reported as durable.
+/// All states of a run in order, and the index of the last one that was reported as durable.
 #[derive(Clone, Default)]
 struct History {
     states: Vec<DurableState>,
@@ -32,19 +32,23 @@
         History { states: vec![state], durable: 0 }
     }
 
-    /// The index of the state that is recovered from a disk. It has to be the state of one moment, and not from before the
-    /// last one that was reported as durable.
+    /// Recovers the state from a disk and returns its index in the history. It is an error if the state is not in the
+    /// history, or precedes the last one that was reported as durable.
     fn recovered_index(&self, image: &DiskImage) -> Result<usize, String> {
         let found = recover(&SimulatedDisk::new(image.clone()), Path::new(FOLDER))
             .map_err(|error| format!("{error:#}"))?;
         match self.states.iter().rposition(|state| *state == found.state) {
             Some(index) if index >= self.durable => Ok(index),
-            Some(index) => Err(format!("state {index} recovered, {} was durable", self.durable)),
-            None => Err(format!("a state that never was, number {}", found.sequence_number)),
+            Some(index) => Err(format!("recovered state {index}, but state {} was durable", self.durable)),
+            None => Err(format!(
+                "recovered a state that never existed, with sequence number {}",
+                found.sequence_number
+            )),
         }
     }
 }
 
+/// Opens the data folder, and retries while the disk fails.
 fn open(disk: &SimulatedDisk) -> Store<SimulatedDisk> {
     loop {
         match Store::open(disk.clone(), Path::new(FOLDER), MIN_CHECKPOINT_BYTES) {
@@ -54,6 +58,7 @@
     }
 }
 
+/// Persists the n-th change and records it in the history.
 fn persist(store: &mut Store<SimulatedDisk>, history: &Mutex<History>, n: u64) {
     let change = nth_change(store.state(), n);
     {
@@ -69,9 +74,10 @@
     store.checkpoint_if_due();
 }
 
-/// Selects paths whose sync is omitted.
+/// Selects the paths whose sync does nothing and reports success.
 type OmittedSyncs = fn(&Path) -> bool;
 
+/// The outcome of checking the disk images that crashes leave.
 #[derive(Clone, Default)]
 struct CrashReport {
     first_violation: Option<String>,
@@ -90,11 +96,15 @@
     }
 }
 
-/// One run; after each operation the process is killed, or the power is lost in every way.
-fn crash_everywhere(changes: u64, refused: Range<u64>, omitted_syncs: OmittedSyncs) -> CrashReport {
+/// Runs `changes` changes. After each disk operation, checks what a kill of the process and power losses would leave.
+fn check_crash_after_every_operation(
+    changes: u64,
+    failed_operations: Range<u64>,
+    omitted_syncs: OmittedSyncs,
+) -> CrashReport {
     let disk = SimulatedDisk::new(DiskImage::empty());
     disk.omit_syncs(omitted_syncs);
-    disk.refuse(refused, 3);
+    disk.fail_operations(failed_operations, 3);
     let history = Arc::new(Mutex::new(History::new()));
     let report = Arc::new(Mutex::new(CrashReport::default()));
     let (observed_history, shared_report) = (history.clone(), report.clone());
@@ -102,8 +112,8 @@
     disk.observe(move |image, operation| {
         let history = observed_history.lock().unwrap().clone();
         let report = &mut *shared_report.lock().unwrap();
-        report.check(&history, image, "killed", operation);
-        for_each_power_loss(image, MAX_LOSSES, &mut rng, |image| {
+        report.check(&history, image, "process killed", operation);
+        for_each_power_loss(image, MAX_POWER_LOSSES, &mut rng, |image| {
             report.check(&history, &image, "power lost", operation);
         });
     });
@@ -113,23 +123,24 @@
 }
 
 #[test]
-fn crash_at_every_point_leaves_every_durable_change() {
-    let report = crash_everywhere(24, 0..0, |_| false);
+fn durable_changes_survive_a_crash_after_any_operation() {
+    let report = check_crash_after_every_operation(24, 0..0, |_| false);
     assert_eq!(report.first_violation, None);
-    assert!(report.images_checked > 1000, "{}", report.images_checked);
+    assert!(report.images_checked > 1000, "only {} disk images checked", report.images_checked);
 }
 
-/// The disk refuses for a while, wherever that begins. What it refused may have been done nevertheless, and what it refused
-/// to sync may be visible only.
+/// All operations in a range fail, with different starts of the range. A failed operation may have taken effect
+/// nevertheless, and data whose sync failed may be visible but not durable.
 #[test]
-fn crash_while_the_disk_refuses_leaves_every_durable_change() {
+fn durable_changes_survive_a_crash_while_the_disk_fails() {
     for start in (0..90).step_by(4) {
-        let report = crash_everywhere(12, start..start + 17, |_| false);
-        assert_eq!(report.first_violation, None, "refused from {start}");
+        let report = check_crash_after_every_operation(12, start..start + 17, |_| false);
+        assert_eq!(report.first_violation, None, "failing from operation {start}");
     }
 }
 
-/// Each sync is needed: without it the crash tests find a change that is lost, or a mixed state.
+/// Checks that the crash tests detect a missing sync, and that each sync is needed: without it a change is lost, or a
+/// state is recovered that never existed.
 #[test]
 fn omitting_any_sync_is_detected() {
     let omissions: [(&str, OmittedSyncs); 4] = [
@@ -139,38 +150,38 @@
         ("entry", |path| path.ends_with("wal-1")),
     ];
     for (what, omitted_syncs) in omissions {
-        let report = crash_everywhere(24, 0..0, omitted_syncs);
-        assert!(report.first_violation.is_some(), "{what}");
+        let report = check_crash_after_every_operation(24, 0..0, omitted_syncs);
+        assert!(report.first_violation.is_some(), "omitted sync not detected: {what}");
     }
 }
 
-/// Regression: the disk refused round 3 while the log had round 2. The log was replayed over the state in memory, and the
-/// next snapshot had the state of round 2.
+/// Guards against a failed write that reverts the state in memory. Once, the write of round 3 failed while the log had
+/// round 2: the log was replayed over the state in memory, and the next snapshot had the state of round 2.
 #[test]
-fn refused_write_never_reverts_the_state_in_memory() {
-    for refusals in 1..9 {
+fn failed_write_never_reverts_the_state_in_memory() {
+    for failures in 1..9 {
         let disk = SimulatedDisk::new(DiskImage::empty());
         let history = Mutex::new(History::new());
         let mut store = open(&disk);
         (1..3).for_each(|n| persist(&mut store, &history, n));
         let start = disk.operations();
-        disk.refuse(start..start + refusals, refusals.into());
+        disk.fail_operations(start..start + failures, failures.into());
         (3..30).for_each(|n| persist(&mut store, &history, n));
         let history = history.into_inner().unwrap();
         assert_eq!(history.recovered_index(&disk.image()), Ok(29));
     }
 }
 
-/// Random changes, refusals and crashes; each start goes on from what the crash before left. A change that was lost once
-/// stays lost.
+/// Random changes, disk failures and crashes. Each run continues on the disk that the previous crash left. A change
+/// that a crash lost must not reappear later.
 #[test]
 fn repeated_crashes_and_restarts_preserve_durable_changes() {
     for seed in 0..40 {
-        crash_and_restart(seed);
+        crash_and_restart_repeatedly(seed);
     }
 }
 
-fn crash_and_restart(seed: u128) {
+fn crash_and_restart_repeatedly(seed: u128) {
     const INCARNATIONS: usize = 8;
     let mut rng = Rand64::new(seed);
     let mut image = DiskImage::empty();
@@ -190,7 +201,7 @@
     }
 }
 
-/// Starts on a disk and makes changes until an operation that is drawn; the disk and the history at that moment.
+/// Opens a disk and persists changes until a randomly drawn operation. Returns the disk and the history right after it.
 fn run_until_crash(
     seed: u128,
     rng: &mut Rand64,
@@ -202,20 +213,21 @@
     let history = Arc::new(Mutex::new(history.clone()));
     let at_crash = Arc::new(Mutex::new(None));
     let (observed_history, captured) = (history.clone(), at_crash.clone());
-    let crash = rng.rand_range(1..120);
+    let crash_operation = rng.rand_range(1..120);
     disk.observe(move |image, operation| {
-        if operation == crash {
+        if operation == crash_operation {
             *captured.lock().unwrap() = Some((image.clone(), observed_history.lock().unwrap().clone()));
         }
     });
-    let start = rng.rand_range(0..160);
-    disk.refuse(start..start + rng.rand_range(0..20), rng.rand_u64().into());
+    let first_failure = rng.rand_range(0..160);
+    disk.fail_operations(first_failure..first_failure + rng.rand_range(0..20), rng.rand_u64().into());
     let mut store = open(&disk);
     {
-        // What a start returns is sent to others: from here on it has to be durable.
+        // A node sends the state that it opened with to others, so that state must already be durable.
         let mut history = history.lock().unwrap();
         let index = history.states.iter().rposition(|state| state == store.state());
-        history.durable = index.unwrap_or_else(|| panic!("seed {seed}: a state that never was"));
+        history.durable =
+            index.unwrap_or_else(|| panic!("seed {seed}: opened with a state that never existed"));
         let durable = history.durable;
         history.states.truncate(durable + 1);
     }
@@ -226,10 +238,11 @@
     at_crash.lock().unwrap().take().unwrap()
 }
 
-/// A start on a disk that takes no more writes, but still syncs, returns what is there, also where the process ended before
-/// that was synced; a power loss right after the start leaves it. Changes go on once there is space.
+/// A disk that rejects the first write but still syncs can be opened, even if the previous process ended before its
+/// last writes were synced. The opened state survives a power loss right after that, and changes succeed once there is
+/// space.
 #[test]
-fn full_disk_does_not_prevent_a_start() {
+fn full_disk_does_not_prevent_opening() {
     let disk = SimulatedDisk::new(DiskImage::empty());
     let images = Arc::new(Mutex::new(Vec::new()));
     let observed_images = images.clone();
@@ -240,11 +253,11 @@
     let mut rng = Rand64::new(5);
     for image in images.lock().unwrap().drain(..) {
         let disk = SimulatedDisk::new(image);
-        // The first write to the temporary snapshot.
-        disk.refuse(0..1, 1);
+        // Fails the first write to the temporary snapshot.
+        disk.fail_operations(0..1, 1);
         let mut store = open(&disk);
         let history = Mutex::new(History::from(store.state().clone()));
-        for_each_power_loss(&disk.image(), MAX_LOSSES / 5, &mut rng, |image| {
+        for_each_power_loss(&disk.image(), MAX_POWER_LOSSES / 5, &mut rng, |image| {
             assert_eq!(history.lock().unwrap().recovered_index(&image), Ok(0));
         });
         (12..15).for_each(|n| persist(&mut store, &history, n));
--- a/crates/storage/src/tests/folders.rs
+++ b/crates/storage/src/tests/folders.rs
@@ -1,6 +1,6 @@
-//! Data folders as a start finds them: after many restarts, torn, damaged, of a later version, and legacy.
+//! Opening data folders after restarts, with torn logs, with corrupted files, of a later version, and in the legacy format.
 
-use super::{accept, acceptor, folder, nth_change, open, persist};
+use super::{accept_value, acceptor_state, nth_change, open, persist, temporary_folder};
 use crate::disk::Log;
 use crate::file_system::open_log;
 use crate::{DurableState, StateChange, Storage, StorageError, legacy_format};
@@ -9,9 +9,10 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
+/// The contents of files by path.
 type Files = BTreeMap<PathBuf, Vec<u8>>;
 
-/// All files in a folder and in the folders within it.
+/// Reads all files in a folder and its subfolders.
 fn files_in(folder: &Path) -> Files {
     let entries = fs::read_dir(folder).unwrap().map(|entry| entry.unwrap().path());
     entries
@@ -22,7 +23,7 @@
         .collect()
 }
 
-/// Replaces the contents of a folder.
+/// Replaces the contents of a folder by these files.
 fn replace_contents(folder: &Path, files: &Files) {
     fs::remove_dir_all(folder).unwrap();
     for (path, bytes) in files {
@@ -31,19 +32,20 @@
     }
 }
 
+/// The path of the only segment file among the files.
 fn log_file(files: &Files) -> PathBuf {
     files.keys().find(|path| path.ends_with("wal-1")).unwrap().clone()
 }
 
-/// The length without the zeros at the end.
-fn used_bytes(bytes: &[u8]) -> usize {
+/// The length without the trailing zeros.
+fn used_length(bytes: &[u8]) -> usize {
     bytes.iter().rposition(|&byte| byte != 0).unwrap() + 1
 }
 
-/// Also after the log was replaced by a snapshot; and a folder is used by one handle at a time.
+/// Also checks that a log that grew long was replaced by a snapshot, and that only one handle at a time can open a folder.
 #[test]
 fn durable_changes_survive_restarts_and_checkpoints() {
-    let folder = folder("restarts");
+    let folder = temporary_folder("restarts");
     let mut state = DurableState::default();
     for n in 0..4 {
         let (storage, found) = open(&folder);
@@ -52,7 +54,7 @@
         for round in 1..150 {
             let change = match round < 20 {
                 true => nth_change(&state, n * 150 + round),
-                false => accept(n * 150 + round, 3000),
+                false => accept_value(n * 150 + round, 3000),
             };
             state.apply(change.clone());
             persist(&storage, change);
@@ -64,19 +66,20 @@
     fs::remove_dir_all(&folder).unwrap();
 }
 
-/// The state is one of before, never a mixed or invented one. Regression: nearly every cut prevented the start.
+/// Guards against torn logs that prevent opening, or that are recovered as a state that never existed. At first, almost
+/// every truncation point prevented opening.
 #[test]
 fn log_truncated_anywhere_opens_with_an_earlier_state() {
-    let folder = folder("torn");
+    let folder = temporary_folder("torn");
     let (storage, _) = open(&folder);
     let voter_set = Some(VoterSet::initial(&[1, 2, 3]));
     persist(&storage, StateChange { voter_set, ..StateChange::default() });
-    (1..4).for_each(|round| persist(&storage, accept(round, 30)));
+    (1..4).for_each(|round| persist(&storage, accept_value(round, 30)));
     drop(storage);
     let complete = files_in(&folder);
     let log = log_file(&complete);
     let mut last_round = 0;
-    for cut in 0..=used_bytes(&complete[&log]) {
+    for cut in 0..=used_length(&complete[&log]) {
         let mut torn = complete.clone();
         torn.get_mut(&log).unwrap()[cut..].fill(0);
         replace_contents(&folder, &torn);
@@ -84,7 +87,7 @@
         let configuration = found.acceptors.get(&Register::Configuration);
         let round = configuration.map_or(0, |acceptor| acceptor.promised.round);
         assert!(
-            configuration.is_none_or(|found_acceptor| *found_acceptor == acceptor(round, 30)
+            configuration.is_none_or(|found_acceptor| *found_acceptor == acceptor_state(round, 30)
                 && found.voter_set.voters == [1, 2, 3]),
             "cut at {cut}"
         );
@@ -95,16 +98,16 @@
     fs::remove_dir_all(&folder).unwrap();
 }
 
-/// A way to damage the files of a folder.
-type Damage = Box<dyn Fn(&mut Files)>;
+/// Corrupts the files of a folder.
+type Corruption = Box<dyn Fn(&mut Files)>;
 
-fn set_byte(path: &Path, offset: usize, byte: u8) -> Damage {
+fn set_byte(path: &Path, offset: usize, byte: u8) -> Corruption {
     let path = path.to_path_buf();
     Box::new(move |files| files.get_mut(&path).unwrap()[offset] = byte)
 }
 
-/// Gives the entry at `offset` a later version and the checksum of that.
-fn set_later_version_of_entry(path: &Path, offset: usize) -> Damage {
+/// Sets a later format version in the entry at `offset` and updates the entry's checksum.
+fn set_later_version_of_entry(path: &Path, offset: usize) -> Corruption {
     let path = path.to_path_buf();
     Box::new(move |files| {
         let log = files.get_mut(&path).unwrap();
@@ -115,25 +118,26 @@
     })
 }
 
-/// A folder with a snapshot of several starts and a log of three entries.
+/// Creates a folder whose snapshot was written after several restarts and whose log has three entries.
 fn write_three_entries_after_a_snapshot(folder: &Path) {
     let (storage, _) = open(folder);
-    (1..4).for_each(|round| persist(&storage, accept(round, 30)));
+    (1..4).for_each(|round| persist(&storage, accept_value(round, 30)));
     drop(storage);
     open(folder);
     let (storage, _) = open(folder);
-    (4..7).for_each(|round| persist(&storage, accept(round, 30)));
+    (4..7).for_each(|round| persist(&storage, accept_value(round, 30)));
     drop(storage);
     drop(open(folder).0);
     let (storage, _) = open(folder);
-    (7..10).for_each(|round| persist(&storage, accept(round, 30)));
+    (7..10).for_each(|round| persist(&storage, accept_value(round, 30)));
     drop(storage);
 }
 
-/// They are errors that name the file, never an empty or an earlier state.
+/// Guards against corrupted files, or files of a later version, that open as an empty or earlier state or are altered.
+/// The error has to name the folder.
 #[test]
-fn damage_and_later_versions_are_reported_and_left_unaltered() {
-    let folder = folder("damaged");
+fn corruption_and_later_versions_are_reported_and_left_unaltered() {
+    let folder = temporary_folder("corrupted");
     write_three_entries_after_a_snapshot(&folder);
     let intact = files_in(&folder);
     let (log, snapshot) = (log_file(&intact), folder.join("snapshot"));
@@ -141,43 +145,47 @@
         (0..intact[&log].len()).filter(|&offset| intact[&log][offset..].starts_with(b"LOGLINE")).collect();
     assert_eq!(entries.len(), 3);
     let (removed, truncated) = (snapshot.clone(), snapshot.clone());
-    let remove: Damage = Box::new(move |files| drop(files.remove(&removed)));
-    let truncate: Damage = Box::new(move |files| files.get_mut(&truncated).unwrap().truncate(30));
-    let cases: [(&str, StorageError, Damage); 10] = [
+    let remove: Corruption = Box::new(move |files| drop(files.remove(&removed)));
+    let truncate: Corruption = Box::new(move |files| files.get_mut(&truncated).unwrap().truncate(30));
+    let cases: [(&str, StorageError, Corruption); 10] = [
         ("first entry", StorageError::Corrupted, set_byte(&log, entries[0] + 30, 255)),
         ("second entry", StorageError::Corrupted, set_byte(&log, entries[1] + 30, 255)),
         ("length of the second entry", StorageError::Corrupted, set_byte(&log, entries[1] - 2, 255)),
-        ("head of the log", StorageError::Corrupted, set_byte(&log, 0, 255)),
+        ("header of the log", StorageError::Corrupted, set_byte(&log, 0, 255)),
         ("a byte of the snapshot", StorageError::Corrupted, set_byte(&snapshot, 40, 255)),
         ("magic of the snapshot", StorageError::Corrupted, set_byte(&snapshot, 0, 255)),
         ("snapshot truncated", StorageError::Corrupted, truncate),
         ("snapshot removed", StorageError::Corrupted, remove),
-        ("later entry", StorageError::UnsupportedVersion, set_later_version_of_entry(&log, entries[2])),
-        ("later snapshot", StorageError::UnsupportedVersion, set_byte(&snapshot, 7, 99)),
+        (
+            "entry of a later version",
+            StorageError::UnsupportedVersion,
+            set_later_version_of_entry(&log, entries[2]),
+        ),
+        ("snapshot of a later version", StorageError::UnsupportedVersion, set_byte(&snapshot, 7, 99)),
     ];
-    for (what, expected, damage) in cases {
-        let mut damaged = intact.clone();
-        damage(&mut damaged);
-        replace_contents(&folder, &damaged);
-        let error = Storage::open(&folder).err().unwrap_or_else(|| panic!("{what}: opened"));
+    for (what, expected, corrupt) in cases {
+        let mut corrupted = intact.clone();
+        corrupt(&mut corrupted);
+        replace_contents(&folder, &corrupted);
+        let error = Storage::open(&folder).err().unwrap_or_else(|| panic!("{what}: opened without an error"));
         assert_eq!(*error.current_context(), expected, "{what}");
         assert!(format!("{error:?}").contains(folder.to_str().unwrap()), "{what}: {error:?}");
-        assert!(files_in(&folder) == damaged, "{what}");
+        assert!(files_in(&folder) == corrupted, "{what}: files were altered");
     }
     fs::remove_dir_all(&folder).unwrap();
 }
 
-/// A log of before the snapshot that came back after a power loss, or was never removed. Regression: its entries were
-/// replayed over the newer snapshot. An unfinished snapshot is ignored as well.
+/// Guards against replaying the entries of an older log over a newer snapshot, as happened once. Such a log may
+/// reappear after a power loss, or may never have been removed. An unfinished snapshot has to be ignored as well.
 #[test]
 fn older_log_beside_a_newer_snapshot_is_ignored() {
-    let folder = folder("older");
+    let folder = temporary_folder("older");
     let (storage, _) = open(&folder);
-    (1..4).for_each(|round| persist(&storage, accept(round, 30)));
+    (1..4).for_each(|round| persist(&storage, accept_value(round, 30)));
     drop(storage);
     let older = files_in(&folder);
     let (storage, _) = open(&folder);
-    (4..7).for_each(|round| persist(&storage, accept(round, 30)));
+    (4..7).for_each(|round| persist(&storage, accept_value(round, 30)));
     drop(storage);
     drop(open(&folder));
     drop(open(&folder));
@@ -185,30 +193,30 @@
     mixed.insert(log_file(&older), older[&log_file(&older)].clone());
     mixed.insert(folder.join("snapshot.new"), vec![7; 99]);
     replace_contents(&folder, &mixed);
-    assert_eq!(open(&folder).1.acceptors[&Register::Configuration], acceptor(6, 30));
+    assert_eq!(open(&folder).1.acceptors[&Register::Configuration], acceptor_state(6, 30));
     fs::remove_dir_all(&folder).unwrap();
 }
 
-/// The entry of a legacy log that accepts the value of this round.
+/// A legacy log entry in which the configuration register accepts a value of this round.
 fn legacy_entry(round: u64) -> Vec<u8> {
-    let archlink_messages::AcceptorState { promised, accepted } = acceptor(round, 300);
+    let archlink_messages::AcceptorState { promised, accepted } = acceptor_state(round, 300);
     let accepted = accepted.map(|accepted| legacy_format::AcceptedValue {
         proposal: accepted.proposal,
         revision: accepted.revision,
         value: accepted.value,
     });
-    let first_voters = legacy_format::AcceptorState { promised, accepted: None };
+    let first_voter_set_vote = legacy_format::AcceptorState { promised, accepted: None };
     let acceptors = vec![
         (Register::Configuration, legacy_format::AcceptorState { promised, accepted }),
-        (Register::VoterSet, first_voters),
+        (Register::VoterSet, first_voter_set_vote),
     ];
     postcard::to_stdvec(&legacy_format::StateChange { acceptors, ..Default::default() }).unwrap()
 }
 
-/// Its log is torn at the end. It is read once, and has the present format from then on.
+/// The legacy log has a torn tail. The folder is read once and is in the present format from then on.
 #[test]
 fn legacy_folder_is_migrated_at_the_first_start() {
-    let folder = folder("legacy");
+    let folder = temporary_folder("legacy");
     fs::create_dir_all(&folder).unwrap();
     let state = legacy_format::DurableState { voters: vec![1, 2, 3], ..Default::default() };
     fs::write(folder.join("snapshot"), postcard::to_stdvec(&state).unwrap()).unwrap();
@@ -217,17 +225,17 @@
     drop(log);
     let mut torn = files_in(&folder);
     let bytes = torn.get_mut(&log_file(&torn.clone())).unwrap();
-    let used = used_bytes(bytes);
+    let used = used_length(bytes);
     bytes[used - 100..].fill(0);
     replace_contents(&folder, &torn);
     for round in 3..6 {
         let (storage, found) = open(&folder);
         assert_eq!(
             (found.voter_set.voters, &found.acceptors[&Register::Configuration]),
-            (vec![1, 2, 3], &acceptor(round - 1, 300))
+            (vec![1, 2, 3], &acceptor_state(round - 1, 300))
         );
         assert!(!folder.join("log").exists());
-        persist(&storage, accept(round, 300));
+        persist(&storage, accept_value(round, 300));
     }
     fs::remove_dir_all(&folder).unwrap();
 }
--- a/crates/storage/src/tests/simulated_disk/image.rs
+++ b/crates/storage/src/tests/simulated_disk/image.rs
@@ -1,4 +1,5 @@
-//! The contents of a simulated disk: for each file and folder what is durable, what is visible, and the writes in between.
+//! The contents of a simulated disk: for each file and folder the durable contents, the visible contents, and the pending
+//! writes between the two.
 
 use super::power_loss::partial_write;
 use std::collections::BTreeMap;
@@ -28,7 +29,7 @@
 /// The index of an inode in its image.
 type InodeId = usize;
 
-/// A change of the names in a folder.
+/// A change to the directory entries of a folder.
 #[derive(Clone)]
 enum NameChange {
     Link { name: String, inode: InodeId },
@@ -53,7 +54,8 @@
     }
 }
 
-/// `durable` survives a power loss for certain; `visible` is what a reader sees; `pending` leads from the one to the other.
+/// A file or folder. `durable` is guaranteed to survive a power loss, `visible` is what a reader sees, and `pending` has the
+/// changes that lead from `durable` to `visible`.
 #[derive(Clone)]
 pub enum Inode {
     File { durable: Vec<u8>, visible: Vec<u8>, pending: Vec<Write> },
@@ -84,7 +86,7 @@
         DiskImage { inodes: vec![Inode::Folder(Folder::default())] }
     }
 
-    /// What is visible at a path.
+    /// Returns the inode that is visible at a path.
     pub fn get(&self, path: &Path) -> Option<&Inode> {
         self.find(path).map(|id| &self.inodes[id])
     }
@@ -96,12 +98,12 @@
         })
     }
 
-    fn existing(&self, path: &Path) -> io::Result<InodeId> {
+    fn find_existing(&self, path: &Path) -> io::Result<InodeId> {
         self.find(path).ok_or(io::ErrorKind::NotFound.into())
     }
 
     fn change_names(&mut self, path: &Path, change: NameChange) -> io::Result<()> {
-        let id = self.existing(path.parent().unwrap())?;
+        let id = self.find_existing(path.parent().unwrap())?;
         let Inode::Folder(folder) = &mut self.inodes[id] else { panic!("not a folder") };
         change.apply_to(&mut folder.visible);
         folder.pending.push(change);
@@ -118,7 +120,7 @@
         self.create(path, Inode::Folder(Folder::default())).map(drop)
     }
 
-    /// Writes to a file, which is created where it is missing.
+    /// Writes to a file, creating it if it is missing.
     pub fn write(&mut self, path: &Path, write: Write) -> io::Result<()> {
         let id = match self.find(path) {
             Some(id) => id,
@@ -131,18 +133,19 @@
     }
 
     pub fn rename(&mut self, from: &Path, to: &Path) -> io::Result<()> {
-        let inode = self.existing(from)?;
+        let inode = self.find_existing(from)?;
         self.change_names(from, NameChange::Rename { from: file_name(from), to: file_name(to), inode })
     }
 
     pub fn remove(&mut self, path: &Path) -> io::Result<()> {
-        self.existing(path)?;
+        self.find_existing(path)?;
         self.change_names(path, NameChange::Unlink { name: file_name(path) })
     }
 
-    /// With `reaches_disk` false, what was pending stays visible but no later sync makes it durable either.
+    /// Syncs a file or folder. If `reaches_disk` is false, the pending changes stay visible but are never made durable,
+    /// even by a later sync.
     pub fn sync(&mut self, path: &Path, reaches_disk: bool) -> io::Result<()> {
-        let id = self.existing(path)?;
+        let id = self.find_existing(path)?;
         match &mut self.inodes[id] {
             Inode::File { durable, pending, .. } => {
                 pending.drain(..).filter(|_| reaches_disk).for_each(|write| write.apply_to(durable));
@@ -155,8 +158,8 @@
         Ok(())
     }
 
-    /// A disk that a power loss may leave: of each pending write all, nothing or a part. `choose(n)` gives a number below
-    /// `n` for each decision.
+    /// Returns a disk that a power loss may leave: of each pending write, all, part or nothing is durable. `choose(n)`
+    /// makes each decision by returning a number below `n`.
     pub fn after_power_loss(&self, choose: &mut dyn FnMut(u32) -> u32) -> DiskImage {
         let mut image = self.clone();
         image.lose_pending(0, choose);
--- a/crates/storage/src/tests/simulated_disk/log.rs
+++ b/crates/storage/src/tests/simulated_disk/log.rs
@@ -1,6 +1,6 @@
-//! Logs on a simulated disk. They are written by `okaywal` to a scratch folder on the file system; what it wrote is copied
-//! from there to the simulated disk, in the order in which it writes and syncs: the entry, a sync of the file, and the first
-//! time a sync of the folder.
+//! Logs on a simulated disk. `okaywal` writes each log to a scratch folder on the file system. Its writes are copied to
+//! the simulated disk in the order in which it writes and syncs: the entry, a sync of the file, and, the first time, a
+//! sync of the folder.
 
 use super::SimulatedDisk;
 use super::image::Write;
@@ -12,7 +12,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Bytes that files in the scratch folder are preallocated with.
+/// Preallocated length of a segment file in the scratch folder.
 const SEGMENT_BYTES: u32 = 2048;
 
 const FILE_NAME: &str = "wal-1";
@@ -22,7 +22,7 @@
     file: PathBuf,
     log: WriteAheadLog,
     scratch_folder: PathBuf,
-    /// The contents of the file when it was copied last.
+    /// The contents of the segment file when it was last copied.
     copied: Vec<u8>,
     is_folder_synced: bool,
 }
@@ -43,6 +43,7 @@
         Ok(log)
     }
 
+    /// Copies the bytes of the segment file that changed since the last copy to the simulated disk.
     fn copy_changes(&mut self) -> io::Result<()> {
         let contents = fs::read(self.scratch_folder.join(FILE_NAME))?;
         let start = contents.iter().zip(&self.copied).take_while(|(new, old)| new == old).count();
--- a/crates/storage/src/tests/simulated_disk/mod.rs
+++ b/crates/storage/src/tests/simulated_disk/mod.rs
@@ -1,5 +1,5 @@
-//! A simulated disk. On a power loss, what was written since the last sync survives or is lost, each file and each name by
-//! itself, completely or in part. The disk can refuse operations, and omit syncs.
+//! A simulated disk. On a power loss, the writes since the last sync survive or are lost, independently for each file and
+//! directory entry, and completely or in part. The disk can be made to fail operations and to omit syncs.
 
 mod image;
 mod log;
@@ -20,16 +20,18 @@
 /// The data folder on simulated disks.
 pub const FOLDER: &str = "simulated";
 
+/// Called after each operation with the contents of the disk and the operation's number.
 type Observer = Box<dyn FnMut(&DiskImage, u64) + Send>;
 
 struct Inner {
     image: DiskImage,
-    /// Operations done so far: writes, syncs, changes of names.
+    /// The number of operations so far: writes, syncs and changes to directory entries.
     operations: u64,
-    refused: Range<u64>,
-    /// Decides whether a refused operation was done nevertheless.
+    /// The numbers of the operations that fail.
+    failed_operations: Range<u64>,
+    /// Decides whether a failed operation takes effect nevertheless.
     rng: Rand64,
-    /// Paths whose sync reports success and does nothing: planted faults.
+    /// Selects the paths whose sync does nothing and reports success: an injected fault.
     is_sync_omitted: fn(&Path) -> bool,
     observer: Option<Observer>,
 }
@@ -44,7 +46,7 @@
         let inner = Inner {
             image,
             operations: 0,
-            refused: 0..0,
+            failed_operations: 0..0,
             rng: Rand64::new(7),
             is_sync_omitted: |_| false,
             observer: None,
@@ -64,12 +66,13 @@
         self.inner().operations
     }
 
-    /// Refuses all operations of these numbers.
-    pub fn refuse(&self, refused: Range<u64>, seed: u128) {
+    /// Fails all operations with these numbers. `seed` decides which of them take effect nevertheless.
+    pub fn fail_operations(&self, failed_operations: Range<u64>, seed: u128) {
         let mut inner = self.inner();
-        (inner.refused, inner.rng) = (refused, Rand64::new(seed));
+        (inner.failed_operations, inner.rng) = (failed_operations, Rand64::new(seed));
     }
 
+    /// Turns the sync of the selected paths into an operation that does nothing and reports success.
     pub fn omit_syncs(&self, is_sync_omitted: fn(&Path) -> bool) {
         self.inner().is_sync_omitted = is_sync_omitted;
     }
@@ -83,17 +86,17 @@
         let mut inner = self.inner();
         let number = inner.operations;
         inner.operations += 1;
-        let is_refused = inner.refused.contains(&number);
-        // A refused operation may have been done nevertheless.
+        let fails = inner.failed_operations.contains(&number);
+        // A failed operation may take effect nevertheless.
         let mut result = Ok(());
-        if !is_refused || inner.rng.rand_range(0..2) == 0 {
+        if !fails || inner.rng.rand_range(0..2) == 0 {
             result = operation(&mut inner.image);
         }
         let Inner { image, observer, .. } = &mut *inner;
         if let Some(observer) = observer {
             observer(image, number);
         }
-        if is_refused { Err(io::ErrorKind::StorageFull.into()) } else { result }
+        if fails { Err(io::ErrorKind::StorageFull.into()) } else { result }
     }
 }
 
@@ -128,15 +131,15 @@
     }
 
     fn sync(&self, path: &Path) -> io::Result<()> {
-        let (is_refused, is_omitted) = {
+        let (fails, is_omitted) = {
             let inner = self.inner();
-            (inner.refused.contains(&inner.operations), (inner.is_sync_omitted)(path))
+            (inner.failed_operations.contains(&inner.operations), (inner.is_sync_omitted)(path))
         };
         if is_omitted {
             return self.perform(|_| Ok(()));
         }
-        // Where the sync is refused, what was pending may stay visible without ever reaching the disk.
-        let reaches_disk = !is_refused || self.inner().rng.rand_range(0..2) == 0;
+        // After a failed sync, pending changes may stay visible without ever becoming durable.
+        let reaches_disk = !fails || self.inner().rng.rand_range(0..2) == 0;
         self.perform(|image| image.sync(path, reaches_disk))
     }
 
--- a/crates/storage/src/tests/simulated_disk/power_loss.rs
+++ b/crates/storage/src/tests/simulated_disk/power_loss.rs
@@ -1,12 +1,12 @@
-//! What a power loss leaves of pending writes.
+//! The part of pending writes that survives a power loss.
 
 use super::image::{DiskImage, Write};
 use oorandom::Rand64;
 
-/// Bytes that a disk writes atomically.
+/// The number of bytes that a disk writes atomically.
 const SECTOR_BYTES: usize = 512;
 
-/// A write survives, is lost, or survives without its first sector, up to a sector, or up to a byte.
+/// Returns what survives of a write: all of it, nothing, all but its first sector, only its first sector, or its first half.
 pub fn partial_write(write: Write, choose: &mut dyn FnMut(u32) -> u32) -> Option<Write> {
     let Write::Data { offset, mut bytes } = write else { return (choose(2) == 0).then_some(write) };
     let sector_end = (SECTOR_BYTES - offset % SECTOR_BYTES).min(bytes.len());
@@ -25,15 +25,16 @@
     }
 }
 
-/// Checks every disk that a power loss may leave, where there are at most `max_cases`; otherwise so many of them in order,
-/// and so many random ones.
+/// Checks every disk that a power loss may leave, if there are at most `max_cases`. Otherwise checks the first
+/// `max_cases` in order of enumeration and as many random ones.
 pub fn for_each_power_loss(
     image: &DiskImage,
     max_cases: u64,
     rng: &mut Rand64,
     mut check: impl FnMut(DiskImage),
 ) {
-    // The choices of a case with the number of alternatives of each: counted up like the digits of a number.
+    // The choices of the current case and the number of alternatives of each. They are enumerated like the digits of a
+    // counter.
     let mut choices: Vec<(u32, u32)> = Vec::new();
     for _ in 0..max_cases {
         let mut position = 0;
@@ -51,6 +52,6 @@
         *choice += 1;
     }
     for _ in 0..max_cases {
-        check(image.after_power_loss(&mut |n| rng.rand_range(0..n.into()) as u32));
+        check(image.after_power_loss(&mut |alternatives| rng.rand_range(0..alternatives.into()) as u32));
     }
 }
