--- a/crates/runtime/src/clock.rs
+++ b/crates/runtime/src/clock.rs
@@ -1,29 +1,31 @@
-//! The monotonic clock of a process, in seconds as the cores count time.
+//! The monotonic clock of a process, in seconds, the unit in which the cores count time.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Latest time that [`Clock::instant_at`] turns into an instant, in seconds (11 days): a wake-up "never" (infinity) needs
-/// an instant that can be represented, and the caller looks again then.
-const MAX_TIME: f64 = 1e6;
+/// The latest time that [`Clock::instant_at`] converts to an instant, in seconds (11 days). A wake-up at infinity, meaning
+/// never, needs an instant that can be represented; a caller that wakes up then checks again.
+const MAX_SECONDS: f64 = 1e6;
 
-/// Seconds since the process started, on the monotonic clock.
+/// A monotonic clock that counts seconds since it was started.
 #[derive(Clone, Copy)]
-pub struct Clock(Instant);
+pub struct Clock {
+    started: Instant,
+}
 
 impl Clock {
-    /// A clock that is at 0 now.
+    /// Starts a clock at 0.
     pub fn start() -> Clock {
-        Clock(Instant::now())
+        Clock { started: Instant::now() }
     }
 
-    /// Seconds since the start; never goes back.
+    /// Returns the seconds since the clock was started. The value never decreases.
     pub fn now(&self) -> f64 {
-        self.0.elapsed().as_secs_f64()
+        self.started.elapsed().as_secs_f64()
     }
 
-    /// The instant at which this clock shows `seconds`, limited to 0 and 11 days.
+    /// Returns the instant at which this clock reads `seconds`, clamped to between 0 and 11 days.
     pub fn instant_at(&self, seconds: f64) -> Instant {
-        self.0 + Duration::from_secs_f64(seconds.clamp(0.0, MAX_TIME))
+        self.started + Duration::from_secs_f64(seconds.clamp(0.0, MAX_SECONDS))
     }
 }
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,7 +1,7 @@
-//! What both programs of the system need from the operating system at their start: logging, a monotonic clock, the
-//! settings file, signals, and connections between the system's own processes.
+//! Operating system facilities that the control plane and the data plane share: logging, a monotonic clock, the
+//! settings file, signals, random seeds, and connections between the system's own processes.
 //!
-//! Nothing is decided here; the cores get time and messages from the drivers that use this package.
+//! This package takes no decisions. The cores get time and messages from the drivers, which use this package.
 
 mod clock;
 mod logging;
--- a/crates/runtime/src/logging.rs
+++ b/crates/runtime/src/logging.rs
@@ -1,22 +1,23 @@
-//! Log lines: one JSON object a line on standard error.
+//! Structured logging: one JSON object per line on standard error.
 //!
 //! | field | |
 //! | --- | --- |
-//! | `at` | seconds since the start of the process, to the millisecond |
-//! | `node` | name of the node in the settings file |
+//! | `at` | seconds since logging was set up, rounded to milliseconds |
+//! | `node` | the node's name in the settings file |
 //! | `level` | `ERROR`, `WARN`, `INFO`, `DEBUG` or `TRACE` |
-//! | `from` | module that logs |
+//! | `from` | the log target, by default the module that logs |
 //! | `what` | the message |
 //!
-//! Beside these stands each key-value pair of the record, by its own key: `log::info!(epoch = 3, peer:% = address; "voter
-//! set committed")` has the fields `epoch` (a number) and `peer` (a text). Numbers and booleans stay what they are, except
-//! for numbers that JSON can't hold (infinity, NaN, above 64 bits), which become texts like everything else. A key that is
-//! one of the five above gets the prefix `field_`: the five always mean what the table says.
+//! Each key-value pair of the record becomes a further field under its own key. For example,
+//! `log::info!(epoch = 3, peer:% = address; "voter set committed")` adds the fields `epoch` (a number) and `peer` (a
+//! string). Numbers and booleans keep their type, except for numbers that JSON cannot represent (infinity, NaN, more
+//! than 64 bits). These become strings, like every other value. A key that equals one of the five standard fields gets
+//! the prefix `field_`, so the standard fields are never overwritten.
 //!
-//! **Why `log`'s key-value pairs and not `tracing`:** the packages of this system log through the facade `log` already. Its
-//! key-value pairs give fields without a second facade and a second subscriber with levels of its own, and a line names its
-//! request, peer or proposal by a field rather than by a span. A line is formatted in memory and written at once by the
-//! thread that logs: no queue loses the last lines of a process that ends.
+//! **Why `log`'s key-value pairs and not `tracing`:** the packages of this system already log through the `log` facade.
+//! Its key-value pairs provide fields without a second facade and a second subscriber with its own levels, and a line
+//! identifies its request, peer or proposal by a field rather than by a span. The thread that logs formats each line in
+//! memory and writes it immediately, so no queue can lose the last lines of a process that exits.
 
 use log::kv::{self, VisitSource, VisitValue};
 use serde_json::{Map, Value};
@@ -26,18 +27,18 @@
 #[cfg(test)]
 mod tests;
 
-/// The fields that every line has, by which operators read the log.
+/// The fields that every line has, and on which operators rely.
 const STANDARD_FIELDS: [&str; 5] = ["at", "node", "level", "from", "what"];
-/// Prefix of a key-value pair whose key is one of the standard fields.
-const RENAMED_PREFIX: &str = "field_";
+/// Prefix for keys that equal one of the standard fields.
+const CONFLICTING_KEY_PREFIX: &str = "field_";
 
 const MILLISECONDS_PER_SECOND: f64 = 1e3;
 
-/// Logs to standard error from now on, panics included. May be called once in a process.
+/// Sets up logging to standard error at `level`, and logs panics as errors. May be called only once in a process.
 ///
 /// # Panics
 ///
-/// Where the process has a logger already.
+/// If the process already has a logger.
 pub fn log_to_stderr(node: &str, level: log::LevelFilter) {
     let (node, started) = (node.to_string(), Instant::now());
     let write_line = move |output: &mut env_logger::fmt::Formatter, record: &log::Record| {
@@ -47,13 +48,13 @@
     std::panic::set_hook(Box::new(|panic| log::error!("{panic}")));
 }
 
-/// An error on one line: the message of each layer, and the notes attached to it.
+/// Formats an error report on one line: the message of each context, then the attached strings.
 pub fn report_line<C>(report: &error_stack::Report<C>) -> String {
-    let notes = report.frames().filter_map(|frame| frame.downcast_ref::<String>());
-    notes.fold(format!("{report:#}"), |line, note| format!("{line}; {note}"))
+    let attachments = report.frames().filter_map(|frame| frame.downcast_ref::<String>());
+    attachments.fold(format!("{report:#}"), |line, attachment| format!("{line}; {attachment}"))
 }
 
-/// The line of one record, without the line break; `at` is in seconds since the start.
+/// Formats the line of one record, without the line break. `at` is in seconds since the start.
 fn format_line(node: &str, at: f64, record: &log::Record) -> String {
     let mut line = Map::new();
     line.insert("at".into(), ((at * MILLISECONDS_PER_SECOND).round() / MILLISECONDS_PER_SECOND).into());
@@ -61,38 +62,41 @@
     line.insert("level".into(), record.level().as_str().into());
     line.insert("from".into(), record.target().into());
     line.insert("what".into(), record.args().to_string().into());
-    let mut fields = KeyValueFields(line);
-    // Collecting never fails: each value has a form in JSON.
+    let mut fields = KeyValueFields { line };
+    // This cannot fail: every value has a JSON representation.
     record.key_values().visit(&mut fields).ok();
-    let KeyValueFields(line) = fields;
-    Value::Object(line).to_string()
+    Value::Object(fields.line).to_string()
 }
 
-/// Collects the key-value pairs of a record after the standard fields. Of two with one key the later one holds.
-struct KeyValueFields(Map<String, Value>);
+/// Adds the key-value pairs of a record to its line. Of pairs with the same key, the last one wins.
+struct KeyValueFields {
+    line: Map<String, Value>,
+}
 
 impl<'kvs> VisitSource<'kvs> for KeyValueFields {
     fn visit_pair(&mut self, key: kv::Key<'kvs>, value: kv::Value<'kvs>) -> Result<(), kv::Error> {
-        let prefix = if STANDARD_FIELDS.contains(&key.as_str()) { RENAMED_PREFIX } else { "" };
-        let mut field = JsonValue(Value::Null);
+        let prefix = if STANDARD_FIELDS.contains(&key.as_str()) { CONFLICTING_KEY_PREFIX } else { "" };
+        let mut field = JsonValue { value: Value::Null };
         value.visit(&mut field)?;
-        self.0.insert(format!("{prefix}{key}"), field.0);
+        self.line.insert(format!("{prefix}{key}"), field.value);
         Ok(())
     }
 }
 
-/// A value of a key-value pair as JSON.
-struct JsonValue(Value);
+/// Converts the value of a key-value pair to JSON.
+struct JsonValue {
+    value: Value,
+}
 
 impl JsonValue {
     fn set(&mut self, value: impl Into<Value>) -> Result<(), kv::Error> {
-        self.0 = value.into();
+        self.value = value.into();
         Ok(())
     }
 }
 
 impl<'v> VisitValue<'v> for JsonValue {
-    /// All kinds without a method below, among them `:?` and `:%`: as text.
+    /// Values of all types without a method below, including those captured by `:?` and `:%`, become strings.
     fn visit_any(&mut self, value: kv::Value) -> Result<(), kv::Error> {
         self.set(value.to_string())
     }
--- a/crates/runtime/src/logging/tests.rs
+++ b/crates/runtime/src/logging/tests.rs
@@ -1,4 +1,4 @@
-//! The line of a log record: standard fields, key-value pairs beside them, and no clash between the two.
+//! Formatting of log records and error reports: standard fields, key-value pairs, and conflicts between the two.
 
 use super::{format_line, report_line};
 use log::kv::Value;
@@ -6,7 +6,7 @@
 use serde_json::json;
 use std::sync::Mutex;
 
-/// The line of a record with these key-value pairs, parsed.
+/// Formats a record with these key-value pairs and parses the line.
 fn line_with(pairs: &[(&str, Value)]) -> serde_json::Value {
     let record = Record::builder()
         .level(Level::Info)
@@ -18,14 +18,14 @@
 }
 
 #[test]
-fn line_without_key_value_pairs_has_the_standard_fields_alone() {
+fn line_without_key_value_pairs_has_only_the_standard_fields() {
     let record = Record::builder()
         .level(Level::Warn)
         .target("archlink_data_plane")
         .args(format_args!("a \"quoted\" text\nof two lines"))
         .build();
     let line = format_line("data-1", 1.9999, &record);
-    // The order of the others depends on whether a package in the same build has serde_json keep it.
+    // The order of the other fields depends on whether a package in the same build enables serde_json's `preserve_order`.
     assert!(line.starts_with(r#"{"at":2.0,"#) && !line.contains('\n'), "{line}");
     let expected = json!({
         "at": 2.0, "node": "data-1", "level": "WARN", "from": "archlink_data_plane",
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn key_value_pairs_become_fields_beside_the_standard_fields() {
+fn key_value_pairs_are_added_to_the_standard_fields() {
     let address = std::net::SocketAddrV4::new([10, 0, 0, 7].into(), 7600);
     let line = line_with(&[
         ("epoch", Value::from(3_u64)),
@@ -58,8 +58,8 @@
 
 #[test]
 fn key_value_pair_named_like_a_standard_field_does_not_overwrite_it() {
-    let standard = ["at", "node", "level", "from", "what"];
-    let line = line_with(&standard.map(|key| (key, Value::from("other"))));
+    let standard_fields = ["at", "node", "level", "from", "what"];
+    let line = line_with(&standard_fields.map(|key| (key, Value::from("other"))));
     let expected = json!({
         "at": 1.235, "node": "control-7", "level": "INFO", "from": "archlink_control_plane::node",
         "what": "voter set committed",
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn number_that_json_cannot_hold_becomes_a_text() {
+fn number_that_json_cannot_represent_becomes_a_string() {
     let line = line_with(&[
         ("never", Value::from(f64::INFINITY)),
         ("unknown", Value::from(f64::NAN)),
@@ -80,7 +80,7 @@
     assert_eq!(line["digest"], json!("340282366920938463463374607431768211455"));
 }
 
-/// A logger that keeps the lines instead of writing them.
+/// A logger that collects the lines instead of writing them.
 struct CollectingLogger(Mutex<Vec<String>>);
 
 impl log::Log for CollectingLogger {
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn pairs_written_in_a_log_macro_are_fields_of_the_line() {
+fn key_value_pairs_of_a_log_macro_become_fields() {
     static LOGGER: CollectingLogger = CollectingLogger(Mutex::new(Vec::new()));
     log::set_logger(&LOGGER).unwrap();
     log::set_max_level(log::LevelFilter::Info);
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn report_is_one_line_with_each_context_and_the_attached_notes() {
+fn report_is_one_line_with_all_contexts_and_attachments() {
     let report = error_stack::Report::new(std::fmt::Error)
         .attach("the first note".to_string())
         .change_context(std::io::Error::from(std::io::ErrorKind::NotFound));
--- a/crates/runtime/src/settings_file.rs
+++ b/crates/runtime/src/settings_file.rs
@@ -1,22 +1,22 @@
-//! Where the settings file is, and its text.
+//! The location of the settings file, and reading it.
 
 use std::fmt;
 use std::io;
 use std::path::PathBuf;
 
-/// Environment variable that names the settings file.
+/// The environment variable with the path of the settings file.
 const PATH_VARIABLE: &str = "ARCHLINK_CONFIG";
-/// The settings file where the variable is not set.
+/// The path of the settings file if the variable is not set.
 const DEFAULT_PATH: &str = "/etc/archlink/settings.json";
 
-/// The settings file can't be read. Displays as `PATH: REASON`.
+/// The settings file could not be read. Displayed as `PATH: REASON`.
 ///
-/// The reason is part of the text, and so isn't given as `source()` too: a report would say it twice.
+/// The reason is part of the message and therefore not also returned by `source()`, so that a report does not repeat it.
 #[derive(Debug)]
 pub struct SettingsFileError {
-    /// The file that was to be read.
+    /// The path of the settings file.
     pub path: PathBuf,
-    /// Why it couldn't be.
+    /// Why it could not be read.
     pub reason: io::Error,
 }
 
@@ -28,11 +28,11 @@
 
 impl std::error::Error for SettingsFileError {}
 
-/// The text of the settings file: that which `ARCHLINK_CONFIG` names, otherwise `/etc/archlink/settings.json`.
+/// Reads the settings file at the path in `ARCHLINK_CONFIG`, or at `/etc/archlink/settings.json` if the variable is not set.
 ///
 /// # Errors
 ///
-/// Where the file can't be read or isn't UTF-8; the error names the file.
+/// If the file cannot be read or is not UTF-8. The error has the path of the file.
 pub fn settings_text() -> Result<String, SettingsFileError> {
     let path = std::env::var_os(PATH_VARIABLE).map_or_else(|| PathBuf::from(DEFAULT_PATH), PathBuf::from);
     std::fs::read_to_string(&path).map_err(|reason| SettingsFileError { path, reason })
--- a/crates/runtime/src/signals.rs
+++ b/crates/runtime/src/signals.rs
@@ -1,15 +1,15 @@
-//! Signals of the operating system: SIGTERM ends the process, SIGHUP has it read its settings again.
+//! Handling of signals: SIGTERM ends the process, and SIGHUP makes it reload its settings.
 
 use std::io;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// A future that resolves at SIGTERM; each SIGHUP until then calls `reload`.
+/// Returns a future that resolves on SIGTERM and calls `reload` on each SIGHUP until then.
 ///
-/// Both signals are caught from the call on, before the future is first polled.
+/// Both signal handlers are installed by this call, before the future is first polled.
 ///
 /// # Errors
 ///
-/// Where a handler can't be installed.
+/// If a signal handler cannot be installed.
 pub fn until_terminated(reload: impl Fn()) -> io::Result<impl Future<Output = ()>> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut hangup = signal(SignalKind::hangup())?;
