--- a/crates/quota/src/local_share.rs
+++ b/crates/quota/src/local_share.rs
@@ -1,4 +1,4 @@
-//! Local shares: what one data node admits by itself, beyond what the counter granted or where no counter replies.
+//! Local shares: what one data node admits by itself, beyond what the counter grants or where no counter replies.
 //!
 //! # The bound
 //!
@@ -9,40 +9,43 @@
 //! (r W + b) (1 + overrun) + slack
 //! ```
 //!
-//! It is split between the counter and the shares (`docs/system.md`, "Quotas"):
+//! The bound is split between the counter and the shares (`docs/system.md`, "Quotas"):
 //!
 //! ```text
 //! counter:     C (r W + b)                                          C = 0.72, or 0.95 for small quotas
 //! all shares:  ((r W + b) (1 + overrun - C) + slack) (1 - 0.12)     in any W seconds
-//! one share:   the n-th part of all shares, n data nodes            in any W seconds
+//! one share:   1/n of all shares, with n data nodes                 in any W seconds
 //! ```
 //!
-//! The counter's part is the bound of the burst tiers of the decision module. What does not divide evenly among the shares
-//! goes by [`NodeRank`]: each data node has the whole number below or above. The 12% are for totals in flight, clocks that
-//! differ and data nodes that are not known everywhere yet (`SHARE_MARGIN`).
+//! The counter's part is the bound of the admission module's burst tiers. A share is a whole number of requests: where the
+//! sum does not divide evenly, [`NodeRank`] decides which data nodes round up. The margin of 12% covers totals in flight,
+//! clock differences and data nodes that are not yet known everywhere (`SHARE_MARGIN`).
 //!
-//! Invariant: a share needs no message. It is used up and refills by the node's own steady clock alone, so a data node that
-//! is partitioned or wakes from a freeze has no more than its own. One that starts admits nothing for the first window, as
-//! its earlier incarnation may have used the whole share a moment before.
+//! Invariant: a share needs no messages. It is used up and refilled by the node's own monotonic clock alone, so a data node
+//! that is partitioned or resumes after a pause never admits more than its own share. A data node that starts admits nothing
+//! for the first window, because its earlier incarnation may have used the whole share just before.
 
 use archlink_messages::NodeRank;
 use std::collections::VecDeque;
 
-/// `C`: fraction of a quota that the counter grants. The rest is not lost: busy tenants are admitted by the shares as well.
-/// Less here keeps more available without a counter; more is fairer to tenants whose requests come through few data nodes.
+/// `C`: fraction of a quota that the counter grants. The rest is not lost, because busy tenants use the shares as well. A
+/// lower value keeps more available without a counter; a higher one is fairer to tenants whose requests arrive at few data
+/// nodes.
 const COUNTED_FRACTION: f64 = 0.72;
-/// `C` where a share would be below [`MIN_SHARE`]: the shares would admit hardly anybody, so nearly all of it is counted.
+/// `C` where a share would be below [`MIN_SHARE`]: such shares would admit hardly any request, so the counter grants nearly
+/// the whole quota.
 const COUNTED_FRACTION_SMALL_QUOTA: f64 = 0.95;
-/// Requests in a window below which a share is too small to be of use.
+/// Smallest useful share, in requests per window.
 const MIN_SHARE: f64 = 2.0;
-/// Data nodes up to which every quota has useful shares. Beyond, their number counts in steps of this, so that one that
-/// comes or goes does not have some data nodes split a quota differently from the rest.
+/// Number of data nodes up to which the shares of every quota count as useful. Beyond it, the number of data nodes is rounded
+/// up to a multiple of this step: otherwise one that joins or leaves would often make some data nodes split a quota
+/// differently from the rest.
 const NODE_COUNT_STEP: u32 = 16;
-/// Fraction of the shares' sum that is never given out: two totals in flight at once, clocks that differ by a message's
-/// way, a data node that joins and is not counted everywhere yet.
+/// Fraction of all shares that is never granted. It covers two totals in flight at once, clocks that differ by one message
+/// delay, and a joining data node that is not yet counted everywhere.
 const SHARE_MARGIN: f64 = 0.12;
 
-/// The figures of the bound, from the operators' `TimingBounds`.
+/// The parameters of the bound, from the operators' `TimingBounds`.
 #[derive(Clone, Copy, Debug)]
 pub struct QuotaBound {
     /// `W`: length of the window in seconds.
@@ -54,26 +57,26 @@
 }
 
 impl QuotaBound {
-    /// Requests in any window of all shares together, beside a counter that grants the fraction `counted`.
-    fn shares_beside(&self, counted: f64, rate: f64, burst: f64) -> f64 {
+    /// Requests in any window that all shares admit together if the counter grants `counted_fraction` of the quota.
+    fn total_shares_for(&self, counted_fraction: f64, rate: f64, burst: f64) -> f64 {
         let quota = rate * self.window + burst;
-        (quota * (1.0 + self.overrun - counted) + self.slack) * (1.0 - SHARE_MARGIN)
+        (quota * (1.0 + self.overrun - counted_fraction) + self.slack) * (1.0 - SHARE_MARGIN)
     }
 
     /// `C`: the fraction of a quota that the counter grants, with this number of data nodes.
-    pub fn counted_fraction(&self, rate: f64, burst: f64, gateways: u32) -> f64 {
-        let rounded_nodes = f64::from(gateways.next_multiple_of(NODE_COUNT_STEP));
-        let one_share = self.shares_beside(COUNTED_FRACTION, rate, burst) / rounded_nodes;
-        if gateways > NODE_COUNT_STEP && one_share < MIN_SHARE {
+    pub fn counted_fraction(&self, rate: f64, burst: f64, data_nodes: u32) -> f64 {
+        let rounded_nodes = f64::from(data_nodes.next_multiple_of(NODE_COUNT_STEP));
+        let one_share = self.total_shares_for(COUNTED_FRACTION, rate, burst) / rounded_nodes;
+        if data_nodes > NODE_COUNT_STEP && one_share < MIN_SHARE {
             COUNTED_FRACTION_SMALL_QUOTA
         } else {
             COUNTED_FRACTION
         }
     }
 
-    /// Requests in any window that all shares of a quota admit together.
-    pub fn total_shares(&self, rate: f64, burst: f64, gateways: u32) -> f64 {
-        self.shares_beside(self.counted_fraction(rate, burst, gateways), rate, burst)
+    /// Requests in any window that all shares of a quota admit together, with this number of data nodes.
+    pub fn total_shares(&self, rate: f64, burst: f64, data_nodes: u32) -> f64 {
+        self.total_shares_for(self.counted_fraction(rate, burst, data_nodes), rate, burst)
     }
 }
 
@@ -81,22 +84,22 @@
 #[derive(Clone, Debug)]
 pub struct LocalShare {
     started_at: f64,
-    /// When requests were admitted within the last window, oldest first; no longer than the share.
+    /// Times of the requests admitted within the last window, oldest first; at most as many as the share allows.
     admitted_at: VecDeque<f64>,
 }
 
 impl LocalShare {
-    /// The share of a data node that started at `started_at` (seconds, steady clock).
+    /// The share of a data node that started at `started_at` (seconds on its monotonic clock).
     pub fn new(started_at: f64) -> LocalShare {
         LocalShare { started_at, admitted_at: VecDeque::new() }
     }
 
-    /// Admits one request if the share of a node of this `rank` has room.
+    /// Admits one request if the share of a data node with this `rank` is not used up.
     pub fn try_admit(&mut self, now: f64, bound: &QuotaBound, rate: f64, burst: f64, rank: NodeRank) -> bool {
         if rank.nodes == 0 || now < self.started_at + bound.window {
             return false;
         }
-        while self.admitted_at.front().is_some_and(|at| *at + bound.window <= now) {
+        while self.admitted_at.front().is_some_and(|admitted_at| *admitted_at + bound.window <= now) {
             self.admitted_at.pop_front();
         }
         let all_shares = bound.total_shares(rate, burst, rank.nodes as u32).max(0.0) as usize;
