--- a/crates/quota/src/counter.rs
+++ b/crates/quota/src/counter.rs
@@ -1,38 +1,38 @@
 //! The quota counter: short-lived keys and their totals, in memory only.
 //!
-//! One control node serves it for the term of its lease; nothing is persisted or handed to the next holder. A new holder
-//! answers nothing for [`NEW_HOLDER_WAIT`], until what its predecessor granted has left every burst tier's window.
+//! The control node that holds the counter's lease serves it. Nothing is persisted or handed over to the next holder: a new
+//! holder starts with empty counters, and has to answer nothing for [`NEW_HOLDER_WAIT`].
 //!
-//! Invariant: an add of a term that is over is never answered.
+//! Invariant: an add for a term that has ended never gets a total.
 
 use archlink_messages::CounterAdd;
 use std::collections::HashMap;
 
-/// Limit of the number of keys, which bounds memory at some 7 MB. Adds that would go beyond it get no answer,
-/// which a data node treats as an unavailable counter.
+/// Maximum number of keys, which bounds memory use to about 7 MB. Adds that would exceed it get no totals, which a data node
+/// treats as an unavailable counter.
 const MAX_KEYS: usize = 200_000;
-/// Seconds between two removals of expired keys; a removal visits every key.
+/// Seconds between two sweeps that remove expired keys. A sweep visits every key.
 const SWEEP_INTERVAL: f64 = 1.0;
-/// Longest lifetime of a key in seconds, whatever the add asks for: two of the longest windows of a burst tier (25 s) and
-/// a margin.
+/// Maximum lifetime of a key in seconds, whatever the add requests: twice the longest window of a burst tier (25 s), plus a
+/// margin.
 const MAX_LIFETIME: f64 = 60.0;
 
 /// Seconds for which a new holder of the lease answers nothing.
 ///
-/// Its counters are empty, and a new window beside one that was used up would grant a burst twice. Data nodes that live on
-/// claim their own parts of the current windows again with their first adds; the parts of those that died as well are lost.
-/// The predecessor's lease, which is over by then, and this wait make up for the loss: a busy tenant's burst refills at its
-/// rate meanwhile.
+/// Its counters are empty, so a tenant that had used up its windows on the previous holder could get its burst a second
+/// time. Data nodes that are still alive claim their own usage of the current windows again with their first adds; the usage
+/// of data nodes that failed together with the previous holder is lost. The expiry of the previous lease and this wait
+/// compensate for the loss, because a busy tenant's burst refills at its rate meanwhile.
 pub const NEW_HOLDER_WAIT: f64 = 0.4;
 
-/// The total of one key, which counts until `expires_at` (seconds, fleet clock).
+/// The total of one key, valid until `expires_at` (seconds on the clock of the holder's `now`).
 #[derive(Clone, Copy)]
 struct Entry {
     total: f64,
     expires_at: f64,
 }
 
-/// All counters of one term.
+/// All counters of one term of the lease.
 #[derive(Default)]
 pub struct Counter {
     term: u64,
@@ -41,10 +41,10 @@
 }
 
 impl Counter {
-    /// The totals after `adds`, in their order. A later `term` starts with no keys.
+    /// Applies `adds` and returns the totals after them, in the same order. A later `term` starts with no keys.
     ///
-    /// `None`, with nothing added, if `term` is over or there is no room for the new keys: "not added" has to hold for all
-    /// adds of a call.
+    /// Returns `None` and adds nothing if `term` has ended or the new keys don't fit: "not added" has to hold for all adds of
+    /// a call.
     pub fn add(&mut self, now: f64, term: u64, adds: &[CounterAdd]) -> Option<Vec<f32>> {
         if term < self.term {
             return None;
@@ -60,7 +60,7 @@
         Some(adds.iter().map(|add| self.add_one(now, add)).collect())
     }
 
-    /// Number of keys, expired ones that were not removed yet included.
+    /// Number of keys, including expired ones that have not been removed yet.
     pub fn key_count(&self) -> usize {
         self.entries.len()
     }
--- a/crates/quota/src/counter_client.rs
+++ b/crates/quota/src/counter_client.rs
@@ -1,11 +1,11 @@
-//! The decision module at a data node, as the client of the quota counter.
+//! The quota counter's client at a data node, which wraps the admission module (`archlink-admission`).
 //!
-//! The module sends one add a request to the tenant's active burst tier of the counter, with the tiers and limits of
-//! `docs/system.md`, "Quotas". It is given one placeholder host that always has room, so that its grant is the whole answer:
-//! which host serves the request is decided by `archlink-balancer`. The module's own fallback without a counter is set to
-//! admit nothing, since [`crate::local_share`] does that.
+//! For each request the module sends one add to the counter, for the tenant's active burst tier; `docs/system.md`, "Quotas",
+//! describes the tiers and their limits. The module is given one placeholder host that always has capacity, so that its
+//! decision depends on the quota alone; `archlink-balancer` selects the host that serves the request. The module's own
+//! fallback without a counter is configured to admit nothing, because [`crate::local_share`] covers that case.
 //!
-//! Invariants: a request gets one verdict at most, and is granted only on a total from the counter.
+//! Invariants: a request gets at most one verdict, and is granted only by a total from the counter.
 
 use crate::pending_calls::CallResult;
 use archlink_admission::admission::Admission;
@@ -16,18 +16,19 @@
 use archlink_messages::CounterAdd;
 use std::collections::HashMap;
 
-/// Latency target in seconds as the module sees it. It waits for a total for a twentieth of this: far below any route's
-/// target, and long enough for a round trip to another region beside a busy counter.
+/// Latency target in seconds, as configured in the module, which waits a twentieth of it for a total. That is far below any
+/// route's latency target, and long enough for a round trip to another region and a busy counter.
 const LATENCY_TARGET: f64 = 2.2;
-/// Limit of adds without a result; a request beyond it counts as not answered.
+/// Maximum number of adds without a result. A request beyond it is treated as if the counter had not replied.
 const MAX_PENDING_ADDS: usize = 4096;
-/// The placeholder host of the module.
+/// The only entry of the module's host list.
 const PLACEHOLDER_HOST: u64 = 1;
-/// Seconds that an attempt at the placeholder host appears to take; the module wants some, and nothing depends on it.
+/// Seconds that an attempt on the placeholder host is reported to take. The module requires a duration; nothing depends on
+/// its value.
 const PLACEHOLDER_ELAPSED: f64 = 1e-3;
-/// Requests, and requests a second, by which the module's rate limit lies above the counted quota. It has to lie above it
-/// for the totals to keep the limit, and the difference is what the module admits without them: next to nothing. A limit
-/// of 0 would be none.
+/// Requests, and requests per second, by which the module's rate limit exceeds the counted quota. The totals enforce the
+/// limit only if it exceeds the quota, and the module admits the difference without them, so it is close to nothing. A limit
+/// of 0 would mean no limit.
 const RATE_LIMIT_HEADROOM: f64 = 1e-9;
 
 /// The counter's verdict on one request.
@@ -35,24 +36,24 @@
 pub enum Verdict {
     /// Within the counted part of the quota.
     Granted,
-    /// Beyond the counted part of the quota, or the counter does not reply; room is expected after this many seconds.
+    /// Beyond the counted part of the quota, or the counter does not reply. A retry may succeed after this many seconds.
     Rejected(f64),
 }
 
-/// A tenant's quota as configured, and the part of it that the counter grants.
+/// A tenant's quota as configured, and the fraction of it that the counter grants.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Quota {
     /// Name of the tenant.
     pub tenant: String,
-    /// Requests a second; 0 is no quota.
+    /// Requests per second; 0 for no quota.
     pub rate: f64,
-    /// Requests on top of the rate that may come at once.
+    /// Requests that may arrive at once, on top of the rate.
     pub burst: f64,
     /// Fraction that the counter grants, see [`crate::local_share::QuotaBound::counted_fraction`].
     pub counted_fraction: f64,
 }
 
-/// What the module asked of its driver since it was last collected.
+/// The module's driver: collects the effects that the module requests until the client takes them.
 #[derive(Default)]
 struct CollectedEffects {
     adds: Vec<CounterAdd>,
@@ -64,7 +65,7 @@
 }
 
 impl Driver for CollectedEffects {
-    fn start_attempt(&mut self, request_id: u32, _: u64, _: f64) {
+    fn start_attempt(&mut self, request_id: u32, _host: u64, _until: f64) {
         self.granted.push(request_id);
     }
     fn reject(&mut self, request_id: u32, retry_after: f64) {
@@ -82,27 +83,27 @@
     fn log(&mut self, line: &str) {
         self.log_lines.push(line.to_string());
     }
-    fn cancel_attempt(&mut self, _: u32, _: u16) {}
-    fn probe(&mut self, _: u64) {}
-    fn send_to_peers(&mut self, _: Option<u32>, _: &[u8]) {}
+    fn cancel_attempt(&mut self, _request_id: u32, _attempt: u16) {}
+    fn probe(&mut self, _host: u64) {}
+    fn send_to_peers(&mut self, _gateway: Option<u32>, _payload: &[u8]) {}
     fn subscribe(&mut self) {}
 }
 
-/// The counter client of one data node. All times are seconds on the fleet's clock, so that data nodes number their
+/// The counter client of one data node. All times are seconds on the cluster clock, so that all data nodes number their
 /// windows alike.
 pub struct CounterClient {
     module: Admission,
     effects: CollectedEffects,
-    /// Index into `plans` of each tenant; it never changes.
+    /// Index into `plans` for each tenant; it never changes.
     plan_of_tenant: HashMap<String, usize>,
     plans: Vec<PlanLimits>,
     last_request_id: u32,
-    /// Adds that were taken to be sent and have no result yet.
+    /// Number of adds that were taken for sending and have no result yet.
     pending_adds: usize,
 }
 
 impl CounterClient {
-    /// A client without quotas; `seed` is for the module's random draws.
+    /// A client without quotas. `seed` seeds the module's random draws.
     pub fn new(now: f64, seed: u64) -> CounterClient {
         let mut effects = CollectedEffects { now, ..CollectedEffects::default() };
         let mut module = Admission::start(module_settings(), seed, now, &mut effects);
@@ -118,7 +119,7 @@
         }
     }
 
-    /// Sets the quotas in force. A tenant keeps its plan's index, and with it what is known of its use.
+    /// Replaces all quotas. A tenant keeps the index of its plan, and with it the recorded usage.
     pub fn set_quotas(&mut self, quotas: &[Quota]) {
         for plan in &mut self.plans {
             *plan = PlanLimits::default();
@@ -132,8 +133,8 @@
         self.module.set_plans(self.plans.clone());
     }
 
-    /// Asks for one request of a tenant whose client waits `remaining` more seconds. The id returned is that of the
-    /// verdict; `None` if the tenant has no quota.
+    /// Requests a verdict on one request of a tenant, whose client waits for `remaining` more seconds. Returns the id that the
+    /// verdict will carry, or `None` if the tenant has no quota.
     pub fn request(&mut self, now: f64, tenant: &str, remaining: f64) -> Option<u32> {
         let &plan = self.plan_of_tenant.get(tenant)?;
         if self.plans[plan].rate <= 0.0 {
@@ -147,22 +148,23 @@
         Some(id)
     }
 
-    /// The client of a request has disconnected.
+    /// Withdraws a request whose client has disconnected.
     pub fn client_disconnected(&mut self, now: f64, id: u32) {
         self.step(now, |module, effects| module.client_disconnected(now, effects, id));
     }
 
-    /// Takes the adds to be sent now. Each has to be given back once to [`CounterClient::call_finished`], those of one key
-    /// in the order in which they were taken.
+    /// Takes the adds that are due for sending. Each has to be passed to [`CounterClient::call_finished`] exactly once, and
+    /// adds to the same key in the order in which they were taken.
     pub fn take_adds(&mut self) -> Vec<CounterAdd> {
         let adds = std::mem::take(&mut self.effects.adds);
         self.pending_adds += adds.len();
         adds
     }
 
-    /// The result of adds that were taken. A total that is not finite says nothing: its add may have been counted.
+    /// Processes the result of adds that were taken. A total that is not finite is treated as unknown, because its add may
+    /// have been counted.
     pub fn call_finished(&mut self, now: f64, result: CallResult) {
-        let (adds, totals, without_total) = match result {
+        let (adds, totals, reply_without_total) = match result {
             CallResult::Totals(adds, totals) => (adds, totals, CounterReply::Unknown),
             CallResult::NotAdded(adds) => (adds, Vec::new(), CounterReply::NotAdded),
             CallResult::Unknown(adds) => (adds, Vec::new(), CounterReply::Unknown),
@@ -170,27 +172,27 @@
         self.pending_adds = self.pending_adds.saturating_sub(adds.len());
         for (index, add) in adds.iter().enumerate() {
             let total = totals.get(index).filter(|total| total.is_finite());
-            let reply = total.map_or(without_total, |&total| CounterReply::Total(total.into()));
+            let reply = total.map_or(reply_without_total, |&total| CounterReply::Total(total.into()));
             self.step(now, |module, effects| module.counter_replied(now, effects, add.key, reply));
         }
     }
 
-    /// The counter replies again: the module need not find that out with a part of the requests.
+    /// Records that the counter replies again, so that the module need not test it with a fraction of the requests.
     pub fn counter_recovered(&mut self) {
         self.module.counter_recovered();
     }
 
-    /// Whether there are adds to be sent.
+    /// Whether there are adds to send.
     pub fn has_adds(&self) -> bool {
         !self.effects.adds.is_empty()
     }
 
-    /// Whether there is room for the add of another request.
+    /// Whether the add of another request stays within the limit of pending adds.
     pub fn has_room(&self) -> bool {
         self.pending_adds + self.effects.adds.len() < MAX_PENDING_ADDS
     }
 
-    /// The time of [`CounterClient::wake_at`] has come.
+    /// Runs the module's timer; due at [`CounterClient::wake_at`].
     pub fn timer_fired(&mut self, now: f64) {
         self.effects.wake_at = None;
         self.step(now, |module, effects| module.timer_fired(now, effects));
@@ -206,23 +208,25 @@
         std::mem::take(&mut self.effects.verdicts)
     }
 
-    /// Takes the module's lines for the log.
+    /// Takes the module's log lines since the last call.
     pub fn take_log_lines(&mut self) -> Vec<String> {
         std::mem::take(&mut self.effects.log_lines)
     }
 
-    /// One input to the module. A grant ends the attempt at the placeholder host at once, so that its place is free again.
+    /// Passes one input to the module. The attempt of a granted request ends at once, so that the placeholder host keeps its
+    /// capacity.
     fn step(&mut self, now: f64, input: impl FnOnce(&mut Admission, &mut CollectedEffects)) {
         self.effects.now = now;
         input(&mut self.module, &mut self.effects);
         while let Some(request_id) = self.effects.granted.pop() {
             self.effects.verdicts.push((request_id, Verdict::Granted));
-            self.module.attempt_ended(now, &mut self.effects, placeholder_answer(request_id));
+            self.module.attempt_ended(now, &mut self.effects, placeholder_result(request_id));
         }
     }
 }
 
-fn placeholder_answer(request_id: u32) -> AttemptResult {
+/// The result of a successful attempt on the placeholder host.
+fn placeholder_result(request_id: u32) -> AttemptResult {
     AttemptResult {
         request: request_id,
         attempt: 0,
@@ -235,7 +239,7 @@
     }
 }
 
-/// The counted part of a quota as the module's limits.
+/// The module's limits for the counted part of a quota.
 fn plan_limits(quota: &Quota) -> PlanLimits {
     let rate = quota.rate * quota.counted_fraction;
     let burst = quota.burst * quota.counted_fraction;
@@ -249,7 +253,7 @@
     }
 }
 
-/// The tenant's number in counter keys, which have 33 bits for it: the upper bits of an FNV-1a hash of the name.
+/// The tenant's number in counter keys, which have 33 bits for it: the upper 33 bits of the FNV-1a hash of its name.
 fn customer_number(tenant: &str) -> u64 {
     const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const FNV_PRIME: u64 = 0x0100_0000_01b3;
@@ -259,7 +263,7 @@
     hash >> UNUSED_BITS
 }
 
-/// Settings of a module that only counts: one class, one attempt a request, no messages to peers, no probes.
+/// Settings of a module that only counts: one class, one attempt per request, no messages to peers, no probes.
 fn module_settings() -> AdmissionSettings {
     let class = RequestClass {
         latency_target: LATENCY_TARGET,
--- a/crates/quota/src/pending_calls.rs
+++ b/crates/quota/src/pending_calls.rs
@@ -1,18 +1,19 @@
 //! Calls to the quota counter that have no reply yet, by serial number.
 //!
-//! Serial numbers grow for as long as the process lives, over all its connections, and a reply comes on the connection that
-//! carried its call; when that connection ends, all calls pending on it are resolved. So a reply that is late, duplicated or
-//! meant for an earlier incarnation of this process matches no call.
+//! Serial numbers increase for the lifetime of the process, across all its connections. A reply arrives on the connection
+//! that carried its call, and when that connection ends, all calls pending on it are resolved. So a reply that is late,
+//! duplicated or meant for an earlier incarnation of this process matches no call.
 //!
 //! Invariants: a call is resolved exactly once, and never by the totals of another call.
 
 use archlink_messages::CounterAdd;
 use std::collections::VecDeque;
 
-/// Limit of pending calls. A counter that replies in time has a few; a call beyond the limit is not sent.
+/// Maximum number of pending calls. With a counter that replies in time only a few are pending; a call beyond the limit is
+/// not sent.
 const MAX_PENDING: usize = 256;
-/// Seconds without any reply, while calls are pending, after which the connection is to be closed: a few round trips to
-/// another region beside a busy counter.
+/// Seconds without a reply, while calls are pending, after which the connection is to be closed: a few round trips to another
+/// region and a busy counter.
 pub const REPLY_TIMEOUT: f64 = 0.4;
 
 /// The outcome of the adds of one call, in the order of the call.
@@ -20,7 +21,7 @@
 pub enum CallResult {
     /// One total for each add.
     Totals(Vec<CounterAdd>, Vec<f32>),
-    /// Never sent, or the node replied that it does not serve the counter: certainly not counted.
+    /// The adds were not sent, or the node replied that it does not serve the counter: they are certainly not counted.
     NotAdded(Vec<CounterAdd>),
     /// No reply, or a malformed one: the adds may have been counted.
     Unknown(Vec<CounterAdd>),
@@ -34,9 +35,9 @@
         /// Whether the node serves the counter.
         counts: bool,
     },
-    /// The reply to none of them: overtaken by a later reply, duplicated, or never asked for.
+    /// The reply to no pending call: overtaken by a later reply, duplicated, or unsolicited.
     Unmatched,
-    /// The reply to a pending call with the wrong number of totals: the connection can't be relied on.
+    /// The reply to a pending call, but with the wrong number of totals: the connection is not reliable.
     Malformed,
 }
 
@@ -55,11 +56,11 @@
 }
 
 impl PendingCalls {
-    /// Registers a call: its serial number, and the adds to be sent with it.
+    /// Registers a call, and returns its serial number and the adds to send with it.
     ///
     /// # Errors
     ///
-    /// [`CallResult::NotAdded`] with the adds if there is no room for another call.
+    /// Returns [`CallResult::NotAdded`] with the adds if the maximum number of calls is pending.
     pub fn send(&mut self, now: f64, adds: Vec<CounterAdd>) -> Result<(u64, &[CounterAdd]), CallResult> {
         if self.calls.len() >= MAX_PENDING {
             return Err(CallResult::NotAdded(adds));
@@ -72,9 +73,10 @@
         Ok((self.last_serial, self.calls.back().map_or(&[], |call| &call.adds)))
     }
 
-    /// Takes the reply to call `serial`; no `totals` means that the node does not serve the counter.
+    /// Processes the reply to call `serial`. `totals` is `None` if the node does not serve the counter.
     ///
-    /// The counter replies in order, so calls that a reply has overtaken get none any more: they are resolved before it.
+    /// The counter replies in order, so earlier calls that are still pending get no reply any more: they are resolved as
+    /// unknown, before this one.
     pub fn receive(
         &mut self,
         now: f64,
@@ -98,7 +100,7 @@
         (reply_match, results)
     }
 
-    /// The connection ended: resolves all pending calls.
+    /// Resolves all pending calls as unknown, because their connection has ended.
     pub fn disconnected(&mut self) -> Vec<CallResult> {
         self.calls.drain(..).map(|call| CallResult::Unknown(call.adds)).collect()
     }
@@ -108,7 +110,7 @@
         self.calls.is_empty()
     }
 
-    /// When the connection is to be closed if no reply comes before; `None` while no call is pending.
+    /// When the connection is to be closed unless a reply arrives first; `None` while no call is pending.
     pub fn times_out_at(&self) -> Option<f64> {
         (!self.calls.is_empty()).then_some(self.waiting_since + REPLY_TIMEOUT)
     }
