--- a/crates/config/src/configuration.rs
+++ b/crates/config/src/configuration.rs
@@ -1,7 +1,7 @@
 //! Routing configuration: routes, services and tenants, as checked types.
 //!
-//! [`Configuration::read`] either accepts a configuration completely or rejects it with the key at fault; nothing is
-//! applied in part. The text itself is never changed: operators read back the bytes that they sent.
+//! [`Configuration::read`] accepts a configuration as a whole or rejects it with an error that names the key at fault;
+//! nothing is applied in part. The text itself is never changed: operators read back the bytes that they sent.
 
 mod file_format;
 mod lookup;
@@ -14,7 +14,7 @@
 use std::collections::HashMap;
 use validation::{RequestLimits, checked_limits, checked_routes, checked_services, checked_tenants};
 
-/// A service that a route sends requests to, with its weight among the services of that route.
+/// A service to which a route sends requests, with its weight among the services of that route.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WeightedService {
     /// Name of a service of the same configuration.
@@ -23,26 +23,26 @@
     pub weight: f64,
 }
 
-/// A route: requests for one origin whose path starts with one prefix. Durations are in seconds.
+/// A route, which matches the requests for one origin whose path has one prefix. Durations are in seconds.
 #[derive(Clone, Debug)]
 pub struct Route {
     /// Name of the route.
     pub name: String,
-    /// Host name of the requests, in lower case.
+    /// Host name in the requests, in lower case.
     pub origin: String,
     /// Prefix of the path, beginning with a slash. No other route has the same origin and prefix.
     pub path_prefix: String,
     /// Whether a request may run more than once, so that it can be retried and hedged.
     pub idempotent: bool,
-    /// Longest time for a whole request, above 0; infinity for no timeout.
+    /// Timeout of a whole request, above 0; infinite if there is none.
     pub timeout: f64,
-    /// Latency that operators aim for; infinity for none.
+    /// Latency that operators aim for; infinite if there is no target.
     pub latency_target: f64,
     /// Priority under overload: 0 is the most important, 255 (the default) the least.
     pub priority: u8,
     /// The services that share the requests; never empty.
     pub distribution: Vec<WeightedService>,
-    /// Most hosts that one request may be sent to, from 1 to 16.
+    /// Maximum number of hosts to which one request may be sent, from 1 to 16.
     pub max_attempts: u32,
     /// Whether requests need no key.
     pub public: bool,
@@ -50,14 +50,14 @@
     pub home_regions: Vec<String>,
 }
 
-/// A service: hosts that answer the same requests. Durations are in seconds.
+/// A service: a set of hosts that serve the same requests. Durations are in seconds.
 #[derive(Clone, Debug)]
 pub struct Service {
     /// Name of the service.
     pub name: String,
-    /// Path of health checks on its hosts.
+    /// Path of the health checks on its hosts.
     pub health_path: String,
-    /// Most connections to one host; `usize::MAX` for no limit.
+    /// Maximum number of connections to one host; `usize::MAX` for no limit.
     pub max_connections: usize,
     /// How long a new host warms up; 0 for no slow start.
     pub warm_up_period: f64,
@@ -65,14 +65,14 @@
     pub warm_up_rate: f64,
 }
 
-/// A tenant (subscriber): holder of keys, with its quota.
+/// A tenant, which the text calls a subscriber: its keys and its quota.
 #[derive(Clone, Debug)]
 pub struct Tenant {
     /// Name of the tenant.
     pub name: String,
     /// The keys that authenticate its requests. No two tenants have a key in common.
     pub keys: Vec<String>,
-    /// Priority of its requests, if it has one of its own.
+    /// Priority of its requests, if the tenant sets one.
     pub priority: Option<u8>,
     /// Rate limit in requests per second; 0 for none.
     pub rate: f64,
@@ -85,7 +85,7 @@
 /// A complete, checked configuration. Durations are in seconds.
 #[derive(Clone, Debug)]
 pub struct Configuration {
-    /// Version that the operator gave it.
+    /// Version that the operator assigned.
     pub version: u64,
     /// Routes in the order of the text.
     pub routes: Vec<Route>,
@@ -93,13 +93,13 @@
     pub services: HashMap<String, Service>,
     /// Tenants in the order of the text.
     pub tenants: Vec<Tenant>,
-    /// Whether requests need a key, other than on public routes. True where the text has a table of subscribers.
+    /// Whether requests need a key, except on public routes. True if the text has the table `Subscribers`.
     pub keyed: bool,
-    /// Longest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body: usize,
-    /// Longest time for a client to send a request's headers.
+    /// Maximum time for a client to send the headers of a request.
     pub header_timeout: f64,
-    /// Longest time that a client connection may be idle.
+    /// Maximum time for which a client connection may be idle.
     pub idle_timeout: f64,
     route_index: RouteIndex,
     tenant_index: TenantIndex,
@@ -118,7 +118,7 @@
     ///
     /// # Errors
     ///
-    /// The error names the first key that has a value which is not allowed.
+    /// The error names the first key whose value is not allowed.
     pub fn read(text: &[u8]) -> Result<Configuration, Report<ConfigError>> {
         let file = File::parse(text)?;
         let version = version_of(&file.config_version)?;
@@ -146,8 +146,8 @@
         })
     }
 
-    /// Index in `routes` of the route for a request: that of its origin with the longest prefix of the path. `origin` is in
-    /// any case, `path` is without the query.
+    /// Index in `routes` of the route for a request: the route of its origin with the longest matching path prefix. `origin`
+    /// may be in any case; `path` is without the query.
     pub fn route(&self, origin: &str, path: &str) -> Option<usize> {
         self.route_index.find(&self.routes, origin, path)
     }
--- a/crates/config/src/configuration/file_format.rs
+++ b/crates/config/src/configuration/file_format.rs
@@ -10,7 +10,7 @@
 use serde::de::DeserializeOwned;
 use serde_json::{Map, Value};
 
-/// A table: names of the columns, and rows with one value for each column.
+/// A table: the names of the columns, and rows with one value for each column.
 #[derive(Config, Debug)]
 #[config(rename_all = "PascalCase", allow_unknown_fields)]
 pub struct TableFile {
@@ -18,7 +18,7 @@
     records: Vec<Vec<Value>>,
 }
 
-/// Limits for requests of clients.
+/// Limits on clients' requests.
 #[derive(Config, Debug)]
 #[config(rename_all = "PascalCase", allow_unknown_fields)]
 pub struct LimitsFile {
@@ -27,7 +27,7 @@
     pub idle_timeout: Option<String>,
 }
 
-/// The whole text.
+/// The top-level object.
 #[derive(Config, Debug)]
 #[config(rename_all = "PascalCase", allow_unknown_fields)]
 pub struct File {
@@ -104,12 +104,13 @@
 impl File {
     /// Parses the text; tables are left as columns and rows.
     pub fn parse(text: &[u8]) -> Result<File, Report<ConfigError>> {
-        let text = std::str::from_utf8(text).map_err(|e| invalid_value("configuration", e, "UTF-8"))?;
+        let text =
+            std::str::from_utf8(text).map_err(|error| invalid_value("configuration", error, "UTF-8"))?;
         let mut loader = ConfigLoader::<File>::new();
         let loaded = loader.code(text, "configuration.json").and_then(|loader| loader.load());
-        let loaded = loaded.map_err(|e| {
-            let one_line = e.to_full_string().replace('\n', " ");
-            invalid_value("configuration", one_line, "a whole configuration")
+        let loaded = loaded.map_err(|error| {
+            let one_line = error.to_full_string().replace('\n', " ");
+            invalid_value("configuration", one_line, "a complete configuration")
         })?;
         Ok(loaded.config)
     }
@@ -120,7 +121,7 @@
     table.ok_or_else(|| invalid_value(key, "nothing", "a table"))
 }
 
-/// The rows of the table under `key` as typed values. A null stands for a field that is left out.
+/// The rows of the table under `key`, as typed values. A null is read as a field that is left out.
 pub fn read_rows<Row: DeserializeOwned>(
     key: &str,
     table: TableFile,
@@ -134,7 +135,7 @@
         }
         let fields = table.column_names.iter().cloned().zip(record).filter(|(_, value)| !value.is_null());
         let row = serde_json::from_value(Value::Object(Map::from_iter(fields)));
-        rows.push(row.map_err(|e| invalid_value(row_key(), e, "the fields of its table"))?);
+        rows.push(row.map_err(|error| invalid_value(row_key(), error, "a valid row of its table"))?);
     }
     Ok(rows)
 }
--- a/crates/config/src/configuration/lookup.rs
+++ b/crates/config/src/configuration/lookup.rs
@@ -1,4 +1,4 @@
-//! Indexes for the two look-ups of each request: its route, and the tenant of its key.
+//! Indexes for the two look-ups of each request: its route, and the tenant that holds its key.
 
 use super::{Route, Tenant};
 use std::cmp::Reverse;
@@ -11,7 +11,7 @@
 }
 
 impl RouteIndex {
-    /// Indexes `routes`; the same slice has to be handed to [`RouteIndex::find`].
+    /// Indexes `routes`; the same slice has to be passed to [`RouteIndex::find`].
     pub fn new(routes: &[Route]) -> RouteIndex {
         let mut by_origin: HashMap<String, Vec<usize>> = HashMap::new();
         for (index, route) in routes.iter().enumerate() {
@@ -25,7 +25,7 @@
 
     /// The route of `origin` with the longest prefix of `path`.
     pub fn find(&self, routes: &[Route], origin: &str, path: &str) -> Option<usize> {
-        // Most clients send the host name in lower case already: no copy then.
+        // Most clients send the host name in lower case, which needs no copy.
         let indexes = match self.by_origin.get(origin) {
             Some(indexes) => indexes,
             None => self.by_origin.get(&origin.to_ascii_lowercase())?,
--- a/crates/config/src/configuration/validation.rs
+++ b/crates/config/src/configuration/validation.rs
@@ -1,4 +1,4 @@
-//! Checks that turn the rows of a configuration into checked types. Each error names the key at fault.
+//! Validates the rows of a configuration and converts them to checked types. Each error names the key at fault.
 
 use super::file_format::{Category, LimitsFile, RouteRow, ServiceRow, ShareRow, TenantRow};
 use super::{Route, Service, Tenant, WeightedService};
@@ -7,33 +7,33 @@
 use error_stack::Report;
 use std::collections::{HashMap, HashSet};
 
-/// Longest request body without `MaxBodyBytes`, in bytes: 64 MiB.
+/// Maximum size of a request body without `MaxBodyBytes`, in bytes: 64 MiB.
 const DEFAULT_MAX_BODY: usize = 64 << 20;
-/// Time for a request's headers without `Limits`, in seconds.
+/// Timeout for the headers of a request without `Limits`, in seconds.
 const DEFAULT_HEADER_TIMEOUT: f64 = 3.0;
-/// Time that a connection may be idle without `Limits`, in seconds.
+/// Idle timeout of a connection without `Limits`, in seconds.
 const DEFAULT_IDLE_TIMEOUT: f64 = 15.0;
-/// Path of health checks of a service without `HealthPath`.
+/// Path of the health checks of a service without `HealthPath`.
 const DEFAULT_HEALTH_PATH: &str = "/health";
-/// Most hosts that one request is sent to, whatever `MaxAttempts` says: bounds the load that one request can cause.
+/// Upper limit of `MaxAttempts`, to which higher values are lowered: bounds the load that one request can cause.
 const MAX_ATTEMPTS: i64 = 16;
 /// Priority of a route without `Precedence`: the least important.
 const DEFAULT_PRIORITY: u8 = u8::MAX;
 /// Weight of the only service of a route.
 const SINGLE_SERVICE_WEIGHT: f64 = 1.0;
 
-/// Limits for requests of clients; durations in seconds.
+/// Limits on clients' requests. Durations are in seconds.
 pub struct RequestLimits {
-    /// Longest body, in bytes.
+    /// Maximum size of a body, in bytes.
     pub max_body: usize,
-    /// Longest time for the headers.
+    /// Maximum time for the headers.
     pub header_timeout: f64,
-    /// Longest time that a connection may be idle.
+    /// Maximum time for which a connection may be idle.
     pub idle_timeout: f64,
 }
 
-/// Checks `Limits`. The default timeouts hold where the whole object is missing; a timeout that is missing from an object
-/// that is there is infinite.
+/// Checks `Limits`. The default timeouts apply only if the whole object is missing; a timeout that an existing object leaves
+/// out is infinite.
 pub fn checked_limits(limits: Option<LimitsFile>) -> Result<RequestLimits, Report<ConfigError>> {
     let Some(limits) = limits else {
         return Ok(RequestLimits {
@@ -50,7 +50,7 @@
     })
 }
 
-/// Checks the rows of `ServiceTable`. Of two rows with one name the later one holds.
+/// Checks the rows of `ServiceTable`. If two rows have the same name, the later one applies.
 pub fn checked_services(rows: Vec<ServiceRow>) -> Result<HashMap<String, Service>, Report<ConfigError>> {
     rows.into_iter().map(|row| Ok((row.designation.clone(), checked_service(row)?))).collect()
 }
@@ -84,7 +84,7 @@
     rows.into_iter().map(|row| checked_route(row, services, &mut known_prefixes)).collect()
 }
 
-/// Checks one route. `known_prefixes` has origin and path prefix of the routes before it, and takes up its own.
+/// Checks one route. `known_prefixes` holds the origin and path prefix of each earlier route; those of this one are added.
 fn checked_route(
     row: RouteRow,
     services: &HashMap<String, Service>,
@@ -107,8 +107,8 @@
     }
     let origin = row.origin.to_ascii_lowercase();
     if !known_prefixes.insert((origin.clone(), row.path_prefix.clone())) {
-        let found = format!("{origin}{} a second time", row.path_prefix);
-        return Err(invalid_value(key("PathPrefix"), found, "a host and prefix of its own"));
+        let found = format!("a duplicate of {origin}{}", row.path_prefix);
+        return Err(invalid_value(key("PathPrefix"), found, "a unique origin and path prefix"));
     }
     Ok(Route {
         origin,
@@ -125,7 +125,7 @@
     })
 }
 
-/// The weighted services of a route, which names either one service or a distribution over several.
+/// Checks the weighted services of a route, which names either one service or a distribution over several.
 fn checked_distribution(
     key: impl Fn(&str) -> String,
     service: Option<String>,
@@ -137,7 +137,7 @@
         (None, Some(rows)) => {
             rows.into_iter().map(|row| WeightedService { service: row.service, weight: row.weight }).collect()
         }
-        _ => return Err(invalid_value(key("Service"), "both or neither", "Service or Distribution")),
+        _ => return Err(invalid_value(key("Service"), "both or neither", "either Service or Distribution")),
     };
     for WeightedService { service, weight } in &distribution {
         if !services.contains_key(service) {
@@ -153,13 +153,13 @@
     Ok(distribution)
 }
 
-/// Checks the rows of `Subscribers`: no key may appear twice.
+/// Checks the rows of `Subscribers`. No key may appear twice.
 pub fn checked_tenants(rows: Vec<TenantRow>) -> Result<Vec<Tenant>, Report<ConfigError>> {
     let mut known_keys = HashSet::new();
     rows.into_iter().map(|row| checked_tenant(row, &mut known_keys)).collect()
 }
 
-/// Checks one tenant. `known_keys` has the keys of the tenants before it, and takes up its own.
+/// Checks one tenant. `known_keys` holds the keys of all earlier tenants; those of this one are added.
 fn checked_tenant(row: TenantRow, known_keys: &mut HashSet<String>) -> Result<Tenant, Report<ConfigError>> {
     let name = row.designation;
     let key = |field: &str| format!("Subscribers.{name}.{field}");
@@ -167,11 +167,7 @@
     for credential in &keys {
         if !known_keys.insert(credential.clone()) {
             // Keys are secret: the error doesn't quote them.
-            return Err(invalid_value(
-                key("Credentials"),
-                "a key a second time",
-                "keys that nobody else holds",
-            ));
+            return Err(invalid_value(key("Credentials"), "a duplicate key", "unique keys"));
         }
     }
     let (rate, burst) = (row.rate_per_s.unwrap_or(0.0), row.burst_size.unwrap_or(0.0));
@@ -182,11 +178,12 @@
     Ok(Tenant { name, keys, priority: row.precedence, rate, burst, homes })
 }
 
+/// Parses a required duration into seconds.
 fn seconds(key: impl Fn(&str) -> String, field: &str, text: &str) -> Result<f64, Report<ConfigError>> {
     parse_seconds(text).ok_or_else(|| invalid_value(key(field), text, "a time such as 1500ms or 2.5s"))
 }
 
-/// A duration in seconds; infinity where the field is left out.
+/// Parses an optional duration into seconds; infinite if the field is left out.
 fn seconds_or_infinity(
     key: impl Fn(&str) -> String,
     field: &str,
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -1,9 +1,9 @@
-//! The error of this package: which key of a settings file or configuration has a value that is not allowed.
+//! The error of this package: a key of a settings file or configuration has a value that is not allowed.
 
 use error_stack::Report;
 use std::fmt;
 
-/// Longest quotation of a found value, in characters, so that an error stays one readable line.
+/// Maximum length of a quoted value, in characters, so that an error stays one readable line.
 const MAX_FOUND_CHARS: usize = 160;
 
 /// A value that is not allowed. Displays as `KEY: found FOUND, allowed is ALLOWED`.
@@ -13,7 +13,7 @@
     pub key: String,
     /// The value found there, or the parser's description of it; at most 160 characters.
     pub found: String,
-    /// What the key allows.
+    /// Description of the values that the key allows.
     pub allowed: &'static str,
 }
 
@@ -25,7 +25,7 @@
 
 impl std::error::Error for ConfigError {}
 
-/// Reports that `key` has the value `found` where `allowed` is expected; a long value is truncated.
+/// Reports that `key` has the value `found` where `allowed` is expected. A long value is truncated.
 pub fn invalid_value(
     key: impl Into<String>,
     found: impl fmt::Display,
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,10 +1,10 @@
 //! Settings file of a process and routing configurations sent by operators: parsing, validation and look-ups.
 //!
-//! - [`Settings`] is read once, at the start of a process, from the settings file.
-//! - [`Configuration`] is a complete set of routes, services and tenants. Operators replace it at run time as a whole.
+//! - [`Settings`] is read from the settings file once, when a process starts.
+//! - [`Configuration`] is a complete set of routes, services and tenants. Operators replace it as a whole at run time.
 //!
 //! Both are parsed from text into checked types in one step; an error names the key, the value found and the allowed
-//! values ([`ConfigError`]). This package does no I/O: callers hand it the text.
+//! values ([`ConfigError`]). This package does no I/O: callers pass in the text.
 
 mod configuration;
 mod duration;
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a process, read and checked at its start before any of them is used.
+//! Settings of a process, which are parsed and checked at its start, before any of them is used.
 
 mod file_format;
 mod timing_bounds;
@@ -13,13 +13,13 @@
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::path::PathBuf;
 
-/// Machines that may be lost at once without `Tolerance`.
+/// Number of machines that may be lost at once without `Tolerance`.
 const DEFAULT_TOLERATED_LOSSES: u32 = 1;
-/// Most machines that may be lost at once, whatever `MachineLosses` says: bounds the number of voters.
+/// Upper limit of `MachineLosses`, to which higher values are lowered: bounds the number of voters.
 const MAX_TOLERATED_LOSSES: u32 = 8;
-/// Least memory that the settings can grant, in megabytes.
+/// Lower limit of `MemoryMb`, to which lower values are raised.
 const MIN_MEMORY_MB: f64 = 1.0;
-/// Bytes of a megabyte in `MemoryMb`.
+/// Number of bytes in a megabyte of `MemoryMb`.
 const BYTES_PER_MB: f64 = 1e6;
 
 /// Checked settings of a process.
@@ -35,35 +35,35 @@
     pub region: String,
     /// Region of each zone.
     pub zones: HashMap<String, String>,
-    /// Where a data node listens for clients.
+    /// Address on which a data node listens for clients.
     pub client_address: Option<SocketAddr>,
-    /// Where a data node answers readiness checks.
+    /// Address on which a data node answers readiness checks.
     pub readiness_address: Option<SocketAddr>,
-    /// Where a control node listens for operators.
+    /// Address on which a control node listens for operators.
     pub operator_address: Option<SocketAddr>,
-    /// Where a control node answers which nodes there are.
+    /// Address on which a control node serves the directory of nodes.
     pub directory_address: Option<SocketAddr>,
-    /// Port of connections between the system's own processes, the same on all machines.
+    /// Port for connections between the system's own processes, the same on all machines.
     pub internal_port: u16,
-    /// Seed nodes: control nodes to call first.
+    /// Seed nodes: the control nodes to contact first.
     pub seeds: Vec<SocketAddrV4>,
     /// Whether this is the first start of the whole system, which has no state yet.
     pub first_start: bool,
-    /// Machines with a disk that may be lost at once without loss of state, at most 8.
+    /// Number of machines with a disk that may be lost at once without loss of state, at most 8.
     pub tolerated_losses: u32,
     /// Memory that the process may use, in bytes.
     pub memory_bytes: f64,
-    /// File descriptors that the process may have open.
+    /// Number of file descriptors that the process may have open.
     pub max_descriptors: u64,
-    /// Folder for durable state.
+    /// Directory for durable state.
     pub data_dir: Option<PathBuf>,
-    /// Bounds that the operators judge the system by.
+    /// Bounds by which operators judge the system.
     pub timing_bounds: TimingBounds,
     /// Address of the platform's API.
     pub platform: Option<SocketAddr>,
     /// Calls per second that the platform accepts from all nodes together.
     pub platform_rate: f64,
-    /// How far the platform's list of hosts may lag behind, in seconds.
+    /// Maximum staleness of the platform's list of hosts, in seconds.
     pub platform_lag: f64,
 }
 
@@ -72,7 +72,7 @@
     ///
     /// # Errors
     ///
-    /// The error names the first key that has a value which is not allowed.
+    /// The error names the first key whose value is not allowed.
     pub fn read(text: &str) -> Result<Settings, Report<ConfigError>> {
         let file = File::parse(text)?;
         let ip = file
@@ -133,7 +133,7 @@
     Ok(Some(address))
 }
 
-/// Seconds; a platform without `Lag` doesn't lag.
+/// Parses `Cloud.Lag` into seconds; 0 if it is left out.
 fn checked_platform_lag(text: Option<String>) -> Result<f64, Report<ConfigError>> {
     let Some(text) = text else { return Ok(0.0) };
     parse_seconds(&text).ok_or_else(|| invalid_value("Cloud.Lag", &text, "a time such as 800ms"))
--- a/crates/config/src/settings/file_format.rs
+++ b/crates/config/src/settings/file_format.rs
@@ -1,4 +1,4 @@
-//! Text of a settings file. Unknown fields are ignored: operators add fields to the file.
+//! Text of a settings file. Unknown fields are ignored, because operators add fields to the file.
 //!
 //! The names of these types appear in parse errors (`expected struct PartialListenFile`), which operators read: renaming
 //! one changes such an error.
@@ -26,7 +26,7 @@
     pub file_descriptors: u64,
 }
 
-/// Losses that the system has to survive.
+/// Losses that the system has to tolerate.
 #[derive(Config, Debug)]
 #[config(rename_all = "PascalCase", allow_unknown_fields)]
 pub struct ToleranceFile {
@@ -42,7 +42,7 @@
     pub lag: Option<String>,
 }
 
-/// The whole text.
+/// The top-level object.
 #[derive(Config, Debug)]
 #[config(rename_all = "PascalCase", allow_unknown_fields)]
 pub struct File {
@@ -71,9 +71,9 @@
     pub fn parse(text: &str) -> Result<File, Report<ConfigError>> {
         let mut loader = ConfigLoader::<File>::new();
         let loaded = loader.code(text, "settings.json").and_then(|loader| loader.load());
-        let loaded = loaded.map_err(|e| {
-            let one_line = e.to_full_string().replace('\n', " ");
-            invalid_value("settings", one_line, "a whole settings object")
+        let loaded = loaded.map_err(|error| {
+            let one_line = error.to_full_string().replace('\n', " ");
+            invalid_value("settings", one_line, "a complete settings object")
         })?;
         Ok(loaded.config)
     }
--- a/crates/config/src/settings/timing_bounds.rs
+++ b/crates/config/src/settings/timing_bounds.rs
@@ -1,29 +1,29 @@
-//! Bounds that the operators judge the system by: `TimingBounds` of the settings file, a list of `name=value`.
+//! Bounds by which operators judge the system: `TimingBounds` of the settings file, a list of `name=value`.
 
 use crate::duration::parse_seconds;
 use crate::error::{ConfigError, invalid_value};
 use error_stack::Report;
 use std::collections::HashMap;
 
-/// Bounds that the operators judge the system by. Durations are in seconds; a duration that the file leaves out is infinite.
+/// Bounds by which operators judge the system. Durations are in seconds; a duration that the file leaves out is infinite.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TimingBounds {
     /// `Ack`: an operator's call is acknowledged within this time.
     pub ack: f64,
-    /// `CatchUp`: a machine that was replaced or has returned holds its state again after this time, and no longer counts as
+    /// `CatchUp`: a machine that was replaced or has returned has its state again after this time, and no longer counts as
     /// lost.
     pub catch_up: f64,
     /// `Drain`: a draining host gets no new requests after this time.
     pub drain: f64,
-    /// `Grace`: time of a process to end after SIGTERM.
+    /// `Grace`: time for a process to exit after SIGTERM.
     pub grace: f64,
-    /// `ConfigApply`: an acknowledged configuration applies everywhere after this time.
+    /// `ConfigApply`: an acknowledged configuration is in force everywhere after this time.
     pub config_apply: f64,
     /// `Revoke`: a withdrawn key is rejected everywhere after this time.
     pub revoke: f64,
     /// `Evacuation`: an evacuated zone gets no new requests after this time.
     pub evacuation: f64,
-    /// `RetryBudgetRatio`: retries allowed for each request in a window of `budget_window`.
+    /// `RetryBudgetRatio`: retries allowed per request in a window of `budget_window`.
     pub retry_ratio: f64,
     /// `RetryBudgetSlack`: retries allowed in a window beyond those of `retry_ratio`.
     pub retry_slack: f64,
@@ -35,17 +35,17 @@
     pub quota_overrun: f64,
     /// `QuotaSlack`: requests allowed beyond a quota and `quota_overrun`.
     pub quota_slack: f64,
-    /// `ColdOverrun`: factor of the warm-up rate that a host which warms up may get.
+    /// `ColdOverrun`: requests that a host may get while it warms up, as a multiple of its warm-up rate.
     pub warm_up_overrun: f64,
     /// `ColdSlack`: requests allowed beyond the warm-up rate times `warm_up_overrun`.
     pub warm_up_slack: f64,
-    /// `ttl_max`: longest time to live of the list of addresses that clients get.
+    /// `ttl_max`: maximum time to live of the list of addresses that clients get.
     pub ttl_max: f64,
 }
 
 impl TimingBounds {
-    /// Reads the elements of `TimingBounds`; each holds one or more `name=value`, separated by commas. Unknown names are
-    /// ignored; of two values for one name the later one holds.
+    /// Parses the elements of `TimingBounds`; each holds one or more `name=value`, separated by commas. Unknown names are
+    /// ignored; if a name has two values, the later one applies.
     pub fn read(elements: &[String]) -> Result<TimingBounds, Report<ConfigError>> {
         let bounds = NamedBounds::parse(elements)?;
         Ok(TimingBounds {
@@ -69,7 +69,7 @@
     }
 }
 
-/// The texts of the bounds by name.
+/// The values of the bounds as text, by name.
 struct NamedBounds<'a>(HashMap<&'a str, &'a str>);
 
 impl<'a> NamedBounds<'a> {
@@ -83,13 +83,13 @@
         Ok(NamedBounds(named))
     }
 
-    /// A duration in seconds; infinity where it is left out.
+    /// The duration `name` in seconds; infinite if it is left out.
     fn seconds(&self, name: &str) -> Result<f64, Report<ConfigError>> {
         let Some(text) = self.0.get(name) else { return Ok(f64::INFINITY) };
         parse_seconds(text).ok_or_else(|| invalid_value(format!("TimingBounds.{name}"), text, "a time"))
     }
 
-    /// A finite number of 0 or more.
+    /// The number `name`, which has to be finite and 0 or more; `default` if it is left out.
     fn number(&self, name: &str, default: f64) -> Result<f64, Report<ConfigError>> {
         let Some(text) = self.0.get(name) else { return Ok(default) };
         let number = text.parse::<f64>().ok().filter(|number| number.is_finite() && *number >= 0.0);
--- a/crates/config/tests/configuration.rs
+++ b/crates/config/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! A configuration as operators send it: the field that each key is read into, the key and text of each error, and the
+//! Configurations as operators send them: the field that each key is read into, the key and text of each error, and the
 //! look-ups of routes and tenants.
 
 use archlink_config::{Configuration, Route, Service, Tenant, WeightedService};
@@ -139,7 +139,7 @@
             json!("old"),
             "RouteTable.read.Service",
             "both or neither",
-            "Service or Distribution",
+            "either Service or Distribution",
         ),
         (
             "/RouteTable/Records/1/11",
@@ -159,8 +159,8 @@
             "/RouteTable/Records/1/2",
             json!("/read/"),
             "RouteTable.write.PathPrefix",
-            "reports.example/read/ a second time",
-            "a host and prefix of its own",
+            "a duplicate of reports.example/read/",
+            "a unique origin and path prefix",
         ),
         ("/ServiceTable/Records/0/3", json!("3"), "ServiceTable.old.ColdPeriod", "3", time),
         ("/ServiceTable/Records/0/4", json!(-1), "ServiceTable.old.ColdRateS", "-1", "0 or more"),
@@ -168,8 +168,8 @@
             "/Subscribers/Records/1/1",
             json!(["key-2"]),
             "Subscribers.guest.Credentials",
-            "a key a second time",
-            "keys that nobody else holds",
+            "a duplicate key",
+            "unique keys",
         ),
         ("/Subscribers/Records/0/3", json!(-1), "Subscribers.lab.RatePerS", "-1", "0 or more"),
         ("/Subscribers/Records/0/4", json!(-1), "Subscribers.lab.RatePerS", "-1", "0 or more"),
@@ -198,7 +198,7 @@
     );
 }
 
-/// A wrong type in a row names the table and the row; elsewhere the error names the key in its text.
+/// The error for a wrong type in a row has the table and the row as its key; elsewhere its text names the key.
 #[test]
 fn value_of_wrong_type_is_rejected_with_its_table_and_row_or_key() {
     for table in ["RouteTable", "ServiceTable", "Subscribers"] {
@@ -208,15 +208,15 @@
             text[table]["Records"][0][column] = json!({"Unexpected": 1});
             let rejected = Configuration::read(text.to_string().as_bytes()).unwrap_err();
             let error = rejected.current_context();
-            let place = format!("{table}.Records.0");
+            let row_key = format!("{table}.Records.0");
             assert_eq!(
                 (error.key.as_str(), error.allowed),
-                (place.as_str(), "the fields of its table"),
-                "{column}"
+                (row_key.as_str(), "a valid row of its table"),
+                "column {column} of {table}"
             );
         }
     }
-    for (at, value) in [
+    for (key_path, value) in [
         ("ConfigVersion", json!(1)),
         ("RouteTable.ColumnNames", json!("a")),
         ("ServiceTable.Records", json!("a")),
@@ -226,11 +226,11 @@
         ("Limits.IdleTimeout", json!(1)),
     ] {
         let mut text = complete_configuration();
-        *text.pointer_mut(&format!("/{}", at.replace('.', "/"))).unwrap() = value;
+        *text.pointer_mut(&format!("/{}", key_path.replace('.', "/"))).unwrap() = value;
         let rejected = Configuration::read(text.to_string().as_bytes()).unwrap_err();
         let error = rejected.current_context();
-        assert_eq!((error.key.as_str(), error.allowed), ("configuration", "a whole configuration"));
-        assert!(error.found.contains(&format!("{at}:")), "{at}: {error}");
+        assert_eq!((error.key.as_str(), error.allowed), ("configuration", "a complete configuration"));
+        assert!(error.found.contains(&format!("{key_path}:")), "{key_path}: {error}");
     }
 }
 
@@ -279,7 +279,7 @@
     assert_eq!(configuration.tenants[1].rate, 0.0);
 }
 
-/// What the operators' page calls invalid is rejected as a whole.
+/// Each kind of value that the operators' documentation calls invalid is rejected, and so is a truncated text.
 #[test]
 fn invalid_or_truncated_configuration_is_rejected_with_its_key() {
     for (from, to, key) in [
@@ -303,7 +303,7 @@
     }
 }
 
-/// Operators read the parser's text, which quotes names of types that mirror the file.
+/// Parse errors quote the names of the types that mirror the file, and operators read them.
 #[test]
 fn parse_errors_keep_their_text() {
     for (pointer, value, expected) in [
--- a/crates/config/tests/settings.rs
+++ b/crates/config/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file as operators write it: the field that each key is read into, and the key and text of each error.
+//! Settings files as operators write them: the field that each key is read into, and the key and text of each error.
 
 use archlink_config::{Settings, TimingBounds};
 use serde_json::{Value, json};
@@ -161,7 +161,7 @@
 
 #[test]
 fn value_of_wrong_type_is_rejected_with_its_key() {
-    for (at, value) in [
+    for (key_path, value) in [
         ("NodeName", json!(1)),
         ("IpAddress", json!(1)),
         ("Zone", json!(1)),
@@ -186,11 +186,11 @@
         ("Cloud.Lag", json!(1)),
     ] {
         let mut file = complete_settings();
-        *file.pointer_mut(&format!("/{}", at.replace('.', "/"))).unwrap() = value;
+        *file.pointer_mut(&format!("/{}", key_path.replace('.', "/"))).unwrap() = value;
         let rejected = Settings::read(&file.to_string()).unwrap_err();
         let error = rejected.current_context();
-        assert_eq!((error.key.as_str(), error.allowed), ("settings", "a whole settings object"));
-        assert!(error.found.contains(&format!("{at}:")), "{at}: {error}");
+        assert_eq!((error.key.as_str(), error.allowed), ("settings", "a complete settings object"));
+        assert!(error.found.contains(&format!("{key_path}:")), "{key_path}: {error}");
     }
 }
 
@@ -224,7 +224,7 @@
     assert!(rejected.current_context().found.contains("InternalPorts"), "{rejected}");
 }
 
-/// Operators read the parser's text, which quotes names of types that mirror the file.
+/// Parse errors quote the names of the types that mirror the file, and operators read them.
 #[test]
 fn parse_errors_keep_their_text() {
     for key in ["Listen", "Limits", "Tolerance", "Cloud"] {
