--- a/crates/config/src/configuration.rs
+++ b/crates/config/src/configuration.rs
@@ -78,8 +78,8 @@
     pub rate: f64,
     /// Burst size in requests.
     pub burst: f64,
-    /// Home regions; empty for all.
-    pub homes: Vec<String>,
+    /// Regions that may serve its requests; empty for all.
+    pub home_regions: Vec<String>,
 }
 
 /// A complete, checked configuration. Durations are in seconds.
--- a/crates/config/src/configuration/validation.rs
+++ b/crates/config/src/configuration/validation.rs
@@ -174,8 +174,8 @@
     if rate < 0.0 || burst < 0.0 {
         return Err(invalid_value(key("RatePerS"), rate.min(burst), "0 or more"));
     }
-    let homes = row.home_regions.unwrap_or_default();
-    Ok(Tenant { name, keys, priority: row.precedence, rate, burst, homes })
+    let home_regions = row.home_regions.unwrap_or_default();
+    Ok(Tenant { name, keys, priority: row.precedence, rate, burst, home_regions })
 }
 
 /// Parses a required duration into seconds.
--- a/crates/config/tests/configuration.rs
+++ b/crates/config/tests/configuration.rs
@@ -83,14 +83,14 @@
     assert_eq!((new.warm_up_period, new.warm_up_rate), (0.0, 0.0));
 
     let [lab, guest] = configuration.tenants.as_slice() else { panic!("{:?}", configuration.tenants) };
-    let Tenant { name, keys, priority, rate, burst, homes } = lab;
+    let Tenant { name, keys, priority, rate, burst, home_regions } = lab;
     assert_eq!((name.as_str(), *priority, *rate, *burst), ("lab", Some(4), 76.5, 80.0));
     assert_eq!(
-        (keys.as_slice(), homes.as_slice()),
+        (keys.as_slice(), home_regions.as_slice()),
         (&["key-1".into(), "key-2".into()][..], &["coast".into()][..])
     );
     assert_eq!((guest.name.as_str(), guest.priority, guest.rate, guest.burst), ("guest", None, 0.0, 0.0));
-    assert_eq!((guest.keys.len(), guest.homes.len()), (0, 0));
+    assert_eq!((guest.keys.len(), guest.home_regions.len()), (0, 0));
 }
 
 #[test]
--- a/crates/data-plane/src/host_selection.rs
+++ b/crates/data-plane/src/host_selection.rs
@@ -97,7 +97,7 @@
 
 /// The home regions that bind a request: the route's and the tenant's both. Empty: all; `None`: no region is left.
 fn home_regions(route: &Route, tenant: Option<&Tenant>) -> Option<Vec<String>> {
-    let of_tenant = tenant.map_or(&[][..], |tenant| &tenant.homes);
+    let of_tenant = tenant.map_or(&[][..], |tenant| &tenant.home_regions);
     match (route.home_regions.is_empty(), of_tenant.is_empty()) {
         (_, true) => Some(route.home_regions.clone()),
         (true, _) => Some(of_tenant.to_vec()),
