--- a/crates/config/src/configuration.rs
+++ b/crates/config/src/configuration.rs
@@ -106,7 +106,7 @@
 }
 
 /// Parses the version of a configuration: 1 to 16 hexadecimal digits.
-pub fn version_of(text: &str) -> Result<u64, Report<ConfigError>> {
+pub fn parse_version(text: &str) -> Result<u64, Report<ConfigError>> {
     const MAX_DIGITS: usize = (u64::BITS / 4) as usize;
     let is_hex = (1..=MAX_DIGITS).contains(&text.len()) && text.bytes().all(|byte| byte.is_ascii_hexdigit());
     let version = if is_hex { u64::from_str_radix(text, 16).ok() } else { None };
@@ -121,7 +121,7 @@
     /// The error names the first key whose value is not allowed.
     pub fn read(text: &[u8]) -> Result<Configuration, Report<ConfigError>> {
         let file = File::parse(text)?;
-        let version = version_of(&file.config_version)?;
+        let version = parse_version(&file.config_version)?;
         let keyed = file.subscribers.is_some();
         let RequestLimits { max_body, header_timeout, idle_timeout } = checked_limits(file.limits)?;
         let table = required_table("ServiceTable", file.service_table)?;
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -11,7 +11,7 @@
 mod error;
 mod settings;
 
-pub use configuration::{Configuration, Route, Service, Tenant, WeightedService, version_of};
+pub use configuration::{Configuration, Route, Service, Tenant, WeightedService, parse_version};
 pub use duration::parse_seconds;
 pub use error::ConfigError;
 pub use settings::{Settings, TimingBounds};
