--- a/crates/data-plane/src/counter_session.rs
+++ b/crates/data-plane/src/counter_session.rs
@@ -89,9 +89,9 @@
                 message = messages.next() => {
                     let Some(Ok(Message::CounterTotals { serial, cluster_clock, totals })) = message else { return };
                     match self.receive(serial, cluster_clock, totals) {
-                        ReplyMatch::Answer { counts } => {
-                            data_plane.set_counter_reachable(counts);
-                            probe_at = (!counts).then(|| Instant::now() + PROBE_INTERVAL);
+                        ReplyMatch::Answer { serves_counter } => {
+                            data_plane.set_counter_reachable(serves_counter);
+                            probe_at = (!serves_counter).then(|| Instant::now() + PROBE_INTERVAL);
                         }
                         ReplyMatch::Unmatched => log::warn!(serial = serial; "quota counter reply unmatched"),
                         ReplyMatch::Malformed => {
--- a/crates/quota/src/pending_calls.rs
+++ b/crates/quota/src/pending_calls.rs
@@ -33,7 +33,7 @@
     /// The reply to a pending call.
     Answer {
         /// Whether the node serves the counter.
-        counts: bool,
+        serves_counter: bool,
     },
     /// The reply to no pending call: overtaken by a later reply, duplicated, or unsolicited.
     Unmatched,
@@ -90,11 +90,11 @@
         let mut results: Vec<CallResult> =
             self.calls.drain(..position).map(|call| CallResult::Unknown(call.adds)).collect();
         let adds = self.calls.pop_front().map(|call| call.adds).unwrap_or_default();
-        let counts = totals.is_some();
+        let serves_counter = totals.is_some();
         let (reply_match, result) = match totals {
             Some(totals) if totals.len() != adds.len() => (ReplyMatch::Malformed, CallResult::Unknown(adds)),
-            Some(totals) => (ReplyMatch::Answer { counts }, CallResult::Totals(adds, totals)),
-            None => (ReplyMatch::Answer { counts }, CallResult::NotAdded(adds)),
+            Some(totals) => (ReplyMatch::Answer { serves_counter }, CallResult::Totals(adds, totals)),
+            None => (ReplyMatch::Answer { serves_counter }, CallResult::NotAdded(adds)),
         };
         results.push(result);
         (reply_match, results)
--- a/crates/quota/tests/pending_calls.rs
+++ b/crates/quota/tests/pending_calls.rs
@@ -232,7 +232,7 @@
     counter.add(1000.0, 1, &adds);
     let (within_quota, serial, adds) = request(&mut client, &mut calls, "calm");
     let (reply_match, results) = calls.receive(1000.0, serial, counter.add(1000.0, 1, &adds));
-    assert_eq!((reply_match, results.len()), (ReplyMatch::Answer { counts: true }, 2));
+    assert_eq!((reply_match, results.len()), (ReplyMatch::Answer { serves_counter: true }, 2));
     results.into_iter().for_each(|result| client.call_finished(1000.0, result));
     let verdicts = client.take_verdicts();
     let verdict_of =
