--- a/crates/quota/src/counter.rs
+++ b/crates/quota/src/counter.rs
@@ -43,8 +43,8 @@
 impl Counter {
     /// Applies `adds` and returns the totals after them, in the same order. A later `term` starts with no keys.
     ///
-    /// Returns `None` and adds nothing if `term` has ended or the new keys don't fit: "not added" has to hold for all adds of
-    /// a call.
+    /// Returns `None` and adds nothing if `term` has ended or the new keys don't fit: "not added" has to hold for all adds
+    /// of a call.
     pub fn add(&mut self, now: f64, term: u64, adds: &[CounterAdd]) -> Option<Vec<f32>> {
         if term < self.term {
             return None;
--- a/crates/quota/src/counter_client.rs
+++ b/crates/quota/src/counter_client.rs
@@ -133,8 +133,8 @@
         self.module.set_plans(self.plans.clone());
     }
 
-    /// Requests a verdict on one request of a tenant, whose client waits for `remaining` more seconds. Returns the id that the
-    /// verdict will carry, or `None` if the tenant has no quota.
+    /// Requests a verdict on one request of a tenant, whose client waits for `remaining` more seconds. Returns the id that
+    /// the verdict will carry, or `None` if the tenant has no quota.
     pub fn request(&mut self, now: f64, tenant: &str, remaining: f64) -> Option<u32> {
         let &plan = self.plan_of_tenant.get(tenant)?;
         if self.plans[plan].rate <= 0.0 {
--- a/crates/quota/src/local_share.rs
+++ b/crates/quota/src/local_share.rs
@@ -37,8 +37,8 @@
 const COUNTED_FRACTION_SMALL_QUOTA: f64 = 0.95;
 /// Smallest useful share, in requests per window.
 const MIN_SHARE: f64 = 2.0;
-/// Number of data nodes up to which the shares of every quota count as useful. Beyond it, the number of data nodes is rounded
-/// up to a multiple of this step: otherwise one that joins or leaves would often make some data nodes split a quota
+/// Number of data nodes up to which the shares of every quota count as useful. Beyond it, the number of data nodes is
+/// rounded up to a multiple of this step, so that one that joins or leaves does not make some data nodes split a quota
 /// differently from the rest.
 const NODE_COUNT_STEP: u32 = 16;
 /// Fraction of all shares that is never granted. It covers two totals in flight at once, clocks that differ by one message
--- a/crates/quota/src/pending_calls.rs
+++ b/crates/quota/src/pending_calls.rs
@@ -12,8 +12,8 @@
 /// Maximum number of pending calls. With a counter that replies in time only a few are pending; a call beyond the limit is
 /// not sent.
 const MAX_PENDING: usize = 256;
-/// Seconds without a reply, while calls are pending, after which the connection is to be closed: a few round trips to another
-/// region and a busy counter.
+/// Seconds without a reply, while calls are pending, after which the connection is to be closed: a few round trips to
+/// another region and a busy counter.
 pub const REPLY_TIMEOUT: f64 = 0.4;
 
 /// The outcome of the adds of one call, in the order of the call.
--- a/crates/quota/tests/pending_calls.rs
+++ b/crates/quota/tests/pending_calls.rs
@@ -189,8 +189,8 @@
     assert_eq!(calls.disconnected().len(), sent);
 }
 
-/// The timeout starts with the oldest pending call or the last matched reply, whichever is later; an unmatched reply does not
-/// extend it.
+/// The timeout starts with the oldest pending call or the last matched reply, whichever is later; an unmatched reply does
+/// not extend it.
 #[test]
 fn only_matched_replies_extend_the_timeout() {
     let mut calls = PendingCalls::default();
--- a/crates/quota/tests/quota_bound.rs
+++ b/crates/quota/tests/quota_bound.rs
@@ -151,8 +151,8 @@
     );
 }
 
-/// Four data nodes lose the counter and use their local shares while the others keep the counter busy. Then the counter moves
-/// to a new holder, which does not answer at first, and later the four reach it again.
+/// Four data nodes lose the counter and use their local shares while the others keep the counter busy. Then the counter
+/// moves to a new holder, which does not answer at first, and later the four reach it again.
 #[test]
 fn bound_holds_through_a_partition_and_a_new_holder() {
     for quota in [quota(120.0, 120.0), quota(8.0, 8.0)] {
