--- a/crates/balancer/src/attempt.rs
+++ b/crates/balancer/src/attempt.rs
@@ -1,32 +1,32 @@
-//! How an attempt at a host ended, and the load that the host reported with its answer.
+//! How an attempt at a host ended, and the load that the host reported with its response.
 
-/// How an attempt ended. Answers carry the host's load report, if there was one: requests running, requests waiting and
-/// slots, see [`HostLoad`].
+/// How an attempt ended. Variants with a response carry the host's load report, if there was one: requests running,
+/// requests waiting and slots, see [`HostLoad`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AttemptEnd {
-    /// A complete answer.
+    /// The response was complete and no failure of the host.
     Answered(Option<(f64, f64, f64)>),
-    /// A complete answer that is a failure of the host's own (5xx).
+    /// The response was complete and a failure of the host itself (5xx).
     Failed(Option<(f64, f64, f64)>),
-    /// The host states that it did not run the request.
+    /// The host was full: its response states that it did not execute the request.
     Full(Option<(f64, f64, f64)>),
-    /// Another host has the address (421).
+    /// Another host instance has the address now (421).
     Misdirected,
     /// No connection was established, or the request was not written completely.
     ConnectFailed,
-    /// The connection was reset, or the answer was cut short or malformed.
+    /// The connection was reset, or the response was truncated or malformed.
     Broken,
-    /// No answer in time.
+    /// No response arrived in time.
     TimedOut,
     /// The client disconnected before anything was sent.
     CancelledBeforeSend,
-    /// Aborted because the client disconnected: all that is known is that the answer would have taken longer.
+    /// The attempt was aborted because the client disconnected: the response would have taken longer.
     CancelledAfterSend,
 }
 
 impl AttemptEnd {
-    /// Whether the host answered, with whatever status.
-    pub(crate) fn is_answer(self) -> bool {
+    /// Whether the host responded, with whatever status.
+    pub(crate) fn is_response(self) -> bool {
         matches!(self, AttemptEnd::Answered(_) | AttemptEnd::Failed(_) | AttemptEnd::Full(_))
     }
 
@@ -41,14 +41,14 @@
     }
 }
 
-/// A host's load as it reported it, requests of all data nodes together.
+/// A host's load as it reported it, over the requests of all data nodes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HostLoad {
     /// Requests running.
     pub running: f64,
     /// Requests waiting for a slot.
     pub waiting: f64,
-    /// Requests that the host runs at a time.
+    /// Requests that the host runs concurrently.
     pub slots: f64,
 }
 
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -1,10 +1,11 @@
-//! The balancer: the hosts of all services, the selection among them, and what the results of attempts teach.
+//! The balancer: the hosts of all services, the selection of a host for each request, and the statistics that results
+//! of attempts update.
 //!
-//! The life of a request: [`Balancer::select`], [`Balancer::attempt_started`] when it is sent (after a wait
-//! [`Balancer::is_listed`] first), and [`Balancer::attempt_ended`], once for each start.
+//! For each attempt, callers use [`Balancer::select`], [`Balancer::attempt_started`] when the request is sent (after a
+//! wait, [`Balancer::is_listed`] before that), and [`Balancer::attempt_ended`] exactly once for each start.
 
-pub use crate::admission_queue::QueueTicket;
 pub use crate::attempt::AttemptEnd;
+pub use crate::load_shedding::QueueTicket;
 pub use crate::selection::{HostRequest, SelectedHost};
 pub use crate::slow_start::{ServiceLimits, WarmUpBound};
 
@@ -17,10 +18,10 @@
 
 /// Limit of hosts taken from a list, which bounds memory and the time of a selection; those beyond it are ignored.
 const MAX_HOSTS: usize = 8192;
-/// Pools that admit less than this fraction of their requests have a line in the log.
-const LOGGED_BELOW: f64 = 0.9;
+/// Pools whose admitted fraction is below this get a log line.
+const LOGGED_BELOW_FRACTION: f64 = 0.9;
 
-/// All that one data node knows of hosts.
+/// The hosts of all services as one data node knows them.
 pub struct Balancer {
     locality: Locality,
     region_by_zone: HashMap<String, String>,
@@ -35,19 +36,19 @@
 }
 
 impl Balancer {
-    /// A balancer without hosts, for the data node `local` in `zone` and `region`. `regions` has the region of each zone,
-    /// `seed` is that of the random numbers that a selection draws.
+    /// Creates a balancer without hosts for the data node `local` in `zone` and `region`. `region_by_zone` has the
+    /// region of every zone; `seed` initializes the random numbers that selections draw.
     pub fn new(
         local: NodeId,
         zone: String,
         region: String,
-        regions: HashMap<String, String>,
+        region_by_zone: HashMap<String, String>,
         warm_up: WarmUpBound,
         seed: u64,
     ) -> Balancer {
         Balancer {
             locality: Locality { zone, region },
-            region_by_zone: regions,
+            region_by_zone,
             hosts: BTreeMap::new(),
             key_by_id: HashMap::new(),
             services: HashMap::new(),
@@ -59,54 +60,56 @@
         }
     }
 
-    /// Sets the data nodes that may be running, this one among them.
-    pub fn set_data_nodes(&mut self, gateways: &[NodeId]) {
-        self.nodes.all = gateways.to_vec();
+    /// Sets the data nodes that may be running, including this one.
+    pub fn set_data_nodes(&mut self, data_nodes: &[NodeId]) {
+        self.nodes.all = data_nodes.to_vec();
         self.update_subset();
     }
 
-    /// Sets the limits of all services.
+    /// Sets the warm-up limits of all services.
     pub fn set_services(&mut self, services: HashMap<String, ServiceLimits>) {
         self.slow_start.services = services;
     }
 
-    /// Sets the evacuated zones. A zone that is no longer evacuated may have hosts that began to warm up shortly before:
-    /// its hosts are taken to be warming up for the longest warm-up period.
+    /// Sets the evacuated zones. The hosts of a zone that is no longer evacuated may have started to warm up shortly
+    /// before, so they are assumed to be warming up for the longest warm-up period.
     pub fn set_evacuated(&mut self, now: f64, zones: BTreeSet<String>) {
         for zone in self.evacuated.difference(&zones) {
             for host in self.hosts.values_mut().filter(|host| host.instance.zone == *zone) {
-                host.warm_up.extend(self.slow_start.longest_warm_up(now, &host.instance.service));
+                host.warm_up.extend(self.slow_start.latest_warm_up_end(now, &host.instance.service));
             }
         }
         self.evacuated = zones;
     }
 
-    /// Takes the newest list of hosts; what it leaves out is removed. Returns the keys of hosts to which nothing more will
-    /// be sent.
+    /// Applies the newest list of hosts and removes hosts that are not in it. Returns the keys of the hosts, removed or
+    /// draining, to which no more requests will be sent.
     pub fn update_hosts(&mut self, now: f64, instances: &[HostInstance]) -> Vec<u64> {
         let listed: BTreeSet<u64> =
             instances.iter().take(MAX_HOSTS).map(|instance| self.upsert_host(now, instance)).collect();
         for (key, host) in &mut self.hosts {
             host.removed = !listed.contains(key);
         }
-        let unusable = self.hosts.iter().filter(|(_, host)| !host.is_ready()).map(|(key, _)| *key).collect();
-        self.hosts.retain(|_, host| !host.removed || host.pending > 0.0);
+        let not_ready = self.hosts.iter().filter(|(_, host)| !host.is_ready()).map(|(key, _)| *key).collect();
+        self.hosts.retain(|_, host| !host.removed || host.in_flight > 0.0);
         self.key_by_id.retain(|_, key| self.hosts.contains_key(key));
         self.index_services();
         self.update_subset();
-        unusable
+        not_ready
     }
 
-    /// A line for the log for each service and region that not all requests are admitted to.
+    /// One log line for each service and region whose requests are being shed.
     pub fn admission_log_lines(&self, now: f64) -> Vec<String> {
         let mut lines = Vec::new();
         for (service, hosts) in &self.services {
-            for (region, Pool { stats, admission }) in &hosts.pool_by_region {
-                let (open, load, work) = (admission.admitted_fraction(now), stats.load(now), stats.work());
-                if open < LOGGED_BELOW {
+            for (region, Pool { stats, load_shedder }) in &hosts.pool_by_region {
+                let (admitted_fraction, load, service_time) =
+                    (load_shedder.admitted_fraction(now), stats.load(now), stats.service_time());
+                if admitted_fraction < LOGGED_BELOW_FRACTION {
                     lines.push(format!(
-                        "{service} in {region}: {open:.2} let in, {load:.2} a slot, {:.0} ms of work",
-                        work * 1e3
+                        "{service} in {region}: admitted fraction {admitted_fraction:.2}, load per slot {load:.2}, \
+                         service time {:.0} ms",
+                        service_time * 1e3
                     ));
                 }
             }
@@ -114,12 +117,13 @@
         lines
     }
 
-    /// The number of hosts known, and of those that are listed and not draining.
+    /// The number of known hosts, and the number of those that are listed and not draining.
     pub fn host_counts(&self) -> (usize, usize) {
         (self.hosts.len(), self.hosts.values().filter(|host| host.is_ready()).count())
     }
 
-    /// The host where a request is expected to be answered first; `None` where none is expected to answer in time.
+    /// Selects the host with the lowest cost, see [`crate::selection`]; `None` if none is expected to respond in time
+    /// or the request is shed.
     pub fn select(&mut self, now: f64, request: &HostRequest) -> Option<SelectedHost> {
         let service = self.services.get(request.service)?;
         let selector = Selector {
@@ -133,65 +137,66 @@
         selector.select(now, request, &mut self.rng)
     }
 
-    /// A request with this latency target is sent to host `key` now.
+    /// Records that a request with this latency target is sent to host `key` now.
     pub fn attempt_started(&mut self, now: f64, key: u64, latency_target: f64) {
         let Some(host) = self.hosts.get_mut(&key) else { return };
         if let Some(pool) = pool_of(&mut self.services, host) {
-            pool.admission.request_sent(latency_target_or_default(latency_target));
+            pool.load_shedder.request_sent(latency_target_or_default(latency_target));
         }
         host.request_sent(now);
     }
 
-    /// Whether a request for which host `key` was selected may still be sent to it: for one that had to wait since.
+    /// Whether a request may still be sent to host `key`; to be checked if the request had to wait after the selection.
     pub fn is_listed(&self, key: u64) -> bool {
         self.hosts.get(&key).is_some_and(|host| is_available(host, &self.evacuated))
     }
 
-    /// An attempt at host `key` ended, `elapsed` seconds after it was sent.
+    /// Records that an attempt at host `key` ended, `elapsed` seconds after it was sent.
     pub fn attempt_ended(&mut self, now: f64, key: u64, elapsed: f64, end: AttemptEnd) {
         let Some(host) = self.hosts.get_mut(&key) else { return };
         let mut pool = pool_of(&mut self.services, host);
-        let own_pending = host.pending;
-        host.pending = (host.pending - 1.0).max(0.0);
-        if end.is_answer() {
-            host.outlier.answer_received(now, host.pending);
+        let own_in_flight = host.in_flight;
+        host.in_flight = (host.in_flight - 1.0).max(0.0);
+        if end.is_response() {
+            host.outlier.response_received(now, host.in_flight);
         }
         if let Some(pool) = &mut pool {
-            steer_admission(pool, now, elapsed, end);
+            update_load_shedder(pool, now, elapsed, end);
         }
         if let Some(load) = end.load() {
-            let load_per_slot = host.observe_load(now, load, own_pending);
+            let load_per_slot = host.observe_load(now, load, own_in_flight);
             if let Some(pool) = &mut pool {
                 pool.stats.observe_load(now, load_per_slot);
             }
         }
         match end {
-            // How quickly a host fails says nothing about its work.
+            // The service time is not updated: how fast a host fails says nothing about it.
             AttemptEnd::Failed(_) => host.outlier.record_failure(now),
             AttemptEnd::Answered(_) => {
                 host.outlier.record_success(now);
-                let time_alone = host.time_alone(elapsed, own_pending);
-                host.observe_work(time_alone);
-                // Where requests of others wait too it is unknown how long this one did.
+                let service_time = host.estimate_service_time(elapsed, own_in_flight);
+                host.observe_service_time(service_time);
+                // If requests of other data nodes are waiting too, it is unknown how long this one waited.
                 if let Some(pool) = pool.filter(|_| end.load().is_none_or(|load| load.has_free_slot())) {
-                    pool.stats.observe_work(time_alone);
+                    pool.stats.observe_service_time(service_time);
                 }
             }
             AttemptEnd::Full(_) => host.observe_full(),
-            // Whether the host would have answered is unknown: nothing is held against it.
-            AttemptEnd::CancelledBeforeSend => host.outlier.request_withdrawn(host.pending),
+            // Does not count against the host: whether it would have responded is unknown.
+            AttemptEnd::CancelledBeforeSend => host.outlier.request_cancelled(host.in_flight),
             AttemptEnd::CancelledAfterSend => {
-                host.outlier.request_withdrawn(host.pending);
-                let pool_work = pool.map_or(0.0, |pool| pool.stats.work());
-                host.observe_work_at_least(host.time_alone(elapsed, own_pending), pool_work);
+                host.outlier.request_cancelled(host.in_flight);
+                let pool_service_time = pool.map_or(0.0, |pool| pool.stats.service_time());
+                let min_service_time = host.estimate_service_time(elapsed, own_in_flight);
+                host.observe_min_service_time(min_service_time, pool_service_time);
             }
             AttemptEnd::Misdirected => host.misdirected = true,
-            AttemptEnd::ConnectFailed | AttemptEnd::TimedOut => host.outlier.unreachable(now),
-            AttemptEnd::Broken => host.outlier.connection_broken(now),
+            AttemptEnd::ConnectFailed | AttemptEnd::TimedOut => host.outlier.eject(now),
+            AttemptEnd::Broken => host.outlier.record_broken_connection(now),
         }
     }
 
-    /// Adds a host of the list or updates it; returns its key.
+    /// Adds or updates a listed host; returns its key.
     fn upsert_host(&mut self, now: f64, instance: &HostInstance) -> u64 {
         let key = *self.key_by_id.entry(instance.id.clone()).or_insert(self.next_key);
         if let Some(host) = self.hosts.get_mut(&key) {
@@ -204,7 +209,7 @@
         key
     }
 
-    /// Brings the hosts of each service up to date. Pools keep their figures while the service has any host.
+    /// Rebuilds the host keys of each service. Pools keep their statistics while the service has any host.
     fn index_services(&mut self) {
         self.services.values_mut().for_each(|service| service.host_keys.clear());
         for (key, host) in &self.hosts {
@@ -224,12 +229,12 @@
     services.get_mut(&host.instance.service)?.pool_by_region.get_mut(&host.region)
 }
 
-/// Moves the admitted fraction by the time that an attempt took.
-fn steer_admission(pool: &mut Pool, now: f64, elapsed: f64, end: AttemptEnd) {
+/// Adjusts the admitted fraction by the response time of an attempt.
+fn update_load_shedder(pool: &mut Pool, now: f64, elapsed: f64, end: AttemptEnd) {
     match end {
-        AttemptEnd::Answered(_) => pool.admission.observe_time(now, elapsed),
-        AttemptEnd::Full(_) => pool.admission.observe_time(now, f64::INFINITY),
-        AttemptEnd::CancelledAfterSend => pool.admission.observe_time_at_least(now, elapsed),
+        AttemptEnd::Answered(_) => pool.load_shedder.observe_response_time(now, elapsed),
+        AttemptEnd::Full(_) => pool.load_shedder.observe_response_time(now, f64::INFINITY),
+        AttemptEnd::CancelledAfterSend => pool.load_shedder.observe_min_response_time(now, elapsed),
         _ => {}
     }
 }
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,21 +1,21 @@
-//! Hosts as one data node sees them: which there are, and which of them gets the next request.
+//! Load balancing at one data node: the hosts that it knows, and the selection of a host for each request.
 //!
-//! - [`balancer`]: the whole of it, [`balancer::Balancer`].
-//! - [`selection`]: eligible hosts and the expected time and cost of each.
+//! - [`balancer`]: the entry point, [`balancer::Balancer`].
+//! - [`selection`]: which hosts are eligible, and the expected response time and cost of each.
 //! - `subset`: the few hosts that a data node prefers.
 //! - [`slow_start`]: how many requests a host that is warming up may get.
 //! - `outlier`: ejection of unreachable hosts and avoidance of unhealthy ones.
-//! - [`admission_queue`]: which requests are rejected early where hosts are full.
-//! - [`attempt`], `host`, [`pool_stats`]: how attempts end, and what is learned of a host and of all hosts of a service.
+//! - [`load_shedding`]: which requests are rejected early while hosts are full.
+//! - [`attempt`], `host`, [`pool_stats`]: how attempts end, and the statistics of each host and of each pool of hosts.
 //! - [`retry_budget`]: whether a request may be retried.
 //!
-//! Nothing here does I/O or reads a clock: all times are seconds on the data node's steady clock, handed in.
-//! `docs/system.md`, "Hosts", has the reasons and the ways not taken.
+//! This crate does no I/O and reads no clock: callers pass all times, in seconds of the data node's monotonic clock.
+//! `docs/system.md`, "Hosts", gives the reasons for the design and the alternatives that were rejected.
 
-pub mod admission_queue;
 pub mod attempt;
 pub mod balancer;
 mod host;
+pub mod load_shedding;
 mod outlier;
 pub mod pool_stats;
 pub mod retry_budget;
--- a/crates/balancer/src/slow_start.rs
+++ b/crates/balancer/src/slow_start.rs
@@ -1,53 +1,55 @@
 //! Slow start: how many requests a host that is warming up gets from this data node.
 //!
-//! The bound, for each host that is warming up, in any one second over all data nodes:
+//! The bound on the requests that all data nodes together send to such a host in any one second:
 //!
 //! ```text
 //! warm_up_rate * overrun + slack
 //! ```
 //!
-//! It is split among the data nodes by rank for each host, without a message: where there are more data nodes than
-//! requests, some have one each, others for another host (`docs/system.md`, "Warm-up").
+//! It is divided among the data nodes without communication, by each node's rank for the host: where there are more
+//! data nodes than requests, some get one request each, and other data nodes do for another host (`docs/system.md`,
+//! "Warm-up").
 
 use archlink_messages::{NodeId, NodeRank};
 use std::collections::{HashMap, VecDeque};
 
-/// Requests a second of the bound that nobody is given: data nodes may differ by one or two in whom they know of.
+/// Requests per second of the bound that no data node may send: the nodes' views of which data nodes there are may
+/// differ by one or two.
 const UNASSIGNED_REQUESTS: f64 = 2.0;
-/// Seconds over which requests are counted: the bound's second, and a margin for requests that arrive closer together
-/// than they were sent.
+/// Seconds over which requests are counted: the bound's one second, and a margin for requests that arrive closer
+/// together than they were sent.
 const COUNTING_WINDOW: f64 = 1.05;
-/// Seconds for which sent requests are remembered, longer than [`COUNTING_WINDOW`].
-const HISTORY: f64 = 2.0;
-/// Seconds by which the list of hosts, and the update that ends an evacuation, may lag behind.
-const LIST_LAG: f64 = 1.5;
+/// Seconds for which the times of sent requests are kept, longer than [`COUNTING_WINDOW`].
+const HISTORY_LENGTH: f64 = 2.0;
+/// Seconds by which the list of hosts, and the update that ends an evacuation, may be delayed.
+const MAX_LIST_DELAY: f64 = 1.5;
 
-/// The figures of the bound on hosts that are warming up, from the operators' `TimingBounds`.
+/// The parameters of the bound on hosts that are warming up, from the operators' `TimingBounds`.
 #[derive(Clone, Copy, Debug)]
 pub struct WarmUpBound {
     /// Factor on the service's warm-up rate.
     pub overrun: f64,
-    /// Requests on top of that.
+    /// Requests allowed beyond that.
     pub slack: f64,
 }
 
-/// What a service's configuration says about hosts that are warming up.
+/// A service's configuration of hosts that are warming up.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServiceLimits {
-    /// Requests a second that a host bears while it is warming up; 0 is no bound.
+    /// Requests per second that a host can take while it is warming up; 0 is unlimited.
     pub warm_up_rate: f64,
     /// Longest warm-up of a host in seconds.
     pub warm_up_period: f64,
 }
 
-/// This data node and all that may be running.
+/// This data node, and all data nodes that may be running.
 #[derive(Debug)]
 pub(crate) struct DataNodes {
     pub(crate) local: NodeId,
     pub(crate) all: Vec<NodeId>,
 }
 
-/// The limits of all services and the bound that applies to each.
+/// The warm-up limits of all services, and the bound that applies to each.
 #[derive(Debug)]
 pub(crate) struct SlowStart {
     pub(crate) bound: WarmUpBound,
@@ -59,13 +61,13 @@
         self.services.get(service).copied().unwrap_or_default()
     }
 
-    /// Until when a host may be warming up unnoticed whose zone's evacuation ends now.
-    pub(crate) fn longest_warm_up(&self, now: f64, service: &str) -> f64 {
-        now + self.limits(service).warm_up_period + LIST_LAG
+    /// The latest end of a warm-up that this data node may not know of, for a host in a zone whose evacuation ends now.
+    pub(crate) fn latest_warm_up_end(&self, now: f64, service: &str) -> f64 {
+        now + self.limits(service).warm_up_period + MAX_LIST_DELAY
     }
 
-    /// Whether a host that is warming up may get one more request from this data node now.
-    pub(crate) fn has_room(
+    /// Whether this data node may send another request now to a host that is warming up.
+    pub(crate) fn allows_request(
         &self,
         now: f64,
         service: &str,
@@ -78,9 +80,9 @@
             return true;
         }
         let bound = limits.warm_up_rate * self.bound.overrun + self.bound.slack;
-        let assigned = (bound - UNASSIGNED_REQUESTS).max(0.0) as usize;
-        let portion = NodeRank::of(nodes.local, host_id, &nodes.all).portion(assigned);
-        warm_up.sent_recently(now) < portion
+        let assigned_requests = (bound - UNASSIGNED_REQUESTS).max(0.0) as usize;
+        let portion = NodeRank::of(nodes.local, host_id, &nodes.all).portion(assigned_requests);
+        warm_up.recent_requests(now) < portion
     }
 }
 
@@ -88,7 +90,7 @@
 #[derive(Debug)]
 pub(crate) struct WarmUp {
     until: f64,
-    /// When requests were sent during the warm-up; those of the last [`HISTORY`] seconds.
+    /// When requests were sent during the warm-up, for the last [`HISTORY_LENGTH`] seconds.
     sent_at: VecDeque<f64>,
 }
 
@@ -101,19 +103,20 @@
         now < self.until
     }
 
-    /// The host warms up until `until` at least.
+    /// Extends the warm-up to `until` if it would end earlier.
     pub(crate) fn extend(&mut self, until: f64) {
         self.until = self.until.max(until);
     }
 
     pub(crate) fn request_sent(&mut self, now: f64) {
         if self.is_active(now) {
-            self.sent_at.retain(|at| *at + HISTORY > now);
+            self.sent_at.retain(|sent_at| *sent_at + HISTORY_LENGTH > now);
             self.sent_at.push_back(now);
         }
     }
 
-    fn sent_recently(&self, now: f64) -> usize {
-        self.sent_at.iter().filter(|at| **at + COUNTING_WINDOW > now).count()
+    /// Number of requests sent within the last [`COUNTING_WINDOW`] seconds.
+    fn recent_requests(&self, now: f64) -> usize {
+        self.sent_at.iter().filter(|sent_at| **sent_at + COUNTING_WINDOW > now).count()
     }
 }
--- a/crates/balancer/src/subset.rs
+++ b/crates/balancer/src/subset.rs
@@ -1,18 +1,19 @@
 //! Deterministic subsetting: the few hosts of a service in each zone that a data node prefers.
 //!
-//! Among many data nodes each hears from a few hosts often instead of from all of them seldom, and keeps few connections.
-//! The subset is drawn by host and data node (rendezvous hashing), so that a host that comes or goes changes little. It is a
-//! preference: other hosts cost more, see [`crate::selection`].
+//! With many data nodes, each gets frequent responses from a few hosts instead of rare ones from all, and keeps few
+//! connections. Hosts are ranked by a hash of host and data node (rendezvous hashing), so that adding or removing a
+//! host changes little. The subset is a preference: other hosts cost more, see [`crate::selection`].
 
 use crate::host::Host;
 use crate::slow_start::DataNodes;
 use archlink_messages::NodeRank;
 use std::collections::BTreeMap;
 
-/// Size of a subset as a multiple of the even part of the hosts: differences between data nodes even out over twice that.
-const EVEN_PARTS: f64 = 2.0;
-/// Least size of a subset in each zone, for the same reason.
-const MIN_SIZE: usize = 3;
+/// Size of a subset as a multiple of a data node's even share of the hosts: at twice that share, differences between
+/// data nodes even out.
+const EVEN_SHARES: f64 = 2.0;
+/// Minimum size of a subset in each zone, for the same reason.
+const MIN_SUBSET_SIZE: usize = 3;
 
 /// Marks the hosts of this data node's subset in each of `zone_count` zones.
 pub(crate) fn mark_subset(hosts: &mut BTreeMap<u64, Host>, nodes: &DataNodes, zone_count: usize) {
@@ -27,8 +28,8 @@
     let mut subset = Vec::new();
     for ranked in ranked_by_zone.values_mut() {
         ranked.sort_unstable();
-        let even_part = ranked.len() as f64 * zone_count / node_count;
-        let size = ((even_part * EVEN_PARTS).ceil() as usize).max(MIN_SIZE);
+        let even_share = ranked.len() as f64 * zone_count / node_count;
+        let size = ((even_share * EVEN_SHARES).ceil() as usize).max(MIN_SUBSET_SIZE);
         subset.extend(ranked.iter().take(size).map(|(_, key)| *key));
     }
     subset.sort_unstable();
