--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A balancer of data node 1 of nine, in zone `a` of region `x`, and requests to its service `s`, in simulated time.
+//! A balancer of data node 1 of nine, in zone `a` of region `x`, and requests to the service `s`, in simulated time.
 
 use archlink_balancer::balancer::{Balancer, HostRequest, ServiceLimits, WarmUpBound};
 use archlink_messages::HostInstance;
@@ -17,7 +17,7 @@
     }
 }
 
-/// Zones `a` and `b` are in region `x`, zone `c` in region `y`.
+/// A balancer that knows the zones `a` and `b` in region `x` and zone `c` in region `y`, and no hosts.
 pub fn balancer() -> Balancer {
     let regions =
         [("a", "x"), ("b", "x"), ("c", "y")].map(|(zone, region)| (zone.to_string(), region.to_string()));
@@ -28,7 +28,7 @@
     balancer
 }
 
-/// A request to service `s` that was admitted before and may go anywhere.
+/// A request to service `s` that may go to any region and is not subject to load shedding.
 pub fn request() -> HostRequest<'static> {
     HostRequest {
         service: "s",
@@ -40,7 +40,7 @@
     }
 }
 
-/// The id of the host selected for a request.
+/// The id of the host that is selected for a request.
 pub fn selected_id(balancer: &mut Balancer, now: f64, request: &HostRequest) -> Option<String> {
     balancer.select(now, request).map(|selected| selected.id)
 }
--- a/crates/balancer/tests/outlier.rs
+++ b/crates/balancer/tests/outlier.rs
@@ -1,4 +1,4 @@
-//! Ejection of hosts that are not reached, and avoidance of those that fail, in simulated time.
+//! Ejection of unreachable hosts, and avoidance of hosts that fail requests, in simulated time.
 
 mod common;
 
@@ -20,7 +20,8 @@
     assert!(selected_id(&mut balancer, 0.6, &request()).is_some());
 }
 
-/// Guards against a host that fails half of its requests, quickly, and so looks the least busy of all.
+/// Guards against preferring a host that fails half of its requests: it fails them quickly, so it appears the least
+/// loaded.
 #[test]
 fn failing_host_gets_few_requests_until_it_recovers() {
     let mut balancer = balancer();
@@ -42,14 +43,15 @@
     };
     let while_failing = requests_to_failing(&mut balancer, true);
     let recovered = requests_to_failing(&mut balancer, false);
-    assert!((1..25).contains(&while_failing), "{while_failing} of 200 while it fails");
+    assert!((1..25).contains(&while_failing), "{while_failing} of 200 requests while the host fails");
     assert!(
         recovered > 45 && recovered > 2 * while_failing,
-        "{recovered} of 200 once it has recovered, {while_failing} before"
+        "{recovered} of 200 requests after the host has recovered, {while_failing} before"
     );
 }
 
-/// Clients that disconnect say nothing bad about a host: it is not ejected, not unhealthy, and not suspected.
+/// Guards against blaming a host for clients that disconnect: it is not ejected, unhealthy or suspected because of
+/// them.
 #[test]
 fn client_disconnects_do_not_count_against_their_host() {
     for end in [AttemptEnd::CancelledBeforeSend, AttemptEnd::CancelledAfterSend] {
@@ -58,7 +60,7 @@
         let mut now = 0.0;
         for _ in 0..50 {
             let selected = balancer.select(now, &request()).unwrap();
-            assert_eq!(selected.id, "near", "{end:?} at {now}");
+            assert_eq!(selected.id, "near", "{end:?} at {now} s");
             balancer.attempt_started(now, selected.key, 0.3);
             balancer.attempt_ended(now + 0.03, selected.key, 0.03, end);
             now += 1.0;
--- a/crates/balancer/tests/selection.rs
+++ b/crates/balancer/tests/selection.rs
@@ -1,4 +1,4 @@
-//! Which hosts may and may not be selected, and in which order, in simulated time.
+//! Which hosts are eligible, and in which order they are selected, in simulated time.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use std::collections::BTreeSet;
 
 #[test]
-fn draining_removed_misdirected_or_evacuated_host_is_not_selected() {
+fn draining_evacuated_or_misdirected_host_is_not_selected() {
     let mut balancer = balancer();
     balancer.update_hosts(0.0, &[instance("one", "a"), instance("two", "b")]);
     assert_eq!(selected_id(&mut balancer, 0.0, &request()).as_deref(), Some("one"));
@@ -17,7 +17,8 @@
     assert_eq!(selected_id(&mut balancer, 0.1, &request()).as_deref(), Some("two"));
     balancer.set_evacuated(0.2, BTreeSet::from(["b".to_string()]));
     assert_eq!(selected_id(&mut balancer, 0.2, &request()), None);
-    // No longer evacuated, its hosts may be warming up: two a second from here, as nine data nodes share the bound.
+    // The hosts of a zone that is no longer evacuated may be warming up. This data node may send two requests a second,
+    // its portion of the bound among nine.
     balancer.set_evacuated(0.3, BTreeSet::new());
     for _ in 0..2 {
         let selected = balancer.select(0.3, &request()).unwrap();
@@ -32,23 +33,26 @@
 }
 
 #[test]
-fn home_regions_bind_and_nearer_zones_are_filled_first() {
+fn selection_keeps_to_home_regions_and_fills_nearer_zones_first() {
     let mut balancer = balancer();
     balancer.update_hosts(0.0, &[instance("near", "a"), instance("next", "b"), instance("far", "c")]);
     let home_regions = ["y".to_string()];
-    let bound_to_y = HostRequest { home_regions: &home_regions, ..request() };
-    assert_eq!(selected_id(&mut balancer, 0.0, &bound_to_y).as_deref(), Some("far"));
+    let request_for_y = HostRequest { home_regions: &home_regions, ..request() };
+    assert_eq!(selected_id(&mut balancer, 0.0, &request_for_y).as_deref(), Some("far"));
     let mut order = Vec::new();
     for _ in 0..40 {
         let selected = balancer.select(0.0, &request()).unwrap();
         balancer.attempt_started(0.0, selected.key, 0.3);
         order.push(selected.id);
     }
-    assert!(order[..2].iter().all(|id| id == "near"), "{order:?}");
-    assert!(order.iter().position(|id| id == "next") < order.iter().position(|id| id == "far"), "{order:?}");
+    assert!(order[..2].iter().all(|id| id == "near"), "order of selection: {order:?}");
+    assert!(
+        order.iter().position(|id| id == "next") < order.iter().position(|id| id == "far"),
+        "order of selection: {order:?}"
+    );
 }
 
-/// Aborted attempts that ended late show that a host has become slow, as late answers do.
+/// Attempts that are aborted late show that a host has become slow, as late responses do.
 #[test]
 fn late_aborted_attempts_reveal_a_slow_host() {
     let mut balancer = balancer();
