--- a/crates/http/src/codec.rs
+++ b/crates/http/src/codec.rs
@@ -1,10 +1,10 @@
 //! HTTP/1.1 codecs: [`ServerCodec`] decodes requests and encodes responses, [`ClientCodec`] does the reverse.
 //!
-//! The user of a codec names the headers that it wants to see; all others but the hop-by-hop ones are forwarded as they
-//! came. Bodies are buffered up to a limit; those larger than [`MAX_UNRESERVED_BODY`] reserve memory that all connections
-//! share.
+//! The user of a codec names the headers that it wants to read; all others except the hop-by-hop ones are forwarded
+//! unchanged. Bodies are buffered up to a limit; those larger than [`MAX_UNRESERVED_BODY`] reserve memory from a budget
+//! that all connections share.
 //!
-//! Invariant: no message gets through whose end or whose header lines two readers could see differently.
+//! Invariant: a message is rejected if two parsers could disagree about its end or its header lines.
 
 mod body_reader;
 mod client;
--- a/crates/http/src/codec/body_reader.rs
+++ b/crates/http/src/codec/body_reader.rs
@@ -1,4 +1,4 @@
-//! Bodies up to a limit, with memory reserved for large ones: the same for requests and responses.
+//! Reads bodies up to a limit and reserves memory for large ones, for requests and responses alike.
 
 use crate::error::ProtocolError;
 use crate::frame::{BodyLength, BodyProgress, ReservedBytes};
@@ -6,14 +6,14 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Bytes of a body up to which no memory is reserved for it: every connection may have so many.
+/// Largest body in bytes for which no memory is reserved: every connection may hold one.
 pub const MAX_UNRESERVED_BODY: usize = 64 * 1024;
 
 /// Reads the bodies of one connection.
 pub(super) struct BodyReader {
-    /// Limit of a body in bytes.
+    /// Largest accepted body in bytes.
     limit: usize,
-    /// Bytes left for large bodies, of all connections together.
+    /// Bytes left in the memory budget for large bodies, shared by all connections.
     available: Rc<Cell<usize>>,
 }
 
@@ -22,39 +22,39 @@
         BodyReader { limit, available }
     }
 
-    /// The body once all of it is in the read buffer `from`. `reserved` is grown as more of the body is known; `ended` is
-    /// whether the connection has ended.
+    /// The body, once all of it is in the read buffer `from`. Grows `reserved` as more of the body's length is known;
+    /// `at_eof` is whether the peer has closed the connection.
     pub(super) fn read(
         &self,
         body: &mut BodyLength,
         reserved: &mut Option<ReservedBytes>,
         from: &mut BytesMut,
-        ended: bool,
+        at_eof: bool,
     ) -> Result<Option<Bytes>, ProtocolError> {
         let too_large = ProtocolError::BodyTooLarge { limit: self.limit };
-        let known = body.known(from);
-        if known > self.limit {
+        let known_length = body.known(from);
+        if known_length > self.limit {
             return Err(too_large);
         }
-        if !self.reserve(reserved, known) {
-            return Err(ProtocolError::OutOfMemory { needed: known });
+        if !self.reserve(reserved, known_length) {
+            return Err(ProtocolError::OutOfMemory { needed: known_length });
         }
-        match body.take(from, ended, self.limit)? {
+        match body.take(from, at_eof, self.limit)? {
             BodyProgress::Complete(body) => Ok(Some(body)),
             BodyProgress::Partial => Ok(None),
             BodyProgress::TooLarge => Err(too_large),
         }
     }
 
-    /// Reserves memory for `known` bytes if that is needed; false where there is none. What was reserved before is
-    /// returned first. Powers of two keep a body that grows from reserving anew at each read.
-    fn reserve(&self, reserved: &mut Option<ReservedBytes>, known: usize) -> bool {
-        let is_enough = reserved.as_ref().is_some_and(|reserved| reserved.bytes >= known);
-        if known <= MAX_UNRESERVED_BODY || is_enough {
+    /// Reserves memory for `known_length` bytes if needed; false if too little is left. Releases the earlier
+    /// reservation first. Sizes are powers of two, so that a growing body does not need a new reservation at each read.
+    fn reserve(&self, reserved: &mut Option<ReservedBytes>, known_length: usize) -> bool {
+        let is_sufficient = reserved.as_ref().is_some_and(|reserved| reserved.bytes >= known_length);
+        if known_length <= MAX_UNRESERVED_BODY || is_sufficient {
             return true;
         }
         *reserved = None;
-        *reserved = ReservedBytes::reserve(&self.available, known.next_power_of_two());
+        *reserved = ReservedBytes::reserve(&self.available, known_length.next_power_of_two());
         reserved.is_some()
     }
 }
--- a/crates/http/src/codec/client.rs
+++ b/crates/http/src/codec/client.rs
@@ -1,4 +1,4 @@
-//! The client's codec: requests out, responses in.
+//! The client codec: encodes requests and decodes responses.
 
 use super::body_reader::BodyReader;
 use super::head::{MAX_HEADERS, head_length};
@@ -12,23 +12,24 @@
 use std::rc::Rc;
 use tokio_util::codec::{Decoder, Encoder};
 
-/// Bytes for the request line without its target, and the framing headers.
-const USUAL_HEAD_BYTES: usize = 96;
-/// Least status of a final response; interim ones come before it and are dropped.
+/// Bytes to reserve for the request line without its target, and for the framing headers.
+const HEAD_CAPACITY: usize = 96;
+/// Lowest status of a final response; interim responses that precede it are discarded.
 const MIN_FINAL_STATUS: u16 = 200;
 
 /// Encodes the requests of one connection and decodes their responses.
 pub struct ClientCodec {
     wanted_headers: &'static [&'static str],
     body_reader: BodyReader,
-    /// A response whose body is not complete.
+    /// The response whose body is incomplete.
     partial: Option<(HostResponse, BodyLength)>,
-    /// The last request was `HEAD`: its response has no body, whatever its headers say.
+    /// Whether the last request was `HEAD`: its response has no body, whatever its headers say.
     head_requested: bool,
 }
 
 impl ClientCodec {
-    /// `available`: bytes left for large bodies, of all connections together; `max_body`: limit of one body in bytes.
+    /// `available` is the number of bytes left for large bodies, shared by all connections; `max_body` is the largest
+    /// accepted body in bytes.
     pub fn new(
         wanted_headers: &'static [&'static str],
         max_body: usize,
@@ -42,25 +43,26 @@
         }
     }
 
-    fn next_response(&mut self, from: &mut BytesMut, ended: bool) -> io::Result<Option<HostResponse>> {
+    fn next_response(&mut self, from: &mut BytesMut, at_eof: bool) -> io::Result<Option<HostResponse>> {
         while self.partial.is_none() {
             if !self.read_head(from)? {
                 return Ok(None);
             }
         }
         let Some((response, body)) = &mut self.partial else { return Ok(None) };
-        let Some(body) = self.body_reader.read(body, &mut response.reserved, from, ended)? else {
+        let Some(body) = self.body_reader.read(body, &mut response.reserved, from, at_eof)? else {
             return Ok(None);
         };
         Ok(self.partial.take().map(|(response, _)| HostResponse { body, ..response }))
     }
 
-    /// Reads the head of a response into `partial`, unless it is an interim one; false while it is not complete.
+    /// Reads the head of a response, and stores it in `partial` unless the response is an interim one; false if the
+    /// head is incomplete.
     fn read_head(&mut self, from: &mut BytesMut) -> Result<bool, ProtocolError> {
         let mut headers = [EMPTY_HEADER; MAX_HEADERS];
         let mut head = httparse::Response::new(&mut headers);
-        let parsed = head_length(head.parse(from), from.len());
-        let Some(length) = parsed.map_err(|_| ProtocolError::ResponseHead)? else { return Ok(false) };
+        let parsed_length = head_length(head.parse(from), from.len());
+        let Some(length) = parsed_length.map_err(|_| ProtocolError::ResponseHead)? else { return Ok(false) };
         let framing =
             framing_headers(head.headers, self.wanted_headers).ok_or(ProtocolError::ResponseFraming)?;
         let status = head.code.unwrap_or(0);
@@ -93,7 +95,7 @@
     }
 }
 
-/// Seconds for which the host keeps an idle connection.
+/// Seconds for which the host keeps an idle connection, by its `Keep-Alive: timeout=`.
 fn keep_alive_timeout(headers: &[Header]) -> Option<f64> {
     let mut parameters = header(headers, "keep-alive")?.split(',');
     let seconds = parameters.find_map(|parameter| parameter.trim().strip_prefix("timeout="))?;
@@ -128,7 +130,7 @@
     fn encode(&mut self, request: OutgoingRequest, to: &mut BytesMut) -> io::Result<()> {
         let OutgoingRequest { method, target, host, header_lines: lines, body } = request;
         self.head_requested = method == "HEAD";
-        to.reserve(USUAL_HEAD_BYTES + target.len() + lines.len() + body.len());
+        to.reserve(HEAD_CAPACITY + target.len() + lines.len() + body.len());
         for part in [method, " ", target, " HTTP/1.1\r\nHost: ", host, "\r\n"] {
             to.extend_from_slice(part.as_bytes());
         }
--- a/crates/http/src/codec/head.rs
+++ b/crates/http/src/codec/head.rs
@@ -1,19 +1,19 @@
-//! Heads of messages: their limits, and when one is complete.
+//! Message heads: their limits, and whether one is complete.
 
 use httparse::Status;
 
-/// Limit of a head in bytes, as common servers have it.
+/// Limit of a head in bytes, in line with common servers.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// Limit of header lines in a head, as common servers have it.
+/// Limit of header lines in a head, in line with common servers.
 pub(super) const MAX_HEADERS: usize = 64;
 
-/// Why a head is not accepted.
+/// Why a head is rejected.
 pub(super) enum HeadError {
     TooLarge,
     Malformed,
 }
 
-/// Bytes of the head, once it is complete, by what the parser says about `buffered` bytes.
+/// Length of the head in bytes once it is complete. `parsed` is the parser's result for `buffered` bytes.
 pub(super) fn head_length(
     parsed: httparse::Result<usize>,
     buffered: usize,
@@ -26,7 +26,7 @@
     }
 }
 
-/// Whether a line ends with LF alone, which ends it for one reader and not for the next.
+/// Whether a line ends with LF alone, on which parsers disagree: it ends the line for some of them only.
 pub(super) fn has_bare_line_feed(head: &[u8]) -> bool {
     let is_bare = |at: usize| at == 0 || head[at - 1] != b'\r';
     head.iter().enumerate().any(|(at, &byte)| byte == b'\n' && is_bare(at))
--- a/crates/http/src/codec/header_value.rs
+++ b/crates/http/src/codec/header_value.rs
@@ -1,22 +1,22 @@
-//! The value of a header that the user of a codec asked for.
+//! The value of a header that the user of a codec wants to read.
 
 use crate::frame::header;
 use httparse::Header;
 
-/// What a message has under a header's name.
+/// The value of a header in a message.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum HeaderValue {
-    /// No line.
+    /// No header line.
     #[default]
     Absent,
-    /// One line of text.
+    /// One header line with text.
     Once(String),
-    /// Several lines, or bytes that are not UTF-8: the next reader may understand it differently.
+    /// Several header lines, or a value that is not UTF-8: the next parser may interpret it differently.
     Ambiguous,
 }
 
 impl HeaderValue {
-    /// The text, if there is one line.
+    /// The text, if there is exactly one header line.
     pub fn once(&self) -> Option<&str> {
         if let HeaderValue::Once(text) = self { Some(text) } else { None }
     }
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The values under all of `names`, in their order.
+    /// The values of all headers in `names`, in the same order.
     pub(super) fn find_all(headers: &[Header], names: &[&str]) -> Vec<HeaderValue> {
         names.iter().map(|name| HeaderValue::find(headers, name)).collect()
     }
--- a/crates/http/src/codec/messages.rs
+++ b/crates/http/src/codec/messages.rs
@@ -1,55 +1,55 @@
-//! Requests and responses as the codecs read and write them.
+//! The requests and responses that the codecs decode and encode.
 
 use super::HeaderValue;
 use crate::frame::ReservedBytes;
 use bytes::Bytes;
 use std::io::Write;
 
-/// A request as it was received.
+/// A received request.
 #[derive(Debug)]
 pub struct Request {
-    /// The method as sent.
+    /// The method.
     pub method: String,
     /// The request target; always begins with `/`.
     pub target: String,
     /// The `Host` header.
     pub host: HeaderValue,
-    /// The headers that the codec was asked for, in the order of their names.
+    /// The values of the codec's wanted headers, in the same order.
     pub fields: Vec<HeaderValue>,
-    /// The other header lines, without the hop-by-hop ones, each with its CRLF.
+    /// The other header lines except the hop-by-hop ones, each with its CRLF.
     pub forwarded: Vec<u8>,
     /// The complete body.
     pub body: Bytes,
-    /// The client wants the connection closed after the response.
+    /// Whether the client wants the connection closed after the response.
     pub close: bool,
     /// Memory reserved for the body.
     pub reserved: Option<ReservedBytes>,
 }
 
-/// A request, or the status with which it is rejected; after that the connection ends.
+/// The result of decoding a request. After a rejection the connection has to be closed.
 #[derive(Debug)]
 pub enum Decoded {
     /// A complete request.
     Request(Box<Request>),
-    /// Rejected with this 4xx.
+    /// The request is rejected with this 4xx status.
     Rejected(u16),
 }
 
-/// A response to be sent.
+/// A response to send.
 #[derive(Debug, Default)]
 pub struct Response {
     /// The status code.
     pub status: u16,
-    /// Header lines but those about framing, each with its CRLF.
+    /// Header lines except those that concern framing, each with its CRLF.
     pub header_lines: Vec<u8>,
     /// The body; not sent in response to `HEAD`.
     pub body: Bytes,
-    /// Announces that the connection is closed after the response.
+    /// Whether to announce that the connection is closed after the response.
     pub close: bool,
 }
 
 impl Response {
-    /// A response without headers and body.
+    /// A response with a status only, without headers and body.
     pub fn plain(status: u16) -> Response {
         Response { status, ..Response::default() }
     }
@@ -66,20 +66,20 @@
 
     /// Adds a header line.
     pub fn with(mut self, name: &str, value: impl std::fmt::Display) -> Response {
-        // Writing to a vector does not fail.
+        // Writing to a `Vec` never fails.
         write!(self.header_lines, "{name}: {value}\r\n").ok();
         self
     }
 }
 
-/// A request to be sent; the codec adds the framing.
+/// A request to send; the codec adds the framing headers.
 #[derive(Debug)]
 pub struct OutgoingRequest<'a> {
     /// The method.
     pub method: &'a str,
     /// The request target.
     pub target: &'a str,
-    /// Value of the `Host` header.
+    /// The value of the `Host` header.
     pub host: &'a str,
     /// Other header lines, each with its CRLF.
     pub header_lines: &'a [u8],
@@ -87,20 +87,20 @@
     pub body: &'a [u8],
 }
 
-/// A complete response as it was received.
+/// A complete response received from a host.
 #[derive(Debug)]
 pub struct HostResponse {
     /// The status code, 200 or above.
     pub status: u16,
-    /// The headers that the codec was asked for, in the order of their names.
+    /// The values of the codec's wanted headers, in the same order.
     pub fields: Vec<HeaderValue>,
-    /// The other header lines, without the hop-by-hop ones, each with its CRLF.
+    /// The other header lines except the hop-by-hop ones, each with its CRLF.
     pub forwarded: Vec<u8>,
     /// The complete body.
     pub body: Bytes,
-    /// The connection can be used for another request.
+    /// Whether the connection can be used for another request.
     pub reusable: bool,
-    /// Seconds for which the host keeps an idle connection, where it said so (`Keep-Alive: timeout=`).
+    /// Seconds for which the host keeps an idle connection, if it said so (`Keep-Alive: timeout=`).
     pub idle_timeout: Option<f64>,
     /// Memory reserved for the body.
     pub reserved: Option<ReservedBytes>,
--- a/crates/http/src/codec/server.rs
+++ b/crates/http/src/codec/server.rs
@@ -1,4 +1,4 @@
-//! The server's codec: requests in, responses out.
+//! The server codec: decodes requests and encodes responses.
 
 use super::body_reader::BodyReader;
 use super::head::{HeadError, MAX_HEADERS, has_bare_line_feed, head_length};
@@ -12,23 +12,23 @@
 use std::rc::Rc;
 use tokio_util::codec::{Decoder, Encoder};
 
-/// Bytes for the status line and framing headers of a response.
-const USUAL_HEAD_BYTES: usize = 96;
+/// Bytes to reserve for the status line and the framing headers of a response.
+const HEAD_CAPACITY: usize = 96;
 
 /// Decodes the requests of one connection and encodes its responses.
 pub struct ServerCodec {
     wanted_headers: &'static [&'static str],
     body_reader: BodyReader,
-    /// A request whose body is not complete.
+    /// The request whose body is incomplete.
     partial: Option<(Request, BodyLength)>,
-    /// The last request was `HEAD`: a body after it would be read as the next response.
+    /// Whether the last request was `HEAD`: the client would read a body as the next response.
     omit_body: bool,
-    /// A request was rejected: nothing more is read.
+    /// Whether a request was rejected, after which nothing more is read.
     rejected: bool,
     out_of_memory: bool,
 }
 
-/// The status with which a request is rejected.
+/// Rejection of a request with this status.
 struct Rejection(u16);
 
 const BAD_REQUEST: Rejection = Rejection(400);
@@ -36,7 +36,8 @@
 const HEADERS_TOO_LARGE: Rejection = Rejection(431);
 
 impl ServerCodec {
-    /// `available`: bytes left for large bodies, of all connections together; `max_body`: limit of one body in bytes.
+    /// `available` is the number of bytes left for large bodies, shared by all connections; `max_body` is the largest
+    /// accepted body in bytes.
     pub fn new(
         wanted_headers: &'static [&'static str],
         max_body: usize,
@@ -52,12 +53,12 @@
         }
     }
 
-    /// Whether the head of a request was read, and its body is not complete.
+    /// Whether the head of a request has been read and its body is incomplete.
     pub fn is_partial(&self) -> bool {
         self.partial.is_some()
     }
 
-    /// Whether the last 413 was for want of memory: the same body may find some later.
+    /// Whether the last 413 was caused by a lack of memory: the same body may be accepted later.
     pub fn out_of_memory(&self) -> bool {
         self.out_of_memory
     }
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Reads the head of a request into `partial`; false while it is not complete.
+    /// Reads the head of a request into `partial`; false if it is incomplete.
     fn read_head(&mut self, from: &mut BytesMut) -> Result<bool, Rejection> {
         let mut headers = [EMPTY_HEADER; MAX_HEADERS];
         let mut head = httparse::Request::new(&mut headers);
@@ -99,7 +100,7 @@
         let target = head.path.unwrap_or("");
         let is_http_1_0 = head.version == Some(0);
         let framing = framing_headers(head.headers, self.wanted_headers).ok_or(BAD_REQUEST)?;
-        if !is_plain_target(target) || has_bare_line_feed(&from[..length]) {
+        if !is_origin_form(target) || has_bare_line_feed(&from[..length]) {
             return Err(BAD_REQUEST);
         }
         let body = match framing.chunked {
@@ -124,8 +125,8 @@
     }
 }
 
-/// A path in printable ASCII: other forms of a target are for proxies.
-fn is_plain_target(target: &str) -> bool {
+/// Whether the target is a path in printable ASCII (origin form); other forms are for proxies.
+fn is_origin_form(target: &str) -> bool {
     target.starts_with('/') && target.bytes().all(|byte| byte.is_ascii_graphic())
 }
 
@@ -154,7 +155,7 @@
     fn encode(&mut self, response: Response, to: &mut BytesMut) -> io::Result<()> {
         let Response { status, header_lines: lines, body, close } = response;
         let sent_body = if self.omit_body { &[] } else { &body[..] };
-        to.reserve(USUAL_HEAD_BYTES + lines.len() + sent_body.len());
+        to.reserve(HEAD_CAPACITY + lines.len() + sent_body.len());
         write!(to.writer(), "HTTP/1.1 {status} {}\r\n", reason_phrase(status))?;
         if has_content_length(status) {
             write!(to.writer(), "Content-Length: {}\r\n", body.len())?;
@@ -169,12 +170,12 @@
     }
 }
 
-/// 204 and 304 have no body, and no length of one.
+/// Responses 204 and 304 have no body and no `Content-Length`.
 fn has_content_length(status: u16) -> bool {
     status != 204 && status != 304
 }
 
-/// The reason phrase of a status. Readers go by the number; unusual ones share a phrase.
+/// The reason phrase of a status. Clients go by the number; uncommon statuses share a phrase.
 fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
--- a/crates/http/src/connection_pool.rs
+++ b/crates/http/src/connection_pool.rs
@@ -1,7 +1,7 @@
-//! Idle connections to hosts, and the limit of open ones.
+//! Idle connections to hosts, and the limit on open connections.
 //!
-//! Connections are pooled by host instance and not by address: a new host at an old address is another one. The pool does
-//! not connect a second time, choose another host or wait longer than it was told.
+//! Connections are pooled by host instance and not by address, because an address may be reassigned to a new instance.
+//! The pool does not retry a failed connect, select another host or wait longer than the connect timeout.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -15,20 +15,20 @@
 use tokio::time::{Instant, timeout};
 use tokio_util::codec::Framed;
 
-/// A connection is closed after this part of the time for which the host keeps it idle: the rest is far more than the way
-/// of a request that meets the close.
+/// A connection is closed after this fraction of the time for which the host keeps it idle. The rest is far longer than
+/// the transit of a request, so that no request is sent while the host closes the connection.
 const USABLE_IDLE_FRACTION: f64 = 0.8;
-/// Limit in seconds of times that are handed in, which may be any number.
+/// Upper bound in seconds of times passed by callers, which may be any number.
 const MAX_SECONDS: f64 = 3600.0;
 
 fn duration(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds.clamp(0.0, MAX_SECONDS))
 }
 
-/// Why no connection could be opened, beside what the system says.
+/// Why no connection could be opened, apart from errors of the operating system.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PoolError {
-    /// As many connections are open and in use as there may be.
+    /// The limit of open connections is reached, and none of them is idle.
     ConnectionsExhausted {
         /// The limit of open connections.
         limit: usize,
@@ -38,13 +38,13 @@
 impl Display for PoolError {
     fn fmt(&self, f: &mut Formatter) -> fmt::Result {
         let PoolError::ConnectionsExhausted { limit } = self;
-        write!(f, "all {limit} connections to hosts are in use")
+        write!(f, "connection limit reached: all {limit} connections to hosts are in use")
     }
 }
 
 impl std::error::Error for PoolError {}
 
-/// One of the bounded number of open connections, returned when dropped.
+/// Permission for one open connection, returned when dropped.
 struct Permit(Rc<Cell<usize>>);
 
 impl Permit {
@@ -63,13 +63,13 @@
     }
 }
 
-/// A connection to a host with the codec `C`.
+/// A connection to a host, with the codec `C`.
 pub struct Connection<C> {
     /// The stream and its codec.
     pub framed: Framed<TcpStream, C>,
     address: SocketAddr,
     idle_since: Instant,
-    /// Until when it may be used, by what the host said about idle connections.
+    /// When it expires according to the host's `Keep-Alive` header.
     expires_at: Option<Instant>,
     _permit: Permit,
 }
@@ -77,15 +77,15 @@
 /// The state of a connection on which no request is pending.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdleState {
-    /// It can be used.
+    /// The connection can be used.
     Quiet,
-    /// The other end closed or reset it.
+    /// The peer closed or reset the connection.
     Closed,
-    /// There are bytes that nobody asked for: they would be taken for the response to the next request.
+    /// There are unsolicited bytes, which would be taken for the response to the next request.
     UnexpectedBytes,
 }
 
-/// Checks a connection on which no request is pending: its read buffer, and its socket by one system call.
+/// Checks a connection on which no request is pending: its read buffer, and its socket by a single system call.
 pub fn idle_state<C>(framed: &Framed<TcpStream, C>) -> IdleState {
     let mut byte = [MaybeUninit::uninit()];
     match socket2::SockRef::from(framed.get_ref()).peek(&mut byte) {
@@ -96,11 +96,11 @@
     }
 }
 
-/// The connections of one thread. Hosts are named by keys of the user's.
+/// The connections of one thread. Hosts are identified by keys that the caller assigns.
 pub struct ConnectionPool<C> {
-    /// Idle connections of each host, the one used last at the end.
+    /// Idle connections of each host, the most recently used one last.
     idle: RefCell<HashMap<u64, Vec<Connection<C>>>>,
-    /// Connections that are open, idle ones included.
+    /// Number of open connections, including idle ones.
     open: Rc<Cell<usize>>,
     max_open: usize,
     idle_timeout: Duration,
@@ -109,21 +109,21 @@
 }
 
 impl<C> ConnectionPool<C> {
-    /// A pool of `max_open` connections at most. `idle`: seconds after which hosts close an idle connection; `connect`:
-    /// longest wait for a new one in seconds; `codec` makes its codec.
+    /// Creates a pool of at most `max_open` connections. `idle_timeout` is the time in seconds after which hosts close
+    /// an idle connection, `connect_timeout` the longest wait in seconds for a new one; `new_codec` creates its codec.
     pub fn new(
         max_open: usize,
-        idle: f64,
-        connect: f64,
-        codec: impl Fn() -> C + 'static,
+        idle_timeout: f64,
+        connect_timeout: f64,
+        new_codec: impl Fn() -> C + 'static,
     ) -> Rc<ConnectionPool<C>> {
         Rc::new(ConnectionPool {
             idle: RefCell::default(),
             open: Rc::default(),
             max_open,
-            idle_timeout: duration(idle * USABLE_IDLE_FRACTION),
-            connect_timeout: duration(connect),
-            new_codec: Box::new(codec),
+            idle_timeout: duration(idle_timeout * USABLE_IDLE_FRACTION),
+            connect_timeout: duration(connect_timeout),
+            new_codec: Box::new(new_codec),
         })
     }
 
@@ -132,48 +132,49 @@
         self.connect_timeout
     }
 
-    /// Closes connections that were idle for too long; to be called now and then.
+    /// Closes connections that were idle for too long; to be called periodically.
     pub fn close_idle(&self) {
         let mut idle = self.idle.borrow_mut();
         idle.values_mut().for_each(|connections| connections.retain(|connection| self.is_usable(connection)));
         idle.retain(|_, connections| !connections.is_empty());
     }
 
-    /// An idle connection to a host, checked by [`idle_state`]. The one used last comes first, so that spare ones grow old
-    /// and are closed.
+    /// Takes an idle connection to a host, checked by [`idle_state`]. The most recently used one is taken first, so
+    /// that surplus connections expire and are closed.
     pub fn take(&self, host: u64, address: SocketAddr) -> Option<Connection<C>> {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(&host)?;
-        let can_be_used = |connection: &Connection<C>| {
+        let is_reusable = |connection: &Connection<C>| {
             connection.address == address
                 && self.is_usable(connection)
                 && idle_state(&connection.framed) == IdleState::Quiet
         };
-        std::iter::from_fn(|| connections.pop()).find(can_be_used)
+        std::iter::from_fn(|| connections.pop()).find(is_reusable)
     }
 
-    /// Closes the idle connections to a host that was removed, has moved or does not answer.
+    /// Closes the idle connections to a host that was removed, has moved or does not respond.
     pub fn forget(&self, host: u64) {
         self.idle.borrow_mut().remove(&host);
     }
 
-    /// Keeps a connection after a response; `idle` is for how many seconds the host said that it keeps it.
-    pub fn put(&self, host: u64, connection: Connection<C>, idle: Option<f64>) {
+    /// Returns a connection to the pool after a response; `host_idle_timeout` is the time in seconds for which the host
+    /// keeps the connection idle, if it said so.
+    pub fn put(&self, host: u64, connection: Connection<C>, host_idle_timeout: Option<f64>) {
         let now = Instant::now();
-        let expires_at = idle.map(|seconds| now + usable_idle_time(seconds));
+        let expires_at = host_idle_timeout.map(|seconds| now + usable_idle_time(seconds));
         self.put_back(host, Connection { idle_since: now, expires_at, ..connection });
     }
 
-    /// Gives back a connection on which nothing was sent: it is kept for no longer than before.
+    /// Returns a connection on which nothing was sent, without extending the time for which it is kept.
     pub fn put_back(&self, host: u64, connection: Connection<C>) {
         self.idle.borrow_mut().entry(host).or_default().push(connection);
     }
 
-    /// Opens a connection. Where too many are open all idle ones are closed first.
+    /// Opens a connection. If the limit is reached, all idle connections are closed first.
     ///
     /// # Errors
     ///
-    /// What the system says, a timeout, or [`PoolError`] as the inner error.
+    /// An error of the operating system, a timeout, or an error with [`PoolError`] as the inner error.
     pub async fn open(&self, address: SocketAddr) -> io::Result<Connection<C>> {
         if self.open.get() >= self.max_open {
             self.idle.borrow_mut().clear();
@@ -191,7 +192,7 @@
     }
 }
 
-/// How long a connection is used of the time for which its host said that it keeps it.
+/// How long an idle connection may be used if its host keeps it for `seconds`.
 fn usable_idle_time(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds.clamp(0.0, MAX_SECONDS) * USABLE_IDLE_FRACTION)
 }
--- a/crates/http/src/disconnect.rs
+++ b/crates/http/src/disconnect.rs
@@ -1,7 +1,7 @@
-//! Notices that a client has disconnected while its request is processed.
+//! Detects that a client has disconnected while its request is processed.
 //!
-//! The connection is read ahead meanwhile, up to a limit. Invariant: no byte that was sent early is lost; what is read ahead
-//! stays in the read buffer, for the codec.
+//! Meanwhile the connection is read ahead, up to a limit. Invariant: no byte that the client sent early is lost; bytes
+//! that are read ahead stay in the read buffer for the codec.
 
 use std::io;
 use std::time::Duration;
@@ -10,24 +10,24 @@
 use tokio::time::sleep;
 use tokio_util::codec::Framed;
 
-/// Time between two checks of a connection of which no more may be read ahead: its socket stays readable, so there is
-/// nothing to wait for.
+/// Interval of checks while the read-ahead limit is reached: the socket stays readable then, so waiting for readability
+/// returns at once.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How the client disconnected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Disconnect {
-    /// It closed its sending side. A client that still reads and one that closed the whole connection look the same until
-    /// something is written to them.
+    /// The client closed its sending side. Whether it still reads or has closed the whole connection shows only when
+    /// something is written to it.
     Closed,
-    /// It reset the connection: nothing written to it arrives any more.
+    /// The client reset the connection, so that nothing written to it arrives any more.
     Reset,
 }
 
-/// Waits until the client has disconnected; cancel safe.
+/// Waits until the client has disconnected. This function is cancel safe.
 ///
-/// Reads ahead until `max_buffered` bytes are buffered. From then on only a close is noticed that the system itself reports
-/// beside unread bytes (`EPOLLRDHUP`), at ten checks a second.
+/// Reads ahead until `max_buffered` bytes are buffered. From then on it detects a close only if the operating system
+/// reports it despite unread bytes (`EPOLLRDHUP`), and checks ten times a second.
 pub async fn wait_for_disconnect<C>(framed: &mut Framed<TcpStream, C>, max_buffered: usize) -> Disconnect {
     loop {
         let Ok(ready) = framed.get_ref().ready(Interest::READABLE).await else { return Disconnect::Reset };
@@ -47,7 +47,7 @@
     }
 }
 
-/// Moves bytes that have arrived to the read buffer.
+/// Moves bytes that have arrived to the read buffer, without waiting; returns their number.
 fn read_ahead<C>(framed: &mut Framed<TcpStream, C>) -> io::Result<usize> {
     let mut buffer = std::mem::take(framed.read_buffer_mut());
     let read = framed.get_ref().try_read_buf(&mut buffer);
--- a/crates/http/src/error.rs
+++ b/crates/http/src/error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with a message. `Decoder` wants an `io::Error`: these are its inner error there.
+//! Why a message can't be read. `Decoder` requires an `io::Error`; its inner error is a [`ProtocolError`].
 
 use std::fmt::{self, Display, Formatter};
 use std::io;
@@ -6,27 +6,27 @@
 /// A message that can't be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProtocolError {
-    /// The head of a response is no HTTP/1.x, or over the limits of [`crate::codec`].
+    /// The head of a response is not valid HTTP/1.x, or exceeds the limits of [`crate::codec`].
     ResponseHead,
-    /// The headers of a response leave its length in doubt, such as two different lengths.
+    /// The headers of a response make its length ambiguous, such as by two different lengths.
     ResponseFraming,
     /// A chunk does not begin with its size.
     ChunkSize,
     /// A chunk's data does not end with CRLF.
     ChunkEnd,
-    /// A line of the trailer is longer than the limit.
+    /// A line of the trailer section exceeds the limit.
     Trailer,
-    /// The body is longer than it may be.
+    /// The body exceeds the limit.
     BodyTooLarge {
         /// The limit in bytes.
         limit: usize,
     },
-    /// There is not enough memory left among that set aside for large bodies.
+    /// Too little of the memory for large bodies is left.
     OutOfMemory {
-        /// Bytes of the body as far as known.
+        /// Length of the body in bytes as far as known.
         needed: usize,
     },
-    /// The connection ended within a message.
+    /// The connection was closed within a message.
     Truncated,
 }
 
@@ -34,15 +34,15 @@
     fn fmt(&self, f: &mut Formatter) -> fmt::Result {
         match self {
             ProtocolError::ResponseHead => f.write_str("response: head malformed or too large"),
-            ProtocolError::ResponseFraming => f.write_str("response: headers leave its length in doubt"),
+            ProtocolError::ResponseFraming => f.write_str("response: headers make its length ambiguous"),
             ProtocolError::ChunkSize => f.write_str("chunked body: malformed chunk size"),
             ProtocolError::ChunkEnd => f.write_str("chunked body: no CRLF after a chunk"),
             ProtocolError::Trailer => f.write_str("chunked body: trailer line too long"),
-            ProtocolError::BodyTooLarge { limit } => write!(f, "body: more than the {limit} bytes allowed"),
+            ProtocolError::BodyTooLarge { limit } => write!(f, "body: exceeds the limit of {limit} bytes"),
             ProtocolError::OutOfMemory { needed } => {
-                write!(f, "body: no memory left for {needed} bytes among that set aside for large bodies")
+                write!(f, "body: too little memory left for large bodies, {needed} bytes needed")
             }
-            ProtocolError::Truncated => f.write_str("message cut short by the end of its connection"),
+            ProtocolError::Truncated => f.write_str("message truncated: connection closed before its end"),
         }
     }
 }
--- a/crates/http/src/frame.rs
+++ b/crates/http/src/frame.rs
@@ -1,8 +1,8 @@
-//! Framing of an HTTP/1.1 message (RFC 9112, sections 6 and 7): which headers say how long its body is, where the body ends,
-//! and the chunked coding, decoded as bytes arrive.
+//! Framing of HTTP/1.1 messages (RFC 9112, sections 6 and 7): the headers that define the length of the body, where the
+//! body ends, and an incremental decoder of the chunked coding.
 //!
-//! Invariants: a message that two readers could frame differently is not accepted. Nothing here holds a connection or reads
-//! a clock, and no header is known that is not about framing or the connection.
+//! Invariants: a message that two parsers could frame differently is rejected. This module holds no connection, reads
+//! no clock and knows only the headers that concern framing or the connection.
 
 mod body;
 mod chunked;
--- a/crates/http/src/frame/body.rs
+++ b/crates/http/src/frame/body.rs
@@ -1,37 +1,37 @@
-//! The body of a message: how long it is, and what of it has arrived.
+//! The body of a message: its length, and how much of it has arrived.
 
 use super::ChunkedDecoder;
 use crate::error::ProtocolError;
 use bytes::{Bytes, BytesMut};
 
-/// How the length of a body is known, and what of it was decoded.
+/// How the length of a body is determined, and the state of its decoding.
 #[derive(Debug)]
 pub enum BodyLength {
-    /// As many bytes as `Content-Length` says.
+    /// The number of bytes in `Content-Length`.
     Sized(usize),
-    /// Chunked; with the data of the chunks so far.
+    /// The chunked coding; with the data decoded so far.
     Chunked(ChunkedDecoder, BytesMut),
-    /// To the end of the connection, for responses only.
+    /// Until the connection is closed; for responses only.
     ToEnd,
 }
 
-/// What there is of a body.
+/// The progress of reading a body.
 pub enum BodyProgress {
-    /// All of it.
+    /// The body is complete.
     Complete(Bytes),
-    /// More has to arrive.
+    /// More bytes have to arrive.
     Partial,
-    /// It is longer than it may be.
+    /// The body exceeds the limit.
     TooLarge,
 }
 
 impl BodyLength {
-    /// A chunked body of which nothing was read.
+    /// A chunked body of which nothing has been read.
     pub(crate) fn chunked() -> BodyLength {
         BodyLength::Chunked(ChunkedDecoder::default(), BytesMut::new())
     }
 
-    /// Bytes of the body as far as known; `from` is the read buffer.
+    /// Length of the body in bytes as far as known; `from` is the read buffer.
     pub fn known(&self, from: &BytesMut) -> usize {
         match self {
             BodyLength::Sized(size) => *size,
@@ -40,16 +40,16 @@
         }
     }
 
-    /// Takes the body from the read buffer once all of it is there. `ended` is whether the connection has ended, `limit`
-    /// that of the body in bytes.
+    /// Takes the body from the read buffer `from` once it is complete. `at_eof` is whether the peer has closed the
+    /// connection, `limit` the longest accepted body in bytes.
     ///
     /// # Errors
     ///
-    /// Those of [`ChunkedDecoder::feed`].
+    /// The errors of [`ChunkedDecoder::feed`].
     pub fn take(
         &mut self,
         from: &mut BytesMut,
-        ended: bool,
+        at_eof: bool,
         limit: usize,
     ) -> Result<BodyProgress, ProtocolError> {
         match self {
@@ -73,7 +73,7 @@
                 })
             }
             BodyLength::ToEnd if from.len() > limit => Ok(BodyProgress::TooLarge),
-            BodyLength::ToEnd if ended => Ok(BodyProgress::Complete(from.split().freeze())),
+            BodyLength::ToEnd if at_eof => Ok(BodyProgress::Complete(from.split().freeze())),
             BodyLength::ToEnd => Ok(BodyProgress::Partial),
         }
     }
--- a/crates/http/src/frame/chunked.rs
+++ b/crates/http/src/frame/chunked.rs
@@ -1,31 +1,32 @@
-//! The chunked transfer coding (RFC 9112, section 7.1). Chunk extensions and trailers are read and dropped.
+//! The chunked transfer coding (RFC 9112, section 7.1). Chunk extensions and trailer fields are parsed and discarded.
 
 use crate::error::ProtocolError;
 use bytes::{Buf, BytesMut};
 use httparse::Status;
 
-/// Limit of a chunk's size line, and of a line of the trailer, in bytes: extensions are rare and nobody here reads them.
+/// Limit in bytes of a chunk's size line and of a line of the trailer section: extensions are rare, and
+/// nothing here uses them.
 const MAX_LINE: usize = 1024;
 
 #[derive(Debug, Default)]
 enum ChunkState {
-    /// Before the line with a chunk's size.
+    /// Expects the line with a chunk's size.
     #[default]
     Size,
-    /// Within a chunk, with so many bytes left.
+    /// Within a chunk's data, with this many bytes remaining.
     Data(u64),
-    /// Before the CRLF behind a chunk.
+    /// Expects the CRLF after a chunk's data.
     End,
-    /// Behind the last chunk.
+    /// Expects trailer lines, after the last chunk.
     Trailer,
 }
 
-/// Decodes a chunked body as its bytes arrive.
+/// Decodes a chunked body incrementally.
 #[derive(Debug, Default)]
 pub struct ChunkedDecoder(ChunkState);
 
 impl ChunkedDecoder {
-    /// Moves data that has arrived from `from` to `to`; true once the trailer has ended.
+    /// Moves the decoded data of the bytes in `from` to `to`; true once the trailer section has ended.
     ///
     /// # Errors
     ///
@@ -34,7 +35,7 @@
         loop {
             let advanced = match self.0 {
                 ChunkState::Size => self.read_size(from)?,
-                ChunkState::Data(left) => self.read_data(left, from, to),
+                ChunkState::Data(remaining) => self.read_data(remaining, from, to),
                 ChunkState::End => self.read_end(from)?,
                 ChunkState::Trailer => match read_trailer_line(from)? {
                     Some(TrailerLine::Field) => true,
@@ -48,7 +49,7 @@
         }
     }
 
-    // Each step is true if it got to the next state, false if more bytes are needed.
+    // Each of the steps below returns whether it made progress; false if more bytes are needed.
 
     fn read_size(&mut self, from: &mut BytesMut) -> Result<bool, ProtocolError> {
         match httparse::parse_chunk_size(from) {
@@ -62,17 +63,17 @@
         }
     }
 
-    fn read_data(&mut self, left: u64, from: &mut BytesMut, to: &mut BytesMut) -> bool {
-        if left == 0 {
+    fn read_data(&mut self, remaining: u64, from: &mut BytesMut, to: &mut BytesMut) -> bool {
+        if remaining == 0 {
             self.0 = ChunkState::End;
             return true;
         }
         if from.is_empty() {
             return false;
         }
-        let taken = from.len().min(usize::try_from(left).unwrap_or(usize::MAX));
+        let taken = from.len().min(usize::try_from(remaining).unwrap_or(usize::MAX));
         to.extend_from_slice(&from.split_to(taken));
-        self.0 = ChunkState::Data(left - taken as u64);
+        self.0 = ChunkState::Data(remaining - taken as u64);
         true
     }
 
@@ -97,9 +98,9 @@
 
 fn read_trailer_line(from: &mut BytesMut) -> Result<Option<TrailerLine>, ProtocolError> {
     match from.iter().position(|&byte| byte == b'\n') {
-        Some(at) => {
-            let is_last = from[..at].trim_ascii().is_empty();
-            from.advance(at + 1);
+        Some(line_end) => {
+            let is_last = from[..line_end].trim_ascii().is_empty();
+            from.advance(line_end + 1);
             Ok(Some(if is_last { TrailerLine::Last } else { TrailerLine::Field }))
         }
         None if from.len() < MAX_LINE => Ok(None),
--- a/crates/http/src/frame/headers.rs
+++ b/crates/http/src/frame/headers.rs
@@ -1,22 +1,23 @@
-//! What the headers say about framing and the connection, and the header lines that are forwarded.
+//! The headers that concern framing and the connection, and the header lines that are forwarded.
 
 use httparse::Header;
 
-/// The framing of a message, and its header lines for the next hop.
+/// The framing of a message according to its headers, and the header lines for the next hop.
 pub struct FramingHeaders {
     /// Value of `Content-Length`.
     pub length: Option<usize>,
-    /// The body is chunked.
+    /// Whether the body is chunked.
     pub chunked: bool,
-    /// `Connection: close`.
+    /// Whether there is `Connection: close`.
     pub close: bool,
-    /// `Connection: keep-alive`.
+    /// Whether there is `Connection: keep-alive`.
     pub keep: bool,
     /// The header lines that are forwarded, each with its CRLF.
     pub forwarded: Vec<u8>,
 }
 
-/// Headers that belong to one connection (RFC 9110, section 7.6.1) or are written anew for the next: never forwarded.
+/// Headers that are never forwarded: they belong to one connection (RFC 9110, section 7.6.1), or are generated for the
+/// next hop.
 const HOP_BY_HOP: [&str; 11] = [
     "connection",
     "keep-alive",
@@ -31,37 +32,38 @@
     "expect",
 ];
 
-/// Bytes of forwarded header lines for which memory is allocated at once: enough for usual messages.
-const USUAL_FORWARDED_BYTES: usize = 256;
+/// Initial capacity in bytes for forwarded header lines: enough for typical messages.
+const FORWARDED_CAPACITY: usize = 256;
 
-/// Reads the framing. Lines that are neither hop-by-hop nor among `own` are forwarded as they came.
+/// Parses the framing headers. Headers that are neither hop-by-hop nor in `not_forwarded` are forwarded unchanged.
 ///
-/// `None` where two readers could frame the message differently: an unreadable length or two different ones, a transfer
-/// coding other than one `chunked`, or both a length and chunks (RFC 9112, section 6.3; request smuggling).
-pub fn framing_headers(headers: &[Header], own: &[&str]) -> Option<FramingHeaders> {
+/// `None` if two parsers could frame the message differently, which allows request smuggling: an invalid length or two
+/// different ones, a transfer coding other than a single `chunked`, or both a length and `chunked` (RFC 9112,
+/// section 6.3).
+pub fn framing_headers(headers: &[Header], not_forwarded: &[&str]) -> Option<FramingHeaders> {
     let mut framing = FramingHeaders {
         length: None,
         chunked: false,
         close: false,
         keep: false,
-        forwarded: Vec::with_capacity(USUAL_FORWARDED_BYTES),
+        forwarded: Vec::with_capacity(FORWARDED_CAPACITY),
     };
     for header in headers {
-        let is = |name: &str| header.name.eq_ignore_ascii_case(name);
-        if is("content-length") {
+        let is_named = |name: &str| header.name.eq_ignore_ascii_case(name);
+        if is_named("content-length") {
             let length = content_length(header.value)?;
             if framing.length.is_some_and(|earlier| earlier != length) {
                 return None;
             }
             framing.length = Some(length);
-        } else if is("transfer-encoding") {
+        } else if is_named("transfer-encoding") {
             if framing.chunked || !header.value.eq_ignore_ascii_case(b"chunked") {
                 return None;
             }
             framing.chunked = true;
-        } else if is("connection") {
+        } else if is_named("connection") {
             framing.read_connection_options(header.value);
-        } else if !HOP_BY_HOP.iter().chain(own).any(|name| is(name)) {
+        } else if !HOP_BY_HOP.iter().chain(not_forwarded).any(|name| is_named(name)) {
             framing.forward(header);
         }
     }
@@ -83,14 +85,16 @@
     }
 }
 
-/// Digits alone; a number beyond `usize` is as good as the largest, since both are over every limit.
+/// Parses a `Content-Length` of digits only. A number beyond `usize` becomes the largest one, since both
+/// exceed every limit.
 fn content_length(value: &[u8]) -> Option<usize> {
     let text = std::str::from_utf8(value).ok()?;
     let is_number = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit());
     if is_number { Some(text.parse().unwrap_or(usize::MAX)) } else { None }
 }
 
-/// The value of a header that occurs once: of two, readers could go by either. `None` also where it is not UTF-8.
+/// The trimmed value of a header that occurs exactly once: if there are several, parsers could disagree on which one
+/// counts. `None` also if the value is not UTF-8.
 pub fn header<'a>(headers: &'a [Header], name: &str) -> Option<&'a str> {
     let mut matching = headers.iter().filter(|header| header.name.eq_ignore_ascii_case(name));
     let (first, None) = (matching.next()?, matching.next()) else { return None };
--- a/crates/http/src/frame/reserved_bytes.rs
+++ b/crates/http/src/frame/reserved_bytes.rs
@@ -1,19 +1,19 @@
-//! Memory for bodies that are larger than usual, bounded over all connections of a thread.
+//! Memory for large bodies, bounded over all connections of a thread.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Part of the bytes set aside for large bodies, from the first read until the last byte was passed on; returned when
-/// dropped.
+/// A reservation from the memory budget for large bodies, held from the first read of a body until its last byte has
+/// been forwarded. Dropping it returns the bytes to the budget.
 #[derive(Debug)]
 pub struct ReservedBytes {
     available: Rc<Cell<usize>>,
-    /// How many bytes are reserved.
+    /// Number of bytes reserved.
     pub bytes: usize,
 }
 
 impl ReservedBytes {
-    /// Reserves `bytes` of those `available`; `None` where there are fewer.
+    /// Reserves `bytes` of the `available` ones; `None` if there are fewer.
     pub fn reserve(available: &Rc<Cell<usize>>, bytes: usize) -> Option<ReservedBytes> {
         available.set(available.get().checked_sub(bytes)?);
         Some(ReservedBytes { available: available.clone(), bytes })
--- a/crates/http/tests/codec.rs
+++ b/crates/http/tests/codec.rs
@@ -1,4 +1,4 @@
-//! What the codecs accept, reject and write.
+//! What the codecs accept, reject and encode.
 
 use archlink_http::codec::{
     ClientCodec, Decoded, HostResponse, MAX_UNRESERVED_BODY, OutgoingRequest, Response, ServerCodec,
@@ -14,7 +14,7 @@
     Rc::new(Cell::new(bytes))
 }
 
-/// All that a server reads of these bytes: requests with their header `key`, and the statuses of rejections.
+/// Everything that a server decodes from these bytes: requests with their header `key`, and the statuses of rejections.
 fn decoded_requests(bytes: &[u8]) -> Vec<String> {
     let mut codec = ServerCodec::new(&["key"], 100, memory(1000));
     let mut buffer = BytesMut::from(bytes);
@@ -34,10 +34,10 @@
     decoded
 }
 
-/// What two readers could see differently never becomes a request.
+/// Guards against request smuggling: input that two parsers could interpret differently is never decoded as a request.
 #[test]
-fn ambiguous_request_is_rejected_and_nothing_after_it_is_read() {
-    let next = "GET /inner HTTP/1.1\r\n\r\n";
+fn ambiguous_request_is_rejected_and_ends_decoding() {
+    let smuggled = "GET /inner HTTP/1.1\r\n\r\n";
     for request in [
         "POST / HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
         "POST / HTTP/1.1\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd",
@@ -51,7 +51,7 @@
         "GET / HTTP/1.1\r\nA: b\r\n c: d\r\n\r\n",
         "GET http://a/ HTTP/1.1\r\n\r\n",
     ] {
-        assert_eq!(decoded_requests(format!("{request}{next}").as_bytes()), ["400"], "{request:?}");
+        assert_eq!(decoded_requests(format!("{request}{smuggled}").as_bytes()), ["400"], "{request:?}");
     }
 }
 
@@ -61,7 +61,8 @@
     assert_eq!(decoded_requests(repeated), ["GET /a None b\"\""]);
 }
 
-/// A body over the limit is rejected for good; one for which memory lacks may find some later, and the codec says so.
+/// A body over the limit is always rejected; one for which memory is lacking may be accepted later, which the codec
+/// reports.
 #[test]
 fn large_body_needs_reserved_memory() {
     assert_eq!(decoded_requests(b"POST /a HTTP/1.1\r\nContent-Length: 101\r\n\r\n"), ["413"]);
@@ -77,11 +78,12 @@
 
 #[test]
 fn request_after_a_chunked_body_is_read() {
-    let two = b"POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2;x\r\nab\r\n0\r\n\r\nGET /b HTTP/1.1\r\n\r\n";
-    assert_eq!(decoded_requests(two), ["POST /a None b\"ab\"", "GET /b None b\"\""]);
+    let two_requests = b"POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2;x\r\nab\r\n0\r\n\r\nGET /b HTTP/1.1\r\n\r\n";
+    assert_eq!(decoded_requests(two_requests), ["POST /a None b\"ab\"", "GET /b None b\"\""]);
 }
 
-/// The body of a response to HEAD would be the next request's response to its reader; and none is waited for.
+/// A client would take the body of a response to HEAD for the next response, so the server sends none and the client
+/// codec waits for none.
 #[test]
 fn response_to_head_has_no_body() {
     let mut server = ServerCodec::new(&[], 100, memory(1000));
@@ -96,7 +98,7 @@
     assert!(response.is_empty());
 }
 
-/// Whatever bytes come: no panic, and never a body that the head did not announce.
+/// Guards against panics, and against decoding without end, on arbitrary bytes.
 #[test]
 fn arbitrary_bytes_are_decoded_or_rejected() {
     bolero::check!().with_iterations(20_000).for_each(|bytes: &[u8]| {
@@ -108,9 +110,9 @@
     });
 }
 
-/// A response that can't be read is an `io::Error` with the reason as its inner error.
+/// A response that can't be decoded is reported as an `io::Error` with the reason as its inner error.
 #[test]
-fn unreadable_response_names_its_reason() {
+fn invalid_response_reports_its_reason() {
     let cases: [(&[u8], io::ErrorKind, ProtocolError); 7] = [
         (b"SSH-2.0-x\r\n\r\n", io::ErrorKind::InvalidData, ProtocolError::ResponseHead),
         (
--- a/crates/http/tests/connection_pool.rs
+++ b/crates/http/tests/connection_pool.rs
@@ -1,4 +1,4 @@
-//! Which connections are reused, and how many may be open, on loopback sockets.
+//! Reuse of connections and the limit on open ones, on loopback sockets.
 
 use archlink_http::codec::ClientCodec;
 use archlink_http::connection_pool::{Connection, ConnectionPool, IdleState, PoolError, idle_state};
@@ -9,15 +9,15 @@
 
 const HOST: u64 = 1;
 
-fn pool(max_open: usize, idle: f64) -> Rc<ConnectionPool<ClientCodec>> {
-    ConnectionPool::new(max_open, idle, 5.0, || ClientCodec::new(&[], 100, Rc::new(Cell::new(0))))
+fn pool(max_open: usize, idle_timeout: f64) -> Rc<ConnectionPool<ClientCodec>> {
+    ConnectionPool::new(max_open, idle_timeout, 5.0, || ClientCodec::new(&[], 100, Rc::new(Cell::new(0))))
 }
 
 fn run(test: impl Future<Output = ()>) {
     tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap().block_on(test);
 }
 
-/// An open connection, and the host's side of it.
+/// Opens a connection; returns it and the host's side of it.
 async fn open(
     pool: &ConnectionPool<ClientCodec>,
     listener: &TcpListener,
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn closed_or_unasked_for_bytes_end_reuse() {
+fn connection_that_is_closed_or_has_unexpected_bytes_is_not_reused() {
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
@@ -68,22 +68,22 @@
     });
 }
 
-/// A host that keeps no idle connection says 0 seconds; a pool whose hosts keep none has an idle time of 0.
+/// A host that keeps no idle connections announces, or is configured with, an idle timeout of 0 seconds.
 #[test]
 fn expired_connection_is_not_reused() {
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
-        for (idle, said_by_host) in [(60.0, Some(0.0)), (0.0, None)] {
-            let pool = pool(4, idle);
+        for (idle_timeout, host_idle_timeout) in [(60.0, Some(0.0)), (0.0, None)] {
+            let pool = pool(4, idle_timeout);
             let (connection, _host_side) = open(&pool, &listener).await;
-            pool.put(HOST, connection, said_by_host);
+            pool.put(HOST, connection, host_idle_timeout);
             assert!(pool.take(HOST, address).is_none());
         }
     });
 }
 
-/// Idle connections make room for a new one; where all are in use the error says how many there may be.
+/// Idle connections are closed to make room for a new one; if all are in use, the error states the limit.
 #[test]
 fn open_connections_are_limited() {
     run(async {
--- a/crates/http/tests/disconnect.rs
+++ b/crates/http/tests/disconnect.rs
@@ -1,5 +1,5 @@
-//! Clients that disconnect while a request is processed, on loopback sockets: each way to disconnect is noticed, what was
-//! sent early is kept, and what is read ahead is bounded.
+//! Clients that disconnect while a request is processed, on loopback sockets: every way to disconnect is detected,
+//! bytes that were sent early are kept, and read-ahead is bounded.
 
 use archlink_http::codec::{Decoded, ServerCodec};
 use archlink_http::disconnect::{Disconnect, wait_for_disconnect};
@@ -12,12 +12,13 @@
 use tokio::task::yield_now;
 use tokio_util::codec::Framed;
 
-/// Bytes that are read ahead.
+/// Limit of bytes that are read ahead.
 const MAX_BUFFERED: usize = 4096;
 
 type Server = Framed<TcpStream, ServerCodec>;
 
-/// A client and the server's side of its connection, on which one request was read; the client has sent `early` since.
+/// A client and the server's side of its connection. The server has read one request, and the client has
+/// sent `early` after it.
 async fn connected_pair(early: &[u8]) -> (TcpStream, Server) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let mut client = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
@@ -40,7 +41,7 @@
     tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap().block_on(test);
 }
 
-/// Waits for a disconnect while the runtime is polled so many times; none while the client is connected.
+/// Waits for a disconnect for this many polls of the runtime; `None` if the client is still connected then.
 async fn disconnect_within(server: &mut Server, polls: usize) -> Option<Disconnect> {
     tokio::select! {
         biased;
@@ -50,7 +51,7 @@
 }
 
 #[test]
-fn close_half_close_and_reset_are_noticed() {
+fn close_half_close_and_reset_are_detected() {
     run(async {
         for early in [&b""[..], b"GET /second HTTP/1.1\r\n\r\n"] {
             let (client, mut server) = connected_pair(early).await;
@@ -68,7 +69,8 @@
     });
 }
 
-/// However often the wait is dropped and begun anew, requests that were sent early are decoded complete and in order.
+/// Guards against losing bytes when the wait is cancelled and restarted: requests that were sent early are decoded
+/// completely and in order.
 #[test]
 fn requests_sent_early_are_kept() {
     run(async {
@@ -85,7 +87,8 @@
     });
 }
 
-/// A client that sends without end fills its own connection and no more; its disconnect is noticed behind what is unread.
+/// A client that keeps sending fills only the buffers of its own connection, and its disconnect is detected despite
+/// unread bytes.
 #[test]
 fn read_ahead_is_bounded() {
     run(async {
@@ -95,7 +98,7 @@
         assert!((MAX_BUFFERED..4 * MAX_BUFFERED).contains(&buffered), "{buffered} bytes read ahead");
         client.shutdown().await.unwrap();
         assert_eq!(wait_for_disconnect(&mut server, MAX_BUFFERED).await, Disconnect::Closed);
-        // What a later reader finds is all that was sent.
+        // Nothing that was sent is lost.
         let mut rest = BytesMut::from(&server.read_buffer()[..]);
         while server.get_ref().try_read_buf(&mut rest).is_ok_and(|read| read > 0) {}
         assert_eq!(rest.len(), 4 * MAX_BUFFERED);
