--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -5,7 +5,7 @@
 //! wait, [`Balancer::is_listed`] before that), and [`Balancer::attempt_ended`] exactly once for each start.
 
 pub use crate::attempt::AttemptEnd;
-pub use crate::load_shedding::QueueTicket;
+pub use crate::load_shedding::ShedCandidate;
 pub use crate::selection::{HostRequest, SelectedHost};
 pub use crate::slow_start::{ServiceLimits, WarmUpBound};
 
--- a/crates/balancer/src/load_shedding.rs
+++ b/crates/balancer/src/load_shedding.rs
@@ -31,14 +31,14 @@
 
 /// The properties of a request that decide whether it is shed.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct QueueTicket {
+pub struct ShedCandidate {
     /// 0 is the highest priority; all values from 2 on are the lowest.
     pub priority: u8,
     /// A random number from 0 to 1, drawn once per request.
     pub draw: f64,
 }
 
-impl QueueTicket {
+impl ShedCandidate {
     /// Whether the request is among the `admitted_fraction` of requests that are admitted.
     pub(crate) fn is_admitted(&self, admitted_fraction: f64) -> bool {
         let priority = usize::from(self.priority).min(EXPONENT_BY_PRIORITY.len() - 1);
--- a/crates/balancer/src/selection.rs
+++ b/crates/balancer/src/selection.rs
@@ -8,7 +8,7 @@
 //! request's home regions, or that is warming up and has received this data node's portion of the bound.
 
 use crate::host::Host;
-use crate::load_shedding::{LoadShedder, QueueTicket};
+use crate::load_shedding::{LoadShedder, ShedCandidate};
 use crate::pool_stats::PoolStats;
 use crate::slow_start::{DataNodes, SlowStart};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -46,7 +46,7 @@
     /// Keys of hosts that it was sent to before.
     pub tried: &'a [u64],
     /// `None` for a request that was admitted before and is not to be shed.
-    pub queue_ticket: Option<QueueTicket>,
+    pub queue_ticket: Option<ShedCandidate>,
 }
 
 /// A selected host.
--- a/crates/balancer/tests/overload.rs
+++ b/crates/balancer/tests/overload.rs
@@ -2,7 +2,7 @@
 //! capacity for. The test checks what fraction is answered within the latency target, not any formula of load shedding.
 
 use archlink_balancer::balancer::{
-    AttemptEnd, Balancer, HostRequest, QueueTicket, ServiceLimits, WarmUpBound,
+    AttemptEnd, Balancer, HostRequest, ServiceLimits, ShedCandidate, WarmUpBound,
 };
 use archlink_messages::{HostInstance, NodeId};
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -158,7 +158,7 @@
     fn client_tries(&mut self, now: f64, first_try_at: f64, earlier_tries: u32) {
         self.counts.offered += u32::from(earlier_tries == 0);
         let data_node = (self.rng.rand_float() * self.scenario.data_nodes as f64) as usize;
-        let ticket = QueueTicket { priority: 1, draw: self.rng.rand_float() };
+        let ticket = ShedCandidate { priority: 1, draw: self.rng.rand_float() };
         let request = HostRequest {
             service: "s",
             home_regions: &[],
--- a/crates/data-plane/src/host_selection.rs
+++ b/crates/data-plane/src/host_selection.rs
@@ -5,7 +5,7 @@
 use crate::deadline::Deadline;
 use crate::rejection::Rejection;
 use crate::routing::RoutedRequest;
-use archlink_balancer::balancer::{HostRequest, QueueTicket, SelectedHost};
+use archlink_balancer::balancer::{HostRequest, SelectedHost, ShedCandidate};
 use archlink_config::{Route, Tenant};
 use std::rc::Rc;
 
@@ -27,7 +27,7 @@
     /// Keys of the host instances that it was sent to.
     tried: Vec<u64>,
     /// Its place at the admission queue; `None` once it is admitted.
-    queue_ticket: Option<QueueTicket>,
+    queue_ticket: Option<ShedCandidate>,
 }
 
 impl<'a> HostSelection<'a> {
@@ -42,7 +42,7 @@
             max_expected: route.latency_target * MAX_EXPECTED_FRACTION,
             deadline,
             tried: Vec::new(),
-            queue_ticket: Some(QueueTicket {
+            queue_ticket: Some(ShedCandidate {
                 priority: routed.tenant.and_then(|tenant| tenant.priority).unwrap_or(route.priority),
                 draw: random_unit(),
             }),
