--- a/crates/balancer/src/selection.rs
+++ b/crates/balancer/src/selection.rs
@@ -46,7 +46,7 @@
     /// Keys of hosts that it was sent to before.
     pub tried: &'a [u64],
     /// `None` for a request that was admitted before and is not to be shed.
-    pub queue_ticket: Option<ShedCandidate>,
+    pub shed_candidate: Option<ShedCandidate>,
 }
 
 /// A selected host.
@@ -136,10 +136,10 @@
 
     /// Regions whose load shedder rejects the request.
     fn shedding_regions(&self, now: f64, request: &HostRequest) -> Vec<&str> {
-        let Some(ticket) = request.queue_ticket else { return Vec::new() };
+        let Some(candidate) = request.shed_candidate else { return Vec::new() };
         let pools = self.service.pool_by_region.iter();
         pools
-            .filter(|(_, pool)| !ticket.is_admitted(pool.load_shedder.admitted_fraction(now)))
+            .filter(|(_, pool)| !candidate.is_admitted(pool.load_shedder.admitted_fraction(now)))
             .map(|(region, _)| region.as_str())
             .collect()
     }
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -36,7 +36,7 @@
         latency_target: 0.3,
         remaining: 2.0,
         tried: &[],
-        queue_ticket: None,
+        shed_candidate: None,
     }
 }
 
--- a/crates/balancer/tests/overload.rs
+++ b/crates/balancer/tests/overload.rs
@@ -158,14 +158,14 @@
     fn client_tries(&mut self, now: f64, first_try_at: f64, earlier_tries: u32) {
         self.counts.offered += u32::from(earlier_tries == 0);
         let data_node = (self.rng.rand_float() * self.scenario.data_nodes as f64) as usize;
-        let ticket = ShedCandidate { priority: 1, draw: self.rng.rand_float() };
+        let candidate = ShedCandidate { priority: 1, draw: self.rng.rand_float() };
         let request = HostRequest {
             service: "s",
             home_regions: &[],
             latency_target: LATENCY_TARGET,
             remaining: LATENCY_TARGET * 0.9,
             tried: &[],
-            queue_ticket: Some(ticket),
+            shed_candidate: Some(candidate),
         };
         match self.balancers[data_node].select(now, &request) {
             Some(selected) => {
--- a/crates/data-plane/src/host_selection.rs
+++ b/crates/data-plane/src/host_selection.rs
@@ -76,7 +76,7 @@
                 latency_target: self.latency_target,
                 remaining: self.max_expected.min(self.deadline.remaining(now)),
                 tried: &self.tried,
-                queue_ticket: self.queue_ticket,
+                shed_candidate: self.queue_ticket,
             };
             balancer.select(now, &host_request).map(|host| (host, *service))
         })
