--- a/crates/data-plane/src/host_selection.rs
+++ b/crates/data-plane/src/host_selection.rs
@@ -59,8 +59,8 @@
         self.deadline
     }
 
-    /// The request is admitted: further selections don't pass the admission queue.
-    pub fn set_admitted(&mut self) {
+    /// The request has been admitted: its further selections are exempt from load shedding.
+    pub fn exempt_from_load_shedding(&mut self) {
         self.queue_ticket = None;
     }
 
--- a/crates/data-plane/src/request.rs
+++ b/crates/data-plane/src/request.rs
@@ -57,7 +57,7 @@
         return Err(Rejection::NoResponse(attempts.local_outcome()));
     }
     admit(&selection, &routed, &attempts, client).await?;
-    selection.set_admitted();
+    selection.exempt_from_load_shedding();
     let outgoing = Rc::new(upstream_request(request, parsed.id, &routed, client));
     dispatch(&mut selection, attempts, &outgoing, routed.tenant.is_some()).await
 }
