--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -99,7 +99,7 @@
     }
 
     /// One log line for each service and region whose requests are being shed.
-    pub fn admission_log_lines(&self, now: f64) -> Vec<String> {
+    pub fn load_shedding_log_lines(&self, now: f64) -> Vec<String> {
         let mut lines = Vec::new();
         for (service, hosts) in &self.services {
             for (region, Pool { stats, load_shedder }) in &hosts.pool_by_region {
--- a/crates/balancer/src/selection.rs
+++ b/crates/balancer/src/selection.rs
@@ -136,10 +136,10 @@
 
     /// Regions whose load shedder rejects the request.
     fn shedding_regions(&self, now: f64, request: &HostRequest) -> Vec<&str> {
-        let Some(candidate) = request.shed_candidate else { return Vec::new() };
+        let Some(shed_candidate) = request.shed_candidate else { return Vec::new() };
         let pools = self.service.pool_by_region.iter();
         pools
-            .filter(|(_, pool)| !candidate.is_admitted(pool.load_shedder.admitted_fraction(now)))
+            .filter(|(_, pool)| !shed_candidate.is_admitted(pool.load_shedder.admitted_fraction(now)))
             .map(|(region, _)| region.as_str())
             .collect()
     }
--- a/crates/data-plane/src/server.rs
+++ b/crates/data-plane/src/server.rs
@@ -136,7 +136,7 @@
 }
 
 fn log_summaries(data_plane: &DataPlane) {
-    let limited = data_plane.balancer.borrow().admission_log_lines(data_plane.clock.now());
+    let limited = data_plane.balancer.borrow().load_shedding_log_lines(data_plane.clock.now());
     for line in limited {
         log::info!(detail = line.as_str(); "admission limited");
     }
