--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -7,7 +7,7 @@
 pub use crate::attempt::AttemptEnd;
 pub use crate::load_shedding::ShedCandidate;
 pub use crate::selection::{HostRequest, SelectedHost};
-pub use crate::slow_start::{ServiceLimits, WarmUpBound};
+pub use crate::slow_start::{WarmUpBound, WarmUpLimits};
 
 use crate::host::Host;
 use crate::selection::{Locality, Pool, Selector, ServiceHosts, is_available, latency_target_or_default};
@@ -67,7 +67,7 @@
     }
 
     /// Sets the warm-up limits of all services.
-    pub fn set_services(&mut self, services: HashMap<String, ServiceLimits>) {
+    pub fn set_services(&mut self, services: HashMap<String, WarmUpLimits>) {
         self.slow_start.services = services;
     }
 
--- a/crates/balancer/src/slow_start.rs
+++ b/crates/balancer/src/slow_start.rs
@@ -35,7 +35,7 @@
 
 /// A service's configuration of hosts that are warming up.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct ServiceLimits {
+pub struct WarmUpLimits {
     /// Requests per second that a host can take while it is warming up; 0 is unlimited.
     pub warm_up_rate: f64,
     /// Longest warm-up of a host in seconds.
@@ -53,11 +53,11 @@
 #[derive(Debug)]
 pub(crate) struct SlowStart {
     pub(crate) bound: WarmUpBound,
-    pub(crate) services: HashMap<String, ServiceLimits>,
+    pub(crate) services: HashMap<String, WarmUpLimits>,
 }
 
 impl SlowStart {
-    fn limits(&self, service: &str) -> ServiceLimits {
+    fn limits(&self, service: &str) -> WarmUpLimits {
         self.services.get(service).copied().unwrap_or_default()
     }
 
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! A balancer of data node 1 of nine, in zone `a` of region `x`, and requests to the service `s`, in simulated time.
 
-use archlink_balancer::balancer::{Balancer, HostRequest, ServiceLimits, WarmUpBound};
+use archlink_balancer::balancer::{Balancer, HostRequest, WarmUpBound, WarmUpLimits};
 use archlink_messages::HostInstance;
 use std::collections::HashMap;
 
@@ -24,7 +24,7 @@
     let warm_up = WarmUpBound { overrun: 1.5, slack: 5.0 };
     let mut balancer = Balancer::new(1, "a".into(), "x".into(), HashMap::from(regions), warm_up, 7);
     balancer.set_data_nodes(&[1, 2, 3, 4, 5, 6, 7, 8, 9]);
-    balancer.set_services([("s".into(), ServiceLimits { warm_up_rate: 10.0, warm_up_period: 3.0 })].into());
+    balancer.set_services([("s".into(), WarmUpLimits { warm_up_rate: 10.0, warm_up_period: 3.0 })].into());
     balancer
 }
 
--- a/crates/balancer/tests/overload.rs
+++ b/crates/balancer/tests/overload.rs
@@ -2,7 +2,7 @@
 //! capacity for. The test checks what fraction is answered within the latency target, not any formula of load shedding.
 
 use archlink_balancer::balancer::{
-    AttemptEnd, Balancer, HostRequest, ServiceLimits, ShedCandidate, WarmUpBound,
+    AttemptEnd, Balancer, HostRequest, ShedCandidate, WarmUpBound, WarmUpLimits,
 };
 use archlink_messages::{HostInstance, NodeId};
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -96,7 +96,7 @@
     let warm_up = WarmUpBound { overrun: 1.5, slack: 5.0 };
     let mut balancer = Balancer::new(node, "z".into(), "r".into(), regions, warm_up, u64::from(node));
     balancer.set_data_nodes(nodes);
-    balancer.set_services([("s".into(), ServiceLimits::default())].into());
+    balancer.set_services([("s".into(), WarmUpLimits::default())].into());
     balancer.update_hosts(0.0, instances);
     balancer
 }
--- a/crates/data-plane/src/view_changes.rs
+++ b/crates/data-plane/src/view_changes.rs
@@ -1,7 +1,7 @@
 //! Applies changes of the fleet view to what goes by it: balancer, connection pool and quotas.
 
 use crate::data_plane::DataPlane;
-use archlink_balancer::balancer::ServiceLimits;
+use archlink_balancer::balancer::WarmUpLimits;
 use archlink_config::Configuration;
 use archlink_control_client::fleet_view::ViewChange;
 use archlink_messages::HostList;
@@ -36,7 +36,7 @@
         log::info!(version:% = format_args!("{:08x}", configuration.version); "configuration applied");
         let services = configuration.services.values().map(|service| {
             let limits =
-                ServiceLimits { warm_up_rate: service.warm_up_rate, warm_up_period: service.warm_up_period };
+                WarmUpLimits { warm_up_rate: service.warm_up_rate, warm_up_period: service.warm_up_period };
             (service.name.clone(), limits)
         });
         self.balancer.borrow_mut().set_services(services.collect());
