--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -2,7 +2,7 @@
 //! of attempts update.
 //!
 //! For each attempt, callers use [`Balancer::select`], [`Balancer::attempt_started`] when the request is sent (after a
-//! wait, [`Balancer::is_listed`] before that), and [`Balancer::attempt_ended`] exactly once for each start.
+//! wait, [`Balancer::is_available`] before that), and [`Balancer::attempt_ended`] exactly once for each start.
 
 pub use crate::attempt::AttemptEnd;
 pub use crate::load_shedding::ShedCandidate;
@@ -147,7 +147,7 @@
     }
 
     /// Whether a request may still be sent to host `key`; to be checked if the request had to wait after the selection.
-    pub fn is_listed(&self, key: u64) -> bool {
+    pub fn is_available(&self, key: u64) -> bool {
         self.hosts.get(&key).is_some_and(|host| is_available(host, &self.evacuated))
     }
 
--- a/crates/balancer/tests/selection.rs
+++ b/crates/balancer/tests/selection.rs
@@ -29,7 +29,7 @@
     let selected = balancer.select(1.4, &request()).unwrap();
     balancer.attempt_started(1.4, selected.key, 0.3);
     balancer.attempt_ended(1.4, selected.key, 0.01, AttemptEnd::Misdirected);
-    assert!(!balancer.is_listed(selected.key) && selected_id(&mut balancer, 9.0, &request()).is_none());
+    assert!(!balancer.is_available(selected.key) && selected_id(&mut balancer, 9.0, &request()).is_none());
 }
 
 #[test]
--- a/crates/data-plane/src/upstream.rs
+++ b/crates/data-plane/src/upstream.rs
@@ -114,7 +114,7 @@
         return Err(withdrawn());
     }
     // A new connection took its time: what is no longer allowed is not sent.
-    if !data_plane.balancer.borrow().is_listed(host.key) || Instant::now() >= deadline {
+    if !data_plane.balancer.borrow().is_available(host.key) || Instant::now() >= deadline {
         return Err(AttemptProgress::NotConnected.because(FailureCause::NoLongerAllowed));
     }
     let mut header_lines = outgoing.header_lines.clone();
