--- a/crates/gateway/src/http/client_codec.rs
+++ b/crates/gateway/src/http/client_codec.rs
@@ -68,7 +68,7 @@
             return Err(InvalidRequest::Malformed);
         };
         let is_readiness_check = head.method == Some("GET") && head.path == Some(READINESS_PATH);
-        let close = framing.close || (head.version == Some(0) && !framing.keep);
+        let close = framing.close || (head.version == Some(0) && !framing.keep_alive);
         let body = match framing.chunked {
             true => BodyLength::Chunked(ChunkedDecoder::default(), BytesMut::new()),
             false => BodyLength::Sized(framing.length.unwrap_or(0)),
--- a/crates/gateway/src/http/host_codec.rs
+++ b/crates/gateway/src/http/host_codec.rs
@@ -116,7 +116,8 @@
             (false, Some(length)) => BodyLength::Sized(length),
             (false, None) => BodyLength::ToEnd,
         };
-        let closes = framing.close || (old_version && !framing.keep) || matches!(body, BodyLength::ToEnd);
+        let closes =
+            framing.close || (old_version && !framing.keep_alive) || matches!(body, BodyLength::ToEnd);
         let units = header(headers, SRV_UNITS).and_then(parse_number);
         let reply = HostReply {
             status,
--- a/crates/http/src/codec/client.rs
+++ b/crates/http/src/codec/client.rs
@@ -69,7 +69,8 @@
         if status >= MIN_FINAL_STATUS {
             let is_http_1_0 = head.version == Some(0);
             let body = self.body_length(status, &framing);
-            let closes = framing.close || (is_http_1_0 && !framing.keep) || matches!(body, BodyLength::ToEnd);
+            let closes =
+                framing.close || (is_http_1_0 && !framing.keep_alive) || matches!(body, BodyLength::ToEnd);
             let response = HostResponse {
                 status,
                 fields: HeaderValue::find_all(head.headers, self.wanted_headers),
--- a/crates/http/src/codec/server.rs
+++ b/crates/http/src/codec/server.rs
@@ -115,7 +115,7 @@
             fields: HeaderValue::find_all(head.headers, self.wanted_headers),
             forwarded: framing.forwarded,
             body: Bytes::new(),
-            close: framing.close || (is_http_1_0 && !framing.keep),
+            close: framing.close || (is_http_1_0 && !framing.keep_alive),
             reserved: None,
         };
         from.advance(length);
--- a/crates/http/src/frame/headers.rs
+++ b/crates/http/src/frame/headers.rs
@@ -11,7 +11,7 @@
     /// Whether there is `Connection: close`.
     pub close: bool,
     /// Whether there is `Connection: keep-alive`.
-    pub keep: bool,
+    pub keep_alive: bool,
     /// The header lines that are forwarded, each with its CRLF.
     pub forwarded: Vec<u8>,
 }
@@ -45,7 +45,7 @@
         length: None,
         chunked: false,
         close: false,
-        keep: false,
+        keep_alive: false,
         forwarded: Vec::with_capacity(FORWARDED_CAPACITY),
     };
     for header in headers {
@@ -74,7 +74,7 @@
     fn read_connection_options(&mut self, value: &[u8]) {
         for option in value.split(|&byte| byte == b',') {
             self.close |= option.trim_ascii().eq_ignore_ascii_case(b"close");
-            self.keep |= option.trim_ascii().eq_ignore_ascii_case(b"keep-alive");
+            self.keep_alive |= option.trim_ascii().eq_ignore_ascii_case(b"keep-alive");
         }
     }
 
