--- a/crates/balancer/src/selection.rs
+++ b/crates/balancer/src/selection.rs
@@ -59,7 +59,7 @@
     /// Address that it listens on.
     pub address: SocketAddrV4,
     /// Expected response time in seconds.
-    pub expected: f64,
+    pub expected_time: f64,
 }
 
 /// Zone and region of this data node.
@@ -86,7 +86,7 @@
 
 /// The expected response time of a request at a host, and its cost there; in seconds.
 struct Estimate {
-    expected: f64,
+    expected_time: f64,
     cost: f64,
 }
 
@@ -122,13 +122,13 @@
             if shedding_regions.contains(&host.region.as_str()) || !self.is_eligible(host, request, now) {
                 continue;
             }
-            let Estimate { expected, cost } = self.estimate(host, request, &pool.stats, now);
-            if expected > request.remaining * USABLE_TIME_FRACTION {
+            let Estimate { expected_time, cost } = self.estimate(host, request, &pool.stats, now);
+            if expected_time > request.remaining * USABLE_TIME_FRACTION {
                 continue;
             }
             let jittered_cost = cost * (1.0 + COST_JITTER * rng.rand_float());
             if best.as_ref().is_none_or(|(lowest_cost, _)| jittered_cost < *lowest_cost) {
-                best = Some((jittered_cost, Candidate { key, host, expected }));
+                best = Some((jittered_cost, Candidate { key, host, expected_time }));
             }
         }
         best.map(|(_, candidate)| candidate.into())
@@ -158,7 +158,7 @@
     }
 
     fn estimate(&self, host: &Host, request: &HostRequest, pool: &PoolStats, now: f64) -> Estimate {
-        let expected = host.expected_time(now, pool);
+        let expected_time = host.expected_time(now, pool);
         let target = latency_target_or_default(request.latency_target);
         let preference = match (host.instance.zone == self.locality.zone, host.region == self.locality.region)
         {
@@ -169,7 +169,7 @@
         let preference = if host.in_subset { preference } else { preference + OUTSIDE_SUBSET_COST * target };
         let suspicion = if host.outlier.is_suspected(now, host.service_time(pool)) { target } else { 0.0 };
         let failures = host.outlier.failure_rate(now) * FAILING_COST * target;
-        Estimate { expected, cost: expected + preference + suspicion + failures }
+        Estimate { expected_time, cost: expected_time + preference + suspicion + failures }
     }
 }
 
@@ -182,7 +182,7 @@
 struct Candidate<'a> {
     key: u64,
     host: &'a Host,
-    expected: f64,
+    expected_time: f64,
 }
 
 impl From<Candidate<'_>> for SelectedHost {
@@ -192,7 +192,7 @@
             key: candidate.key,
             id: instance.id.clone(),
             address: instance.address,
-            expected: candidate.expected,
+            expected_time: candidate.expected_time,
         }
     }
 }
--- a/crates/data-plane/src/dispatch.rs
+++ b/crates/data-plane/src/dispatch.rs
@@ -120,7 +120,7 @@
             data_plane.retry_budget.borrow_mut().deposit(&bound, &service, data_nodes);
         }
         self.attempts.attempt_started();
-        let hedge_delay = self.attempts.hedge_delay(host.expected);
+        let hedge_delay = self.attempts.hedge_delay(host.expected_time);
         self.hedge_at = hedge_delay.map(|delay| data_plane.clock.instant_at(now + delay));
         self.selection.attempt_started(now, host.key);
         let attempt = Attempt { host, service, deadline: self.deadline, outgoing: self.outgoing.clone() };
