--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! A balancer of data node 1 of nine, in zone `a` of region `x`, and requests to its service `s`, in simulated time.
+//! A balancer of data node 1 of nine, in zone `a` of region `x`, and requests to the service `s`, in simulated time.
 
-use archlink_balancer::balancer::{Balancer, HostRequest, ServiceLimits, WarmUpBound};
+use archlink_balancer::balancer::{Balancer, HostRequest, WarmUpBound, WarmUpLimits};
 use archlink_messages::HostInstance;
 use std::collections::HashMap;
 
@@ -17,18 +17,18 @@
     }
 }
 
-/// Zones `a` and `b` are in region `x`, zone `c` in region `y`.
+/// A balancer that knows the zones `a` and `b` in region `x` and zone `c` in region `y`, and no hosts.
 pub fn balancer() -> Balancer {
     let regions =
         [("a", "x"), ("b", "x"), ("c", "y")].map(|(zone, region)| (zone.to_string(), region.to_string()));
     let warm_up = WarmUpBound { overrun: 1.5, slack: 5.0 };
     let mut balancer = Balancer::new(1, "a".into(), "x".into(), HashMap::from(regions), warm_up, 7);
     balancer.set_data_nodes(&[1, 2, 3, 4, 5, 6, 7, 8, 9]);
-    balancer.set_services([("s".into(), ServiceLimits { warm_up_rate: 10.0, warm_up_period: 3.0 })].into());
+    balancer.set_services([("s".into(), WarmUpLimits { warm_up_rate: 10.0, warm_up_period: 3.0 })].into());
     balancer
 }
 
-/// A request to service `s` that was admitted before and may go anywhere.
+/// A request to service `s` that may go to any region and is not subject to load shedding.
 pub fn request() -> HostRequest<'static> {
     HostRequest {
         service: "s",
@@ -36,11 +36,11 @@
         latency_target: 0.3,
         remaining: 2.0,
         tried: &[],
-        queue_ticket: None,
+        shed_candidate: None,
     }
 }
 
-/// The id of the host selected for a request.
+/// The id of the host that is selected for a request.
 pub fn selected_id(balancer: &mut Balancer, now: f64, request: &HostRequest) -> Option<String> {
     balancer.select(now, request).map(|selected| selected.id)
 }
