--- a/crates/consensus/src/acceptor.rs
+++ b/crates/consensus/src/acceptor.rs
@@ -1,13 +1,13 @@
-//! One voter's side of the registers: promises and accepted values ("Paxos Made Simple", section 2.2, phases
-//! 1b and 2b).
+//! The acceptor of the registers: promises and accepted values ("Paxos Made Simple", section 2.2, phases 1b
+//! and 2b).
 //!
 //! Invariants:
 //!
-//! - No reply reports state that is not on disk yet ([`Effect::Store`]).
-//! - An acceptor that lost its disk has forgotten its promises, and takes no part until `state_transfer` has
-//!   recovered them from a majority of the others. The same is true of a node that joins the voter set. A
-//!   node that is no voter and lost its disk recovers too, so that it can become one at once, also after all
-//!   nodes were killed.
+//! - A reply is never sent before the state that it reports is on disk ([`Effect::Store`]).
+//! - An acceptor that lost its disk has forgotten its promises and does not vote until `state_transfer` has
+//!   recovered them from a majority of the other voters. The same holds for a node that joins the voter set.
+//!   A node that is not a voter and lost its disk recovers too, so that it can become a voter at once, even
+//!   after all nodes were killed.
 
 mod state_transfer;
 
@@ -25,14 +25,14 @@
     voter_set: VoterSet,
     registers: BTreeMap<Register, AcceptorState>,
     recovery: RecoveryState,
-    serial: u64,
-    /// Registers whose value this acceptor may only have copied from others, after it had promised a later
-    /// proposal. It passes the value on, but doesn't count among those that accepted it.
+    request_serial: u64,
+    /// Registers whose value may have been copied from other acceptors after this one had promised a later
+    /// proposal. Such a value is passed on, but this acceptor doesn't count among those that accepted it.
     transferred: BTreeSet<Register>,
 }
 
 impl Acceptor {
-    /// `registers` is the state read from disk; `None` where the disk was lost.
+    /// Creates an acceptor from the state read from disk; `None` if the disk was lost.
     pub fn new(now: f64, id: NodeId, registers: Option<BTreeMap<Register, AcceptorState>>) -> Acceptor {
         let recovery = match registers {
             Some(_) => RecoveryState::Recovered,
@@ -43,14 +43,15 @@
             voter_set: VoterSet::default(),
             registers: registers.unwrap_or_default(),
             recovery,
-            serial: 0,
+            request_serial: 0,
             transferred: BTreeSet::new(),
         };
         acceptor.mark_transferred();
         acceptor
     }
 
-    /// A new epoch has begun: a state transfer starts over, as replies of the epoch before don't count.
+    /// Adopts the voter set of a new epoch. A state transfer in progress starts over, since replies from the
+    /// previous epoch don't count.
     pub fn set_voter_set(&mut self, voter_set: &VoterSet) {
         self.voter_set = voter_set.clone();
         let is_joining = voter_set.incoming.contains(&self.id) && !voter_set.voters.contains(&self.id);
@@ -62,23 +63,24 @@
         };
     }
 
-    /// Sets the serial number of this incarnation's state transfer requests, drawn at random. A late reply to
-    /// a request of an earlier incarnation may report state from before that incarnation promised more; its
-    /// serial doesn't match.
+    /// Sets the serial number of this incarnation's state transfer requests, which must be drawn at random. A
+    /// late reply to a request of an earlier incarnation may report state from before that incarnation
+    /// promised more; its serial number doesn't match.
     pub fn set_request_serial(&mut self, serial: u64) {
-        self.serial = serial;
+        self.request_serial = serial;
     }
 
-    /// The link to that node was set up anew: a request or a reply on the link before may be lost.
+    /// Handles a reconnect of the link to `from`: a request or a reply on the previous connection may be
+    /// lost.
     pub fn link_reset(&mut self, from: NodeId) {
         if let Some(transfer) = self.recovery.transfer_mut() {
             transfer.link_reset(from);
         }
     }
 
-    /// Marks values below the promise as transferred. The value may have been copied, or accepted before the
-    /// promise: the disk doesn't tell, so the first is assumed. A value under the very number that was
-    /// promised may be counted either way.
+    /// Marks values below the promise as transferred. The disk doesn't tell whether such a value was copied
+    /// or was accepted before the promise, so the former is assumed. A value under the promised number itself
+    /// may be counted in either case.
     fn mark_transferred(&mut self) {
         let below_promise = |state: &AcceptorState| {
             state.accepted.as_ref().is_some_and(|accepted| accepted.proposal < state.promised)
@@ -91,12 +93,13 @@
             .collect();
     }
 
-    /// Registers for which this acceptor doesn't count until it accepts a value again.
+    /// Returns the registers for which this acceptor doesn't count until it accepts a value again.
     pub fn transferred(&self) -> Vec<Register> {
         self.transferred.iter().copied().collect()
     }
 
-    /// Does it have all that it ever promised and accepted, so that it may be counted in a majority?
+    /// Returns whether this acceptor has everything that it ever promised and accepted, so that it may be
+    /// counted in a majority.
     pub fn is_recovered(&self) -> bool {
         matches!(self.recovery, RecoveryState::Recovered)
     }
@@ -105,26 +108,26 @@
         self.is_recovered() && self.voter_set.contains(self.id)
     }
 
-    /// Sends the state transfer requests that are due. To be called at short intervals.
+    /// Sends the state transfer requests that are due. Call it at short intervals.
     pub fn tick(&mut self, now: f64) -> Vec<Effect> {
-        let request = self.voter_set.message(ConsensusMessage::StateTransferRequest(self.serial));
+        let request = self.voter_set.message(ConsensusMessage::StateTransferRequest(self.request_serial));
         let sources = state_transfer::sources(&self.voter_set);
         let Some(transfer) = self.recovery.transfer_mut() else { return Vec::new() };
         let due = transfer.due_requests(now, self.id, &sources);
         due.into_iter().map(|node| Effect::Send(node, request.clone())).collect()
     }
 
-    /// Handles a message of the current epoch. Messages to proposers and about leases have no effect.
+    /// Handles a message of the current epoch. Messages to proposers and about leases are ignored.
     pub fn step(&mut self, from: NodeId, message: &ConsensusMessage) -> Vec<Effect> {
         match message {
             ConsensusMessage::StateTransferReply(serial, registers, _) => {
-                self.receive_state(from, *serial, registers)
+                self.receive_state_transfer_reply(from, *serial, registers)
             }
             _ if !self.may_vote() => Vec::new(),
             ConsensusMessage::Prepare(register, proposal) => self.receive_prepare(from, *register, *proposal),
             ConsensusMessage::Accept(register, value) => self.receive_accept(from, *register, value),
-            ConsensusMessage::ReadRequest(serial) => self.receive_read(from, *serial),
-            ConsensusMessage::FetchValue(register) => self.receive_fetch(from, *register),
+            ConsensusMessage::ReadRequest(serial) => self.receive_read_request(from, *serial),
+            ConsensusMessage::FetchValue(register) => self.receive_fetch_request(from, *register),
             _ => Vec::new(),
         }
     }
@@ -163,9 +166,9 @@
         self.persist_then_reply(register, from, reply)
     }
 
-    /// Replies with the proposal number accepted for each register, leaving out those for which it doesn't
-    /// count.
-    fn receive_read(&self, from: NodeId, serial: u64) -> Vec<Effect> {
+    /// Replies with the accepted proposal number of each register, except for registers for which this
+    /// acceptor doesn't count.
+    fn receive_read_request(&self, from: NodeId, serial: u64) -> Vec<Effect> {
         let accepted_number = |register: &Register| {
             let accepted = self.registers.get(register).and_then(|state| state.accepted.as_ref());
             accepted.map_or(ProposalNumber::default(), |accepted| accepted.proposal)
@@ -178,15 +181,15 @@
         self.reply_after_sync(from, ConsensusMessage::ReadReply(serial, proposals))
     }
 
-    fn receive_fetch(&self, from: NodeId, register: Register) -> Vec<Effect> {
+    fn receive_fetch_request(&self, from: NodeId, register: Register) -> Vec<Effect> {
         let Some(value) = self.registers.get(&register).and_then(|state| state.accepted.clone()) else {
             return Vec::new();
         };
         self.reply_after_sync(from, ConsensusMessage::FetchedValue(register, value))
     }
 
-    /// Merges the state of a majority, once that many have replied.
-    fn receive_state(
+    /// Records a state transfer reply, and merges the transferred state once a majority has replied.
+    fn receive_state_transfer_reply(
         &mut self,
         from: NodeId,
         serial: u64,
@@ -194,7 +197,7 @@
     ) -> Vec<Effect> {
         let sources = state_transfer::sources(&self.voter_set);
         let Some(transfer) = self.recovery.transfer_mut() else { return Vec::new() };
-        if serial != self.serial || from == self.id || !transfer.has_requested(from) {
+        if serial != self.request_serial || from == self.id || !transfer.has_requested(from) {
             return Vec::new();
         }
         let Some(replies) = transfer.receive(from, registers, &sources) else { return Vec::new() };
@@ -218,20 +221,20 @@
         vec![Effect::Store(record, vec![(to, self.voter_set.message(reply))])]
     }
 
-    /// A reply that changes nothing, sent once all records before it are on disk.
+    /// Sends a reply that changes no state, once all earlier records are on disk.
     fn reply_after_sync(&self, to: NodeId, reply: ConsensusMessage) -> Vec<Effect> {
         vec![Effect::Store(DurableRecord::default(), vec![(to, self.voter_set.message(reply))])]
     }
 
-    /// Takes the voter set of a forced new generation, as the value under the first proposal number of that
-    /// generation, which is higher than all numbers before. The other registers stay as they are, to be
-    /// committed in the new generation.
+    /// Installs the voter set of a forced new generation under the first proposal number of that generation,
+    /// which is higher than all earlier numbers. The other registers keep their state until they converge in
+    /// the new generation.
     pub fn force_new_generation(&mut self, value: AcceptedValue) {
         let state = AcceptorState { promised: value.proposal, accepted: Some(value) };
         self.registers.insert(Register::VoterSet, state);
     }
 
-    /// All that it has promised and accepted.
+    /// Returns all promises and accepted values.
     pub fn registers(&self) -> Vec<(Register, AcceptorState)> {
         self.registers.iter().map(|(register, state)| (*register, state.clone())).collect()
     }
