--- a/crates/consensus/src/proposer.rs
+++ b/crates/consensus/src/proposer.rs
@@ -1,13 +1,12 @@
-//! The proposer's side of the registers, and what this node has learned of their values.
+//! The proposer of the registers, and the chosen values that this node has learned.
 //!
-//! A change is a sequence of attempts, each under a proposal number of its own ("Paxos Made Simple", section
-//! 2.2): a majority promises and reports what it has accepted; the change is applied to the newest of that; a
-//! majority accepts the result. Any control node may propose, and each change starts from the value that was
-//! chosen last.
+//! A change is proposed in a sequence of attempts, each under a proposal number of its own ("Paxos Made
+//! Simple", section 2.2): a majority promises and reports what it has accepted; the change is applied to the
+//! newest reported value; a majority accepts the result. Any control node may propose, and each change starts
+//! from the value that was chosen last.
 //!
-//! The concerns: `queue` (proposals waiting for their turn), `attempt` (the two phases), `reads` and
-//! `quorum_read` (since when a majority has confirmed what is known here), `change` (what a change makes of a
-//! value).
+//! Submodules: `queue` (proposals that wait for their turn), `attempt` (the two phases), `reads` and
+//! `quorum_read` (confirmation by a majority of what is known here), `change` (how a change alters a value).
 //!
 //! Invariant: a value is learned as chosen only when a majority has it on disk under one proposal number.
 
@@ -33,17 +32,18 @@
     id: NodeId,
     voter_set: VoterSet,
     rng: oorandom::Rand64,
-    /// The greatest round seen in any proposal number: the next own one is above it.
+    /// The highest round seen in any proposal number; the next own round is above it.
     round: u64,
-    /// One proposal in progress for each register at most.
+    /// At most one proposal in progress for each register.
     active: BTreeMap<Register, ActiveProposal>,
     pending: BTreeMap<Register, VecDeque<PendingProposal>>,
-    chosen: BTreeMap<Register, AcceptedValue>,
+    /// The newest value of each register that is known to be chosen.
+    committed: BTreeMap<Register, AcceptedValue>,
     quorum_read: QuorumRead,
 }
 
 impl Proposer {
-    /// A proposer that knows no voter set yet. `seed` has to differ between incarnations of a node.
+    /// Creates a proposer that knows no voter set yet. `seed` must differ between incarnations of a node.
     pub fn new(id: NodeId, seed: u64) -> Proposer {
         let mut rng = oorandom::Rand64::new(u128::from(seed));
         Proposer {
@@ -54,11 +54,12 @@
             round: 0,
             active: BTreeMap::new(),
             pending: BTreeMap::new(),
-            chosen: BTreeMap::new(),
+            committed: BTreeMap::new(),
         }
     }
 
-    /// A new epoch has begun: replies of the epoch before don't count, and proposals in progress start over.
+    /// Adopts the voter set of a new epoch. Replies from the previous epoch don't count, and proposals in
+    /// progress start over.
     pub fn set_voter_set(&mut self, now: f64, voter_set: &VoterSet) -> Vec<Effect> {
         self.voter_set = voter_set.clone();
         self.round = self.round.max(voter_set.first_round());
@@ -67,37 +68,37 @@
         in_progress.into_iter().flat_map(|register| self.prepare(now, register)).collect()
     }
 
-    /// The newest value that is known here to be chosen.
+    /// Returns the committed value of a register: the newest one that is known here to be chosen.
     pub fn committed(&self, register: Register) -> Option<&AcceptedValue> {
-        self.chosen.get(&register)
+        self.committed.get(&register)
     }
 
-    /// Since when [`Proposer::committed`] is confirmed to be the newest value: the time at which the read
-    /// request was sent that a majority replied to.
+    /// Returns the time as of which [`Proposer::committed`] is confirmed to be the newest value: when the
+    /// read request was sent that a majority replied to.
     pub fn confirmed(&self, register: Register) -> Option<f64> {
         self.quorum_read.confirmed(register)
     }
 
-    /// Takes a value that is known to be chosen, by this node or from another one.
+    /// Learns a value that is known to be chosen, by this node or from another one.
     pub fn learn(&mut self, register: Register, value: &AcceptedValue) -> Vec<Effect> {
         self.round = self.round.max(value.proposal.round);
-        let known = self.chosen.get(&register);
+        let known = self.committed.get(&register);
         if known.is_some_and(|known| known.proposal >= value.proposal) {
             return Vec::new();
         }
-        // In a forced new generation the revision may go back, and a revision may come again with other
+        // In a forced new generation the revision may go back, and the same revision may recur with other
         // content.
         let is_newer = known
             .is_none_or(|known| known.ordering_key() != value.ordering_key() || known.value != value.value);
         if known.is_some_and(|known| known.generation() != value.generation()) {
             self.quorum_read.invalidate(register);
         }
-        self.chosen.insert(register, value.clone());
+        self.committed.insert(register, value.clone());
         self.quorum_read.confirm(&self.voter_set, register, value.proposal);
         if is_newer { vec![Effect::Learned(register)] } else { Vec::new() }
     }
 
-    /// Handles a reply of a voter in the current epoch. Other messages have no effect.
+    /// Handles a voter's reply in the current epoch. Other messages are ignored.
     pub fn step(&mut self, now: f64, from: NodeId, message: &ConsensusMessage) -> Vec<Effect> {
         if !self.voter_set.contains(from) {
             return Vec::new();
@@ -124,13 +125,13 @@
         }
     }
 
-    /// Retries and ends proposals whose time has come, and sends the read request that is due. To be called
+    /// Retries, ends and starts the proposals that are due, and sends the read request that is due. Call it
     /// at short intervals.
     pub fn tick(&mut self, now: f64) -> Vec<Effect> {
         let mut effects = Vec::new();
-        // A register with both a proposal in progress and pending ones comes up twice.
-        let busy: Vec<Register> = self.active.keys().chain(self.pending.keys()).copied().collect();
-        for register in busy {
+        // A register with both a proposal in progress and pending ones is listed twice.
+        let registers: Vec<Register> = self.active.keys().chain(self.pending.keys()).copied().collect();
+        for register in registers {
             effects.extend(self.tick_register(now, register));
         }
         effects.extend(self.send_read_request(now));
--- a/crates/consensus/src/proposer/attempt.rs
+++ b/crates/consensus/src/proposer/attempt.rs
@@ -6,23 +6,24 @@
 use archlink_messages::{AcceptedValue, ConsensusMessage, NodeId, ProposalNumber, Register};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Seconds after which voters that have not replied are sent the request again, under the same number: the
-/// message may be lost; and where only the disk is slow, the reply to the first request counts.
+/// Seconds after which the request is sent again, under the same number, to voters that have not replied. The
+/// message may be lost; if only the disk is slow, the reply to the first request counts.
 const RESEND_INTERVAL: f64 = 0.35;
 /// The shortest back-off after a rejection, in seconds: about one message delay within a region.
 const MIN_BACKOFF: f64 = 0.01;
-/// What is added to it at most, in seconds, by the first rejection of a caller's proposal.
+/// The largest random addition to [`MIN_BACKOFF`], in seconds, after the first rejection of a caller's
+/// proposal.
 const BACKOFF_JITTER: f64 = 0.12;
-/// The same of the node's own proposals, whatever the number of rejections: callers' proposals without a
-/// pause would otherwise hold up a change of the voter set.
+/// The same for the node's own proposals, whatever the number of rejections: a steady stream of callers'
+/// proposals would otherwise delay a change of the voter set.
 const INTERNAL_BACKOFF_JITTER: f64 = 0.03;
-/// The jitter doubles with each rejection, for the sake of slow disks; so many times at most.
+/// The jitter doubles with each rejection, to allow for slow disks, but at most this many times.
 const MAX_BACKOFF_DOUBLINGS: u32 = 2;
 
-/// How far an attempt has come.
+/// The phase of an attempt.
 #[derive(Clone, Debug)]
 pub(super) enum ProposalPhase {
-    /// A competing proposal came first: the next attempt begins at `until`.
+    /// A competing proposal came first; the next attempt begins at `until`.
     BackingOff { until: f64 },
     /// Phase 1: the promises received, each with the value that its voter has accepted.
     Preparing { promises: BTreeMap<NodeId, Option<AcceptedValue>> },
@@ -34,17 +35,17 @@
 /// The proposal in progress on a register.
 #[derive(Clone, Debug)]
 pub(super) struct ActiveProposal {
-    /// What is proposed, for whom, and until when.
+    /// The change, its token and its deadline.
     pub proposal: PendingProposal,
-    /// The number of this attempt; the default while backing off, which no reply has.
+    /// The number of this attempt; while backing off the default number, which no reply carries.
     pub number: ProposalNumber,
     /// When the phase began, or its request was last sent.
     pub phase_started: f64,
-    /// How far this attempt has come.
+    /// The phase of this attempt.
     pub phase: ProposalPhase,
-    /// Attempts that a competing proposal has cost.
+    /// The number of attempts that were lost to a competing proposal.
     pub rejections: u32,
-    /// The caller is gone: the value sent out may be chosen, but nothing is retried.
+    /// Whether the caller is gone: a value that was sent out may still be chosen, but nothing is retried.
     pub withdrawn: bool,
 }
 
@@ -70,7 +71,7 @@
         self.broadcast(prepare)
     }
 
-    /// Sends the request of the phase in progress again, to those that have not replied. A withdrawn proposal
+    /// Sends the request of the current phase again to the voters that have not replied. A withdrawn proposal
     /// ends instead.
     fn resend(&mut self, now: f64, register: Register) -> Vec<Effect> {
         let Some(active) = self.active.get_mut(&register) else { return Vec::new() };
@@ -93,8 +94,8 @@
         missing.map(|node| Effect::Send(node, request.clone())).collect()
     }
 
-    /// Phase 2a, once a majority has promised: applies the change to the newest value that any of them has
-    /// accepted.
+    /// Counts a promise. Once a majority has promised, phase 2a begins: the change is applied to the newest
+    /// value that any of them has accepted.
     pub(super) fn receive_promise(
         &mut self,
         now: f64,
@@ -110,8 +111,8 @@
         let is_expired = active.is_expired(now);
         let ProposalPhase::Preparing { promises } = &mut active.phase else { return Vec::new() };
         promises.insert(from, accepted.clone());
-        // A process that was suspended may be here long after the deadline, when a promise may be forgotten
-        // with its disk.
+        // A suspended process may get here long after the deadline, when an acceptor may have lost its
+        // promise with its disk.
         if !voter_set.has_quorum(|node| promises.contains_key(&node)) || is_expired {
             return Vec::new();
         }
@@ -125,7 +126,7 @@
         self.broadcast(ConsensusMessage::Accept(register, value))
     }
 
-    /// The value is chosen once a majority has accepted it.
+    /// Counts an acceptance. The value is chosen once a majority has accepted it.
     pub(super) fn receive_accepted(
         &mut self,
         now: f64,
@@ -142,7 +143,7 @@
             return Vec::new();
         };
         accepted_by.insert(from);
-        // After the deadline an accepted value may be forgotten as well.
+        // After the deadline an acceptor may have lost the accepted value as well.
         if !voter_set.has_quorum(|node| accepted_by.contains(&node)) || is_expired {
             return Vec::new();
         }
@@ -152,8 +153,8 @@
         effects
     }
 
-    /// A competing proposal has a higher number: backs off for a random time, so that one of the two gets
-    /// through.
+    /// Backs off for a random time after the rejection by a competing proposal with a higher number, so that
+    /// one of the two gets through.
     pub(super) fn receive_reject(
         &mut self,
         now: f64,
@@ -177,7 +178,7 @@
         active.number = ProposalNumber::default();
     }
 
-    /// Ends, retries or starts what is due on one register.
+    /// Ends, retries or starts the proposal that is due on one register.
     pub(super) fn tick_register(&mut self, now: f64, register: Register) -> Vec<Effect> {
         let Some(active) = self.active.get(&register) else { return self.start_next(now, register) };
         if active.is_expired(now) {
--- a/crates/consensus/src/proposer/change.rs
+++ b/crates/consensus/src/proposer/change.rs
@@ -1,8 +1,8 @@
-//! What a change makes of a register's newest value, and the outcome that its caller gets once the result is
+//! How a change alters a register's newest value, and the outcome that its caller gets once the result is
 //! chosen.
 //!
-//! Invariant: of the versions that a configuration remembers ([`MAX_RECENT_VERSIONS`]), no second text is
-//! chosen or acknowledged under the same one.
+//! Invariant: for each version that a configuration remembers ([`MAX_RECENT_VERSIONS`]), no second text is
+//! chosen or acknowledged.
 
 use crate::Outcome;
 use archlink_messages::{
@@ -11,38 +11,38 @@
 };
 use bytes::Bytes;
 
-/// How many versions a configuration remembers, each with the digest of its text: more than operators send
-/// while one of them may still be repeated, and 1.4 kB beside each configuration. An older version counts as
-/// one that was never seen: it is acknowledged and alters nothing.
+/// The number of versions that a configuration remembers, each with the digest of its text: more than
+/// operators send while one of them may still be repeated, and 1.4 kB beside each configuration. An older
+/// version is treated like one that was never seen: it is acknowledged and alters nothing.
 pub const MAX_RECENT_VERSIONS: usize = 64;
 
 /// A change to be proposed on a register.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// A configuration. Of two versions the higher one is kept.
+    /// A new configuration. Of two versions the higher one is kept.
     Configuration {
         /// The operator's version number.
         version: u64,
-        /// Digest of the text as the operator sent it: it tells a repeated request from a conflicting one.
+        /// Digest of the text as the operator sent it; tells a repeated request from a conflicting one.
         digest: [u8; 16],
         /// The configuration as it is to be stored.
         text: Bytes,
     },
-    /// A zone is evacuated, or taken into service again.
+    /// Evacuates a zone, or takes it into service again.
     Evacuation {
         /// The zone's name.
         zone: String,
-        /// Is it to be evacuated?
+        /// Whether the zone is to be evacuated.
         on: bool,
     },
     /// Brings a register on which voters may differ to one value, its newest, under the current epoch.
     Commit(Register),
-    /// The next epoch of the voter set, provided that the epoch before it is the newest one.
+    /// The voter set of the next epoch, provided that the epoch before it is the newest one.
     VoterSet(VoterSet),
 }
 
 impl Change {
-    /// The register that it changes.
+    /// Returns the register that it changes.
     pub fn register(&self) -> Register {
         match self {
             Change::Configuration { .. } => Register::Configuration,
@@ -52,8 +52,8 @@
         }
     }
 
-    /// The value to be accepted under `proposal`, given the `newest` one, and the outcome once that is
-    /// chosen. `None` where the register has no value and gets none.
+    /// Returns the value to be accepted under `proposal`, given the `newest` one, and the outcome once that
+    /// value is chosen. `None` if the register has no value and gets none.
     pub(super) fn apply(
         &self,
         newest: Option<&AcceptedValue>,
@@ -72,7 +72,7 @@
                 let value = apply_evacuation(newest, zone, *on, proposal).or_else(unchanged)?;
                 Some((value, Outcome::Chosen))
             }
-            // The first voter set is in no register: it is epoch 1 until another one is chosen.
+            // The initial voter set is not stored in the register: it is epoch 1 until another one is chosen.
             Change::VoterSet(next) if newest.map_or(1, |value| value.revision) + 1 == next.epoch => {
                 let (revision, value) = (next.epoch, next.to_bytes());
                 let value = AcceptedValue { proposal, revision, value, recent_versions: Vec::new() };
@@ -83,8 +83,8 @@
     }
 }
 
-/// The new value, or the outcome where the newest value stays: the version was taken before, or is below the
-/// newest one.
+/// Returns the new value, or the outcome if the newest value stays: the version was used before, or is below
+/// the newest one.
 fn apply_configuration(
     newest: Option<&AcceptedValue>,
     digest: VersionDigest,
@@ -92,22 +92,22 @@
     proposal: ProposalNumber,
 ) -> Result<AcceptedValue, Outcome> {
     let recent = newest.map(|value| value.recent_versions.as_slice()).unwrap_or_default();
-    if let Some(taken) = recent.iter().find(|taken| taken.version == digest.version) {
-        return Err(if *taken == digest { Outcome::Chosen } else { Outcome::VersionConflict(*taken) });
+    if let Some(known) = recent.iter().find(|known| known.version == digest.version) {
+        return Err(if *known == digest { Outcome::Chosen } else { Outcome::VersionConflict(*known) });
     }
     if newest.is_some_and(|value| value.revision > digest.version) {
         return Err(Outcome::Chosen);
     }
-    let remembered = &recent[recent.len().saturating_sub(MAX_RECENT_VERSIONS - 1)..];
+    let retained = &recent[recent.len().saturating_sub(MAX_RECENT_VERSIONS - 1)..];
     Ok(AcceptedValue {
         proposal,
         revision: digest.version + 1,
         value: text.clone(),
-        recent_versions: remembered.iter().copied().chain([digest]).collect(),
+        recent_versions: retained.iter().copied().chain([digest]).collect(),
     })
 }
 
-/// The new value; `None` where the zone already is as it is to be.
+/// Returns the new value; `None` if the zone is already in the requested state.
 fn apply_evacuation(
     newest: Option<&AcceptedValue>,
     zone: &str,
