--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -1,19 +1,19 @@
-//! When the voter set changes. The voter set is a register like the others: each next one is proposed by this
-//! module and agreed on through [`Proposer`](crate::proposer::Proposer).
+//! Membership: when and how the voter set changes. The voter set is a register like the others: this module
+//! proposes each next one, which is agreed on through [`Proposer`](crate::proposer::Proposer).
 //!
-//! From one set to another it goes through a joint epoch, in which a majority of each set is needed (Ongaro,
-//! section 4.3). A joint epoch ends only after three things (`joint`):
+//! A change from one set to another goes through a joint epoch, in which a majority of each set is needed
+//! (Ongaro, section 4.3). A joint epoch ends only once three conditions hold (`joint`):
 //!
-//! - every register was committed in it,
-//! - each joining node has reported that its disk has all of them,
+//! - every register has converged in it: a value was chosen under its voter set,
+//! - each joining node has reported that its disk has all of these values,
 //! - no lease that was granted before it can still be valid.
 //!
-//! Then nodes that missed the change can't form a majority with anybody. Parts: `begin` (when a change
-//! starts, and who starts it), `joint` (when it ends), `plan` (which set is wanted), `requests` (operators'
-//! requests).
+//! After that, nodes that missed the change can't form a majority with any other node. Submodules: `begin`
+//! (when a change begins, and which node begins it), `joint` (when it ends), `plan` (which set is wanted),
+//! `requests` (operators' requests).
 //!
-//! Invariants: a joint epoch is never ended on what was seen in another epoch, and no change begins while one
-//! is in progress.
+//! Invariants: a joint epoch is never ended on observations from another epoch, and no change begins while
+//! one is in progress.
 
 mod begin;
 mod joint;
@@ -29,15 +29,15 @@
 use requests::{GenerationRequest, NamedNodes, ReplaceRequest};
 use std::collections::BTreeMap;
 
-/// Proposals of the membership itself are resolved under tokens from here on; callers' tokens are below.
+/// The lowest token of the membership's own proposals; callers' tokens are below it.
 pub const FIRST_INTERNAL_TOKEN: u64 = 1 << 63;
 
-/// What this node is trying to have chosen.
+/// A proposal of the membership itself.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum InternalProposal {
-    /// The value of a register as it is, in this epoch.
-    Commit(Register),
-    /// The next epoch.
+    /// Brings a register to one value in this epoch, without a change of its content.
+    Converge(Register),
+    /// The voter set of the next epoch.
     NextVoterSet,
 }
 
@@ -46,31 +46,31 @@
 pub enum ChangeResult {
     /// The incoming voters are the voters now.
     Committed,
-    /// The voters are the same as before: a joining node did not take all registers in time.
+    /// The voters are the same as before: a joining node did not accept all registers in time.
     RolledBack,
 }
 
-/// What [`Membership::tick`] decides by besides its own state.
+/// The input of [`Membership::tick`] besides its own state.
 pub struct MembershipContext<'a> {
-    /// All control nodes that are known, with their zones.
+    /// All known control nodes, with their zones.
     pub control_nodes: &'a [ControlNode],
-    /// Since when the voter set is confirmed by a majority
+    /// The time as of which a majority has confirmed the voter set
     /// ([`Proposer::confirmed`](crate::proposer::Proposer::confirmed)).
     pub confirmed: Option<f64>,
     /// The same for all registers: the earliest of these times.
     pub all_confirmed: Option<f64>,
-    /// Registers that were chosen under an earlier generation.
+    /// Registers whose committed value was chosen in an earlier generation.
     pub stale: Vec<Register>,
-    /// Has this node's acceptor recovered?
+    /// Whether this node's acceptor has recovered.
     pub recovered: bool,
-    /// Is it known that a lease was ever granted?
+    /// Whether a lease is known to have ever been granted.
     pub leases_known: bool,
 }
 
 /// The membership of one control node.
 pub struct Membership {
     id: NodeId,
-    /// How many voters there should be.
+    /// The desired number of voters.
     target_size: usize,
     voter_set: VoterSet,
     started_at: f64,
@@ -83,18 +83,18 @@
     proposals: BTreeMap<u64, InternalProposal>,
     last_token: u64,
     joint: JointProgress,
-    /// Since when there is a change to begin.
+    /// Since when a change has been due.
     due_since: Option<f64>,
     replace_request: Option<ReplaceRequest>,
     generation_request: Option<GenerationRequest>,
-    named: NamedNodes,
+    named_nodes: NamedNodes,
     last_change: Option<(f64, ChangeResult)>,
-    /// Nodes that did not take all registers in time, and when: others are preferred for a while.
+    /// Nodes that did not accept all registers in time, and when: others are preferred for a while.
     failed_joins: BTreeMap<NodeId, f64>,
 }
 
 impl Membership {
-    /// A membership that knows no voter set yet. `target_size` is the number of voters that there should be.
+    /// Creates a membership that knows no voter set yet. `target_size` is the desired number of voters.
     pub fn new(now: f64, id: NodeId, target_size: usize, timing: RepairTiming) -> Membership {
         Membership {
             id,
@@ -110,30 +110,31 @@
             due_since: None,
             replace_request: None,
             generation_request: None,
-            named: NamedNodes::none(now),
+            named_nodes: NamedNodes::none(now),
             last_change: None,
             failed_joins: BTreeMap::new(),
         }
     }
 
-    /// May proposals be made and leases be held? At a first start with fewer seed nodes than voters are
-    /// wanted, only once the set has been changed: nothing is ever chosen by those few. It follows from the
-    /// epoch alone, so that all nodes agree on it, also after a restart.
+    /// Returns whether proposals may be made and leases be held. At a first start with fewer seed nodes than
+    /// the desired number of voters, this is so only once the set has changed: nothing is ever chosen by
+    /// those few. The result follows from the epoch alone, so that all nodes agree on it, also after a
+    /// restart.
     pub fn is_established(&self) -> bool {
         self.voter_set.epoch > 2 || self.target_size <= self.voter_set.voters.len()
     }
 
-    /// This node adopts another epoch: what was seen in the one before doesn't count.
+    /// Adopts another epoch. Observations from the previous one don't count.
     pub fn epoch_adopted(&mut self, now: f64, voter_set: &VoterSet) -> Vec<Effect> {
-        let before = std::mem::replace(&mut self.voter_set, voter_set.clone());
+        let previous = std::mem::replace(&mut self.voter_set, voter_set.clone());
         self.epoch_started = now;
         self.proposals.clear();
         self.joint = JointProgress::new(now);
         self.due_since = None;
-        if before.is_joint() && !voter_set.is_joint() {
-            self.record_change_result(now, &before);
+        if previous.is_joint() && !voter_set.is_joint() {
+            self.record_change_result(now, &previous);
         }
-        self.named.remove_voters(voter_set);
+        self.named_nodes.remove_voters(voter_set);
         self.resolve_replace_request()
     }
 
@@ -148,24 +149,24 @@
         self.last_change = Some((now, result));
     }
 
-    /// When the last change ended, and how.
+    /// Returns when the last change ended, and how.
     pub fn last_change(&self) -> Option<&(f64, ChangeResult)> {
         self.last_change.as_ref()
     }
 
-    /// Voters that this node suspects to have failed.
+    /// Returns the voters that this node suspects to have failed.
     pub fn suspected(&self, now: f64) -> Vec<NodeId> {
         self.failure_detector.suspected(now, &self.voter_set)
     }
 
-    /// This node is shutting down: it is to be replaced as a voter, and becomes none.
+    /// Records that this node is shutting down: it is to be replaced as a voter, and doesn't become one.
     pub fn leave(&mut self) {
         self.failure_detector.leave();
     }
 
-    /// May this node shut down without harm to the voter set? As a voter, if no node could replace it and all
-    /// other voters are healthy. Otherwise once all voters that are reachable know the set: a node that alone
-    /// could report the new set must not end with that knowledge.
+    /// Returns whether this node may shut down without harm to the voter set. A voter may if no node could
+    /// replace it and all other voters are healthy. Any other node may once all reachable voters know the
+    /// set: a node that alone could report the new set must not take that knowledge with it.
     pub fn may_shut_down(&self, now: f64) -> bool {
         let detector = &self.failure_detector;
         if self.voter_set.contains(self.id) {
@@ -178,9 +179,9 @@
         reachable.all(|node| detector.has_reached_epoch(*node, self.voter_set.epoch))
     }
 
-    /// Advances the change in progress or begins one. Returns the requests that ended, and what is to be
-    /// proposed through [`Proposer::propose_internal`](crate::proposer::Proposer::propose_internal), each
-    /// with its token. To be called at short intervals.
+    /// Advances the change in progress or begins one. Returns the requests that ended, and the changes to
+    /// propose through [`Proposer::propose_internal`](crate::proposer::Proposer::propose_internal), each with
+    /// its token. Call it at short intervals.
     pub fn tick(&mut self, now: f64, context: &MembershipContext) -> (Vec<Effect>, Vec<(u64, Change)>) {
         self.failure_detector.check(now, &self.voter_set, context.recovered);
         self.expire_failed_joins(now);
@@ -197,18 +198,18 @@
         (effects, changes)
     }
 
-    /// A proposal under a new token; `None` while the same one is in progress.
-    fn propose(&mut self, what: InternalProposal, change: Change) -> Option<(u64, Change)> {
-        if self.proposals.values().any(|in_progress| *in_progress == what) {
+    /// Returns a proposal under a new token; `None` while the same one is in progress.
+    fn propose(&mut self, proposal: InternalProposal, change: Change) -> Option<(u64, Change)> {
+        if self.proposals.values().any(|in_progress| *in_progress == proposal) {
             return None;
         }
         self.last_token += 1;
-        self.proposals.insert(self.last_token, what);
+        self.proposals.insert(self.last_token, proposal);
         Some((self.last_token, change))
     }
 
-    fn propose_commit(&mut self, register: Register) -> Option<(u64, Change)> {
-        self.propose(InternalProposal::Commit(register), Change::Commit(register))
+    fn propose_convergence(&mut self, register: Register) -> Option<(u64, Change)> {
+        self.propose(InternalProposal::Converge(register), Change::Commit(register))
     }
 
     fn propose_voter_set(&mut self, voter_set: VoterSet) -> Vec<(u64, Change)> {
--- a/crates/consensus/src/membership/begin.rs
+++ b/crates/consensus/src/membership/begin.rs
@@ -1,11 +1,11 @@
-//! The begin of a change: when there is one to be made, and which node proposes it.
+//! The begin of a change: when a change is due, and which node proposes it.
 
 use super::{Membership, MembershipContext};
 use crate::failure_detector::FailureDetector;
 use crate::proposer::Change;
 use archlink_messages::{NodeId, VoterSet};
 
-/// Seconds between the seed nodes' turns to begin the first change: two at once reject each other's
+/// Seconds between the seed nodes' turns to begin the first change. Two at once would reject each other's
 /// proposals.
 const INITIAL_STAGGER: f64 = 0.3;
 /// Seconds for which the seed nodes wait for other nodes at the first start: a process is up within a second,
@@ -13,16 +13,16 @@
 const INITIAL_WAIT: f64 = 2.5;
 
 impl Membership {
-    /// The first change: from the seed nodes to as many voters as are wanted, or to the seed nodes alone
-    /// where no others come.
+    /// Begins the first change: from the seed nodes to the desired number of voters, or to the seed nodes
+    /// alone if no others appear.
     pub(super) fn begin_initial_change(
         &mut self,
         now: f64,
         context: &MembershipContext,
     ) -> Vec<(u64, Change)> {
         let spares = self.failure_detector.spare_nodes(now, &self.voter_set);
-        let grown = self.grown(&spares, context.control_nodes);
-        let next = grown.unwrap_or(self.voter_set.voters.clone());
+        let enlarged = self.enlarged(&spares, context.control_nodes);
+        let next = enlarged.unwrap_or(self.voter_set.voters.clone());
         if next.len() < self.target_size && now < self.started_at + INITIAL_WAIT {
             return Vec::new();
         }
@@ -47,7 +47,8 @@
         self.propose_voter_set(self.voter_set.enter_joint(next))
     }
 
-    /// Begins the change that an operator requested or that `plan` finds necessary.
+    /// Begins the change that an operator requested or that `plan` finds necessary. Registers from an earlier
+    /// generation converge first.
     pub(super) fn maintain(&mut self, now: f64, context: &MembershipContext) -> Vec<(u64, Change)> {
         if let Some(next) = self.requested_voter_set() {
             return self.propose_voter_set(next);
@@ -58,15 +59,16 @@
             return Vec::new();
         }
         if !context.stale.is_empty() {
-            return context.stale.iter().filter_map(|&register| self.propose_commit(register)).collect();
+            return context.stale.iter().filter_map(|&register| self.propose_convergence(register)).collect();
         }
         let failed = self.failure_detector.failed_voters(now, &self.voter_set);
         let Some(next) = self.plan(now, &failed, context.control_nodes) else {
             self.due_since = None;
             return Vec::new();
         };
-        let is_able = |node: &NodeId| !failed.contains(node) && self.failure_detector.is_healthy(now, *node);
-        let proposers: Vec<NodeId> = self.voter_set.voters.iter().copied().filter(is_able).collect();
+        let can_propose =
+            |node: &NodeId| !failed.contains(node) && self.failure_detector.is_healthy(now, *node);
+        let proposers: Vec<NodeId> = self.voter_set.voters.iter().copied().filter(can_propose).collect();
         self.begin_in_turn(now, self.timing.begin_stagger, &proposers, next)
     }
 
--- a/crates/consensus/src/membership/requests.rs
+++ b/crates/consensus/src/membership/requests.rs
@@ -1,27 +1,27 @@
-//! Operators' requests: to replace a voter, and to start a new generation of the voter set.
+//! Operators' requests to replace a voter and to force a new generation of the voter set.
 
 use super::{Membership, MembershipContext};
 use crate::failure_detector::MAX_PEERS;
 use crate::{Effect, MembershipError, Outcome};
 use archlink_messages::{NodeId, VoterSet};
 
-/// Seconds after which a request ends as unknown: its caller waits hardly longer. The change goes on.
+/// Seconds after which a request ends as unknown; its caller hardly waits longer. The change goes on.
 const REQUEST_TIMEOUT: f64 = 2.5;
-/// Seconds for which the nodes named at a forced new generation are waited for; then those that are reachable
+/// Seconds to wait for the nodes named in a forced new generation; after that, those that are reachable
 /// become voters.
 const NAMED_NODES_WAIT: f64 = 5.0;
 
-/// A request to replace a voter, in progress.
+/// A request in progress to replace a voter.
 #[derive(Clone, Debug)]
 pub(super) struct ReplaceRequest {
     token: u64,
     deadline: f64,
-    /// The voters that are to be, in the order of their numbers.
+    /// The wanted voters, in ascending order.
     pub voters: Vec<NodeId>,
 }
 
 impl ReplaceRequest {
-    /// How the request has ended, given the current epoch; `None` while its change is in progress.
+    /// Returns how the request has ended, given the current epoch; `None` while its change is in progress.
     fn outcome(&self, voter_set: &VoterSet) -> Option<Outcome> {
         if self.voters == voter_set.voters && !voter_set.is_joint() {
             Some(Outcome::Chosen)
@@ -37,14 +37,14 @@
     }
 }
 
-/// A request for a new generation, which ends once all registers are committed in it.
+/// A request to force a new generation, which ends once all registers have converged in it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct GenerationRequest {
     token: u64,
     deadline: f64,
 }
 
-/// Nodes that an operator named as voters of a new generation, and that are none yet.
+/// Nodes that an operator named as voters of a new generation and that are not voters yet.
 pub(super) struct NamedNodes {
     /// At most [`MAX_PEERS`].
     pub nodes: Vec<NodeId>,
@@ -52,25 +52,25 @@
 }
 
 impl NamedNodes {
-    /// No nodes are named.
+    /// Creates an empty list.
     pub fn none(now: f64) -> NamedNodes {
         NamedNodes { nodes: Vec::new(), since: now }
     }
 
-    /// Removes those that are voters now.
+    /// Removes the nodes that are voters now.
     pub fn remove_voters(&mut self, voter_set: &VoterSet) {
         self.nodes.retain(|node| !voter_set.contains(*node));
     }
 
-    /// Are nodes that can't be reached waited for no longer?
+    /// Returns whether to stop waiting for nodes that can't be reached.
     pub fn wait_is_over(&self, now: f64) -> bool {
         now > self.since + NAMED_NODES_WAIT
     }
 }
 
 impl Membership {
-    /// An operator asks for `new` to be a voter in place of `old`. Returns the outcome if it ends at once;
-    /// otherwise it ends as [`Effect::ProposalResolved`] with this `token`.
+    /// Handles an operator's request for `new` to be a voter in place of `old`. Returns the outcome if the
+    /// request ends at once; otherwise it ends with [`Effect::ProposalResolved`] for this `token`.
     pub fn replace(&mut self, now: f64, token: u64, old: NodeId, new: NodeId) -> Option<Outcome> {
         let mut next: Vec<NodeId> =
             self.voter_set.voters.iter().filter(|node| **node != old).copied().collect();
@@ -119,14 +119,14 @@
         Ok(ReplaceCheck::Start)
     }
 
-    /// This node has started a new generation with itself as the only voter; `named` are the voters that an
-    /// operator wants in it. The request ends once all registers are committed in the new generation, which
-    /// is after this node's disk has it.
+    /// Records that this node has started a new generation with itself as the only voter; `named` are the
+    /// voters that an operator wants in it. The request ends once all registers have converged in the new
+    /// generation, which is after this node's disk has it.
     pub fn generation_forced(&mut self, now: f64, token: u64, named: Vec<NodeId>) {
         self.generation_request = Some(GenerationRequest { token, deadline: now + REQUEST_TIMEOUT });
-        self.named = NamedNodes { nodes: named, since: now };
-        self.named.remove_voters(&self.voter_set);
-        self.named.nodes.truncate(MAX_PEERS);
+        self.named_nodes = NamedNodes { nodes: named, since: now };
+        self.named_nodes.remove_voters(&self.voter_set);
+        self.named_nodes.nodes.truncate(MAX_PEERS);
     }
 
     /// Ends the replace request if the current epoch decides it.
@@ -138,7 +138,7 @@
         vec![effect]
     }
 
-    /// Ends requests that are past their deadlines, and the one for a new generation once that is complete.
+    /// Ends requests that are past their deadlines, and the one for a new generation once it is complete.
     pub(super) fn end_requests(&mut self, now: f64, context: &MembershipContext) -> Vec<Effect> {
         let mut effects = Vec::new();
         if let Some(request) = self.replace_request.take_if(|request| now > request.deadline) {
@@ -157,7 +157,7 @@
     }
 }
 
-/// What to do about a replace request that is not rejected.
+/// The next step for a replace request that is not rejected.
 enum ReplaceCheck {
     Start,
     AlreadyDone,
