--- a/crates/consensus/src/leases.rs
+++ b/crates/consensus/src/leases.rs
@@ -1,13 +1,13 @@
 //! Leases for singleton roles: which control node has a role, and until when (Gray and Cheriton, section 2;
 //! here a majority of the voters takes the place of the server).
 //!
-//! A node requests a lease for a new term from all voters, and has the lease once a majority has granted it.
-//! It renews the lease in time, names a successor when it leaves, and stops by its own clock before the
-//! voters' grants expire. A voter records a new term on disk before it grants it; renewals are not recorded:
-//! a voter that restarts assumes that its last grant was made just now, and so knows which node may still
-//! rely on it. Terms only grow, and serve as fencing tokens.
+//! A node requests a lease for a new term from all voters, and holds it once a majority has granted it. It
+//! renews the lease in time, names a successor when it shuts down, and stops relying on the lease, by its own
+//! clock, before the voters' grants expire. A voter persists a new term before it grants it. Renewals are not
+//! persisted: a voter that restarts assumes that its last grant was made just now, and so knows which node
+//! may still rely on it. Terms only grow, and serve as fencing tokens.
 //!
-//! Parts: `granting` (the voter's side), `requesting` (the holder's side).
+//! Submodules: `granting` (the voter's side), `requesting` (the holder's side).
 //!
 //! Invariant: no role has two holders at one time.
 
@@ -20,12 +20,12 @@
 use requesting::{LeaseRequest, RequestKind};
 use std::collections::BTreeMap;
 
-/// Seconds for which a grant is valid. Four renewals fit in, so that lost messages cost no lease. A failed
-/// holder's role is without a holder for about as long, and requests that need its counter are decided by
-/// local shares meanwhile.
+/// Seconds for which a grant is valid. Four renewals fit in, so that lost messages don't cost the lease. The
+/// role of a failed holder is vacant for about as long; requests that need its counter are decided by local
+/// shares meanwhile.
 pub const LEASE_DURATION: f64 = 0.8;
 
-/// No node has this number: a grant that is given back names no successor.
+/// Not the id of any node: in a release, it means that there is no successor because the term was not won.
 const NO_SUCCESSOR: NodeId = 0;
 
 /// A lease held by this node.
@@ -39,14 +39,14 @@
     pub valid_until: f64,
 }
 
-/// What this node last heard of a role's holder.
+/// The holder of a role as last reported to this node.
 #[derive(Clone, Copy)]
 struct KnownHolder {
     grant: LeaseGrant,
     reported_at: f64,
 }
 
-/// The leases of one control node, as a voter that grants them and as a node that holds them.
+/// The leases of one control node, both as a voter that grants them and as a node that holds them.
 pub struct Leases {
     id: NodeId,
     voter_set: VoterSet,
@@ -56,21 +56,21 @@
     requests: BTreeMap<SingletonRole, LeaseRequest>,
     leases: BTreeMap<SingletonRole, Lease>,
     known_holders: BTreeMap<SingletonRole, KnownHolder>,
-    /// The greatest term that any voter is known to have granted, or that this node gave back.
+    /// The highest term that any voter is known to have granted, or that this node gave back.
     highest_terms: BTreeMap<SingletonRole, u64>,
-    /// Terms up to this one were released by their holder: messages that name them as current are late.
+    /// Terms up to this one were released by their holders: messages that name them as current are late.
     released_terms: BTreeMap<SingletonRole, u64>,
-    /// Before this time no lease is requested for the role.
+    /// The time before which no lease is requested for a role.
     retry_at: BTreeMap<SingletonRole, f64>,
-    serial: u64,
+    request_serial: u64,
     leaving: bool,
 }
 
 impl Leases {
-    /// `grants` are the last grants of this node's earlier incarnation, from its disk. `seed` has to differ
-    /// between incarnations.
+    /// Creates the leases of a new incarnation. `grants` are the last grants of this node's earlier
+    /// incarnation, from its disk. `seed` must differ between incarnations.
     pub fn new(now: f64, id: NodeId, seed: u64, grants: &[LeaseGrant]) -> Leases {
-        // Drawn, so that a grant for an earlier incarnation's request matches no request of this one.
+        // Random, so that a grant for an earlier incarnation's request matches no request of this one.
         let serial = oorandom::Rand64::new(u128::from(seed.rotate_left(1))).rand_u64();
         let mut leases = Leases {
             id,
@@ -83,26 +83,27 @@
             highest_terms: BTreeMap::new(),
             released_terms: BTreeMap::new(),
             retry_at: BTreeMap::new(),
-            serial,
+            request_serial: serial,
             leaving: false,
         };
         grants.iter().for_each(|&grant| leases.restore_grant(now, grant));
         leases
     }
 
-    /// A new epoch has begun: requests of the one before don't count. Leases stay valid until they expire.
+    /// Adopts the voter set of a new epoch. Requests of the previous epoch don't count; leases stay valid
+    /// until they expire.
     pub fn set_voter_set(&mut self, voter_set: &VoterSet) {
         self.voter_set = voter_set.clone();
         self.requests.clear();
     }
 
-    /// The lease that this node holds for a role, if it is valid now.
+    /// Returns the lease that this node holds for a role, if it is valid now.
     pub fn held_lease(&self, now: f64, role: SingletonRole) -> Option<Lease> {
         self.leases.get(&role).copied().filter(|lease| now < lease.valid_until)
     }
 
-    /// The holder of each role as far as known here. Leases held by this node go before what other nodes
-    /// report.
+    /// Returns the holder of each role as far as it is known. Leases held by this node take precedence over
+    /// reports from other nodes.
     pub fn holders(&self, now: f64) -> Vec<LeaseGrant> {
         let own_grant = |role| {
             self.held_lease(now, role).map(|lease| LeaseGrant { role, holder: self.id, term: lease.term })
@@ -113,8 +114,8 @@
             .collect()
     }
 
-    /// Takes a report of a role's holder, which a majority has granted. From the holder itself it also shows
-    /// that it is alive.
+    /// Records a report of a role's holder, to which a majority has granted the lease. A report from the
+    /// holder itself also shows that it is alive.
     pub fn learn_holder(&mut self, now: f64, from: NodeId, grant: LeaseGrant) {
         if self.is_released(&grant) {
             return;
@@ -131,8 +132,8 @@
         self.released_terms.get(&grant.role).is_some_and(|released| grant.term <= *released)
     }
 
-    /// Renews leases, gives up requests that have timed out, and requests leases for roles without a holder.
-    /// To be called at short intervals.
+    /// Renews leases, abandons requests that have timed out, and requests leases for vacant roles. Call it at
+    /// short intervals.
     pub fn tick(&mut self, now: f64) -> Vec<Effect> {
         if self.leaving || !self.voter_set.is_known() {
             return Vec::new();
@@ -140,7 +141,7 @@
         SINGLETON_ROLES.into_iter().flat_map(|role| self.tick_role(now, role)).collect()
     }
 
-    /// Handles a message about leases in the current epoch. Other messages have no effect.
+    /// Handles a message about leases in the current epoch. Other messages are ignored.
     pub fn step(&mut self, now: f64, from: NodeId, message: &ConsensusMessage) -> Vec<Effect> {
         match message {
             ConsensusMessage::LeaseRequest(grant, serial) => {
@@ -165,7 +166,7 @@
         }
     }
 
-    /// A holder has released its lease, or a node gives back grants of a term that it did not win
+    /// Handles the release of a lease by its holder, or of grants of a term that was not won
     /// ([`NO_SUCCESSOR`]).
     fn receive_release(
         &mut self,
@@ -189,6 +190,6 @@
         if successor == NO_SUCCESSOR {
             return Vec::new();
         }
-        self.make_way_for(now, &grant, successor)
+        self.hand_over(now, &grant, successor)
     }
 }
--- a/crates/consensus/src/leases/granting.rs
+++ b/crates/consensus/src/leases/granting.rs
@@ -7,25 +7,27 @@
 /// The last grant for a role.
 #[derive(Clone, Copy)]
 pub(super) struct GrantedLease {
-    /// To whom it was granted.
+    /// The node to which it was granted.
     pub holder: NodeId,
-    /// In which term.
+    /// The term in which it was granted.
     pub term: u64,
-    /// No other node is granted a lease before, by the local clock.
-    pub until: f64,
-    /// Is the term on disk, so that a renewal doesn't have to wait for it?
+    /// The time, by the local clock, before which no other node is granted a lease.
+    pub expires_at: f64,
+    /// Whether the term is on disk, so that a renewal doesn't have to wait for it.
     persisted: bool,
 }
 
 impl Leases {
-    /// Takes a grant of an earlier incarnation, or one that other voters report: it may still be valid for
+    /// Restores a grant of an earlier incarnation, or one that other voters report: it may still be valid for
     /// its full duration.
     pub fn restore_grant(&mut self, now: f64, grant: LeaseGrant) {
         let LeaseGrant { role, holder, term } = grant;
         if self.granted.get(&role).is_none_or(|last| last.term < term) {
-            self.granted
-                .insert(role, GrantedLease { holder, term, until: now + LEASE_DURATION, persisted: true });
-            // A lease of this node has ended with the earlier incarnation: no other node can have it sooner
+            self.granted.insert(
+                role,
+                GrantedLease { holder, term, expires_at: now + LEASE_DURATION, persisted: true },
+            );
+            // A lease of this node ended with its earlier incarnation: no other node can obtain one sooner
             // than this one.
             if holder == self.id {
                 self.retry_at.insert(role, now);
@@ -33,7 +35,7 @@
         }
     }
 
-    /// The last grant for each role.
+    /// Returns the last grant for each role.
     pub fn grants(&self) -> Vec<LeaseGrant> {
         let to_grant = |(&role, last): (&SingletonRole, &GrantedLease)| LeaseGrant {
             role,
@@ -43,9 +45,9 @@
         self.granted.iter().map(to_grant).collect()
     }
 
-    /// Grants, renews or denies. Another node's grant is waited out, and a new term is above all terms before
-    /// it. A node that requests a new term while it holds a grant has given up its lease, or lost it with an
-    /// earlier incarnation.
+    /// Grants, renews or denies a lease. Another node's grant has to expire first, and a new term has to be
+    /// above all earlier ones. A node that requests a new term while it holds a grant has released its lease,
+    /// or lost it with an earlier incarnation.
     pub(super) fn receive_request(
         &mut self,
         now: f64,
@@ -62,30 +64,30 @@
         if kind == RequestKind::Renewal && last.holder == from && last.term == term {
             return self.renew(now, grant, serial);
         }
-        if term > last.term && (last.holder == from || now >= last.until) {
+        if term > last.term && (last.holder == from || now >= last.expires_at) {
             return self.grant(now, grant, serial);
         }
         let last = LeaseGrant { role, holder: last.holder, term: last.term };
         vec![Effect::Send(from, self.voter_set.message(ConsensusMessage::LeaseDenied(last)))]
     }
 
-    /// Grants a new term, once it is on disk.
+    /// Grants a new term. The reply is sent once the term is on disk.
     fn grant(&mut self, now: f64, grant: LeaseGrant, serial: u64) -> Vec<Effect> {
         let LeaseGrant { role, holder, term } = grant;
         self.granted
-            .insert(role, GrantedLease { holder, term, until: now + LEASE_DURATION, persisted: false });
+            .insert(role, GrantedLease { holder, term, expires_at: now + LEASE_DURATION, persisted: false });
         let granted = self.voter_set.message(ConsensusMessage::LeaseGranted(grant, serial));
         let persisted = self.voter_set.message(ConsensusMessage::GrantPersisted(grant));
         let record = DurableRecord { grants: vec![grant], ..DurableRecord::default() };
         vec![Effect::Store(record, vec![(holder, granted), (self.id, persisted)])]
     }
 
-    /// Renews a grant. A renewal that counted before the term is on disk could be forgotten with it, and
-    /// another node be granted the next term.
+    /// Renews a grant. The reply waits until the term is on disk: otherwise the term could be forgotten after
+    /// the renewal was counted, and another node be granted the next term.
     fn renew(&mut self, now: f64, grant: LeaseGrant, serial: u64) -> Vec<Effect> {
         let granted = self.voter_set.message(ConsensusMessage::LeaseGranted(grant, serial));
         let Some(last) = self.granted.get_mut(&grant.role) else { return Vec::new() };
-        last.until = now + LEASE_DURATION;
+        last.expires_at = now + LEASE_DURATION;
         if last.persisted {
             vec![Effect::Send(grant.holder, granted)]
         } else {
@@ -93,7 +95,7 @@
         }
     }
 
-    /// This node's disk has the term that it granted; sent to itself alone.
+    /// Records that this node's disk has the term that it granted. A node sends this message only to itself.
     pub(super) fn receive_persisted(&mut self, from: NodeId, grant: LeaseGrant) {
         if from != self.id {
             return;
@@ -103,11 +105,11 @@
         }
     }
 
-    /// The holder needs this grant no longer.
+    /// Ends a grant that its holder no longer needs.
     pub(super) fn end_grant(&mut self, now: f64, grant: &LeaseGrant) {
         let is_same = |last: &&mut GrantedLease| (last.holder, last.term) == (grant.holder, grant.term);
         if let Some(last) = self.granted.get_mut(&grant.role).filter(is_same) {
-            last.until = now;
+            last.expires_at = now;
         }
     }
 }
--- a/crates/consensus/src/leases/requesting.rs
+++ b/crates/consensus/src/leases/requesting.rs
@@ -7,23 +7,23 @@
 
 /// Seconds between two renewals.
 const RENEWAL_INTERVAL: f64 = 0.2;
-/// The part of the lease duration for which the holder relies on it: its clock's rate and the voters' differ
-/// by far less than the rest.
+/// The fraction of the lease duration for which the holder relies on it: the rates of its clock and the
+/// voters' differ by far less than the remainder.
 const HOLDER_SAFETY_FACTOR: f64 = 0.95;
-/// Seconds after which a request without a majority has lost: two message delays between the most distant
+/// Seconds after which a request without a majority has failed: two message delays between the most distant
 /// regions and a slow sync fit in.
 const REQUEST_TIMEOUT: f64 = 0.12;
-/// The longest wait, in seconds, before a node's next request for a role without a holder. It is drawn, so
-/// that one of several nodes wins.
+/// The longest wait, in seconds, before a node's next request for a vacant role. The wait is random, so that
+/// one of several nodes wins.
 const REQUEST_JITTER: f64 = 0.25;
-/// Seconds between the voters' turns to request a role that has just become free; another voter is first in
-/// each term. Two at once split the grants and both lose, which costs more than a turn of a voter that has
-/// failed as well.
+/// Seconds between the voters' turns to request a role that has just become vacant; another voter is first in
+/// each term. Two requests at once split the grants and both fail, which costs more than the turn of a voter
+/// that has failed as well.
 const TURN_INTERVAL: f64 = 0.07;
-/// The part of a turn before the first one: all grants for the failed holder expire in it.
+/// The fraction of a turn before the first one, in which all grants for the failed holder expire.
 const FIRST_TURN_DELAY: f64 = 0.4;
 
-/// What a request is for.
+/// The kind of a lease request.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum RequestKind {
     /// A term that was not granted to this node before.
@@ -35,17 +35,18 @@
 /// The last request for a role.
 pub(super) struct LeaseRequest {
     term: u64,
-    /// A grant counts for the very request that it answers: a late one for an earlier request expires sooner.
+    /// A grant counts only for the request that it answers: a late grant for an earlier request expires
+    /// sooner.
     serial: u64,
     sent_at: f64,
     granted_by: BTreeSet<NodeId>,
-    /// Sent by a named successor: a voter that denies it may not have received the release yet, and is sent
-    /// it once more.
+    /// Whether this node was named as successor. A voter that denies such a request may not have received the
+    /// release yet, and is sent the request once more.
     named_successor: bool,
 }
 
 impl Leases {
-    /// What is due for one role.
+    /// Sends the renewal or request that is due for one role.
     pub(super) fn tick_role(&mut self, now: f64, role: SingletonRole) -> Vec<Effect> {
         if let Some(lease) = self.held_lease(now, role) {
             let is_due = |request: &LeaseRequest| now >= request.sent_at + RENEWAL_INTERVAL;
@@ -54,11 +55,11 @@
                 false => Vec::new(),
             };
         }
-        let mut effects = self.give_up_timed_out_request(now, role);
+        let mut effects = self.abandon_timed_out_request(now, role);
         let holder_may_be_alive = self.holder_may_be_alive(now, role);
-        // Drawn at every tick, also where the time is set already: seeded runs depend on the number of draws.
-        let first_try = now + REQUEST_JITTER * self.rng.rand_float();
-        let retry_at = *self.retry_at.entry(role).or_insert(first_try);
+        // Drawn at every tick, even if the time is set already: seeded runs depend on the number of draws.
+        let first_attempt_at = now + REQUEST_JITTER * self.rng.rand_float();
+        let retry_at = *self.retry_at.entry(role).or_insert(first_attempt_at);
         if holder_may_be_alive || now < retry_at || self.requests.contains_key(&role) {
             return effects;
         }
@@ -67,9 +68,9 @@
         effects
     }
 
-    /// Gives back what a request without a majority was granted: if each voter kept granting to itself, none
-    /// would win.
-    fn give_up_timed_out_request(&mut self, now: f64, role: SingletonRole) -> Vec<Effect> {
+    /// Releases the grants of a request that has timed out without a majority: if each voter kept granting to
+    /// itself, none would win.
+    fn abandon_timed_out_request(&mut self, now: f64, role: SingletonRole) -> Vec<Effect> {
         if !self.requests.get(&role).is_some_and(|request| now >= request.sent_at + REQUEST_TIMEOUT) {
             return Vec::new();
         }
@@ -78,10 +79,10 @@
         effects
     }
 
-    /// Was the holder heard of lately, or is it not yet this node's turn to follow it?
+    /// Returns whether the holder was heard from lately, or it is not yet this node's turn to succeed it.
     fn holder_may_be_alive(&self, now: f64, role: SingletonRole) -> bool {
         let granted_at =
-            self.granted.get(&role).map_or(f64::NEG_INFINITY, |last| last.until - LEASE_DURATION);
+            self.granted.get(&role).map_or(f64::NEG_INFINITY, |last| last.expires_at - LEASE_DURATION);
         self.known_holders.get(&role).is_some_and(|known| {
             known.grant.holder != self.id
                 && now
@@ -91,7 +92,7 @@
         })
     }
 
-    /// After how many turns this node may request the role of a holder that has failed.
+    /// Returns the number of turns after which this node may request the role of a failed holder.
     fn turns_to_wait(&self, failed: &LeaseGrant) -> f64 {
         let candidates: Vec<NodeId> =
             self.voter_set.all_voters().into_iter().filter(|&node| node != failed.holder).collect();
@@ -110,8 +111,8 @@
     }
 
     fn request_lease(&mut self, now: f64, role: SingletonRole, term: u64, kind: RequestKind) -> Vec<Effect> {
-        self.serial = self.serial.wrapping_add(1);
-        let serial = self.serial;
+        self.request_serial = self.request_serial.wrapping_add(1);
+        let serial = self.request_serial;
         let granted_by = BTreeSet::new();
         self.requests
             .insert(role, LeaseRequest { term, serial, sent_at: now, granted_by, named_successor: false });
@@ -123,8 +124,8 @@
         self.voter_set.all_voters().into_iter().map(|node| Effect::Send(node, message.clone())).collect()
     }
 
-    /// Gives back the grants of a term that was not won. Invariant: that term is never requested again, since
-    /// this release, should it come late, would end a grant that was won.
+    /// Releases the grants of a term that was not won. Invariant: that term is never requested again, since
+    /// this release, should it arrive late, would end a grant that was won.
     fn release_grants(&mut self, role: SingletonRole) -> Vec<Effect> {
         let Some(LeaseRequest { term, granted_by, .. }) = self.requests.remove(&role) else {
             return Vec::new();
@@ -140,7 +141,7 @@
         *highest = term.max(*highest);
     }
 
-    /// Counts a voter's grant; a majority makes it a lease.
+    /// Counts a voter's grant; a majority of grants makes a lease.
     pub(super) fn receive_grant(&mut self, now: f64, from: NodeId, grant: LeaseGrant, serial: u64) {
         let matches = |request: &&mut LeaseRequest| (request.serial, request.term) == (serial, grant.term);
         let Some(request) = self.requests.get_mut(&grant.role).filter(matches) else { return };
@@ -151,7 +152,7 @@
         if !self.voter_set.has_quorum(|node| request.granted_by.contains(&node)) {
             return;
         }
-        // From the time at which the request was sent: no voter's grant expires sooner.
+        // Counted from the time at which the request was sent: no voter's grant expires sooner.
         let valid_until = request.sent_at + LEASE_DURATION * HOLDER_SAFETY_FACTOR;
         let renewed = self.leases.get(&grant.role).filter(|lease| lease.term == grant.term);
         let since = renewed.map_or(now, |lease| lease.since);
@@ -159,8 +160,8 @@
         self.known_holders.insert(grant.role, KnownHolder { grant, reported_at: now });
     }
 
-    /// What one voter granted doesn't tell who the holder is, as that node may have lost. Only its term
-    /// counts: the next request is above it.
+    /// Records the term of a denial, so that the next request is above it. One voter's grant doesn't tell who
+    /// the holder is, as that node may not have won a majority.
     pub(super) fn receive_denial(&mut self, now: f64, grant: LeaseGrant) -> Vec<Effect> {
         self.raise_highest_term(grant.role, grant.term);
         match self.requests.get(&grant.role) {
@@ -181,16 +182,17 @@
             let (Some(lease), Some(successor)) = (self.leases.remove(&role), successor) else { continue };
             let grant = LeaseGrant { role, holder: self.id, term: lease.term };
             let release = self.voter_set.message(ConsensusMessage::LeaseReleased(grant, successor));
-            // The successor comes last: when it requests the lease, the release is on its way to all others.
+            // The successor is sent the release last: when it requests the lease, the release is on its way
+            // to all others.
             let voters = self.voter_set.all_voters().into_iter().filter(|&node| node != successor);
             effects.extend(voters.chain([successor]).map(|node| Effect::Send(node, release.clone())));
         }
         effects
     }
 
-    /// Requests a released lease if this node is the named successor; otherwise leaves that node time to do
-    /// so.
-    pub(super) fn make_way_for(&mut self, now: f64, released: &LeaseGrant, successor: NodeId) -> Vec<Effect> {
+    /// Requests a released lease if this node is the named successor; otherwise leaves the successor time to
+    /// do so.
+    pub(super) fn hand_over(&mut self, now: f64, released: &LeaseGrant, successor: NodeId) -> Vec<Effect> {
         let role = released.role;
         if successor != self.id {
             let jitter = REQUEST_JITTER * self.rng.rand_float();
