--- a/crates/consensus/src/errors.rs
+++ b/crates/consensus/src/errors.rs
@@ -6,14 +6,14 @@
 /// How a proposal ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The change is chosen: a majority has it on disk; or it alters nothing, and what it asks for is chosen
-    /// already.
+    /// The change was chosen: a majority has it on disk. Also the outcome of a change that alters nothing
+    /// because what it asks for is chosen already.
     Chosen,
-    /// Not known: the change may or may not be chosen later. Sending the same request again tells.
+    /// Not known: the change may or may not be chosen later. Repeating the same request tells.
     Unknown,
-    /// Another text was chosen under this version, with this digest. Nothing was altered.
+    /// Another text, with this digest, was chosen under the same version. Nothing was altered.
     VersionConflict(VersionDigest),
-    /// Not started, and it never will be.
+    /// The change was not started, and never will be.
     Rejected(MembershipError),
 }
 
@@ -43,9 +43,9 @@
     AlreadyAVoter,
     /// The node to be added can't be reached from this node.
     Unreachable,
-    /// No majority of voters that are reachable and have recovered their state.
+    /// No majority of the voters is reachable and has recovered its state.
     NotRecovered,
-    /// The epoch that the request names is not the current one.
+    /// The request names an epoch that is not the current one.
     WrongEpoch,
 }
 
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,19 +1,19 @@
 //! The agreement core of the control plane: pure state machines, without I/O and without a clock.
 //!
-//! A few registers (configuration, evacuated zones, the voter set itself) each have one value under a
-//! proposal number. There is no log and no leader: any control node may propose, and a majority of the voters
-//! decides. The terms are those of the literature:
+//! The agreed state is a few registers (configuration, evacuated zones, the voter set itself), each with one
+//! value under a proposal number. There is neither a log nor a leader: any control node may propose, and a
+//! majority of the voters decides. The terms are those of the literature:
 //!
 //! - [`acceptor`] and [`proposer`]: single-value Paxos for each register, repeated with growing proposal
 //!   numbers (L. Lamport, "Paxos Made Simple", 2001, section 2).
-//! - [`membership`]: change of the voter set through a joint epoch in which both sets have to agree (D.
-//!   Ongaro, "Consensus: Bridging Theory and Practice", 2014, section 4.3); [`failure_detector`] says which
-//!   voters have failed, and [`repair_timing`] how long the repair may take.
+//! - [`membership`]: changes of the voter set through a joint epoch, in which both sets have to agree (D.
+//!   Ongaro, "Consensus: Bridging Theory and Practice", 2014, section 4.3); [`failure_detector`] determines
+//!   which voters have failed, and [`repair_timing`] how long a repair may take.
 //! - [`leases`]: singleton roles, each held by one control node at a time (C. Gray and D. Cheriton, "Leases",
 //!   SOSP 1989, section 2).
 //!
-//! Time (seconds of a local monotonic clock), messages and the completion of writes go in; [`Effect`]s come
-//! out, in order. Random numbers come from a seed, so that a run can be replayed.
+//! The input is time (seconds of a local monotonic clock), messages and the completion of writes; the output
+//! is [`Effect`]s, in order. Random numbers come from a seed, so that a run can be replayed.
 
 mod effect;
 mod errors;
@@ -33,19 +33,19 @@
 /// An operator's request to change the voter set.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipChange {
-    /// `new` becomes a voter in place of `old`, by agreement of both voter sets.
+    /// Makes `new` a voter in place of `old`, by agreement of both voter sets.
     Replace {
-        /// The voter that is removed.
+        /// The voter to remove.
         old: NodeId,
-        /// The control node that takes its place.
+        /// The control node to add.
         new: NodeId,
     },
-    /// This node starts a new generation of the voter set without agreement, since a majority of the voters
-    /// of `epoch` is lost for good (etcd: `--force-new-cluster`).
+    /// Starts a new generation of the voter set on this node without agreement, because a majority of the
+    /// voters of `epoch` is lost for good (etcd: `--force-new-cluster`).
     ForceNewGeneration {
-        /// The epoch whose voter set is given up.
+        /// The epoch whose voter set is abandoned.
         epoch: u64,
-        /// The voters of the new generation, besides this node.
+        /// The voters of the new generation besides this node.
         voters: Vec<NodeId>,
     },
 }
