--- a/crates/consensus/tests/late_messages.rs
+++ b/crates/consensus/tests/late_messages.rs
@@ -1,5 +1,5 @@
-//! Messages that come very late, and a disk that is lost meanwhile: sequences that the models found, each
-//! played on the cores themselves and nothing else, so that the test decides the order of messages.
+//! Very late messages combined with a lost disk: sequences that the model checker found, each replayed on the
+//! state machines alone, so that the test controls the order of messages.
 
 use archlink_consensus::acceptor::Acceptor;
 use archlink_consensus::proposer::{Change, Proposer};
@@ -45,9 +45,9 @@
     acceptor
 }
 
-/// Guards against a change that is acknowledged although a disk with it is lost: one voter accepted it, lost
-/// its disk and copied the state of the others, and only then the second voter accepted it; a proposer that
-/// was suspended meanwhile counted both.
+/// Guards against a change that is acknowledged although a disk with it is lost. One voter accepted it, lost
+/// its disk and copied the state of the others before the second voter accepted it; a proposer that was
+/// suspended meanwhile counted both.
 #[test]
 fn acceptances_count_only_until_the_proposal_times_out() {
     let mut proposer = Proposer::new(4, 1);
@@ -62,23 +62,23 @@
         proposer.step(0.05, node, &ConsensusMessage::Promise(REGISTER, proposal, None));
     }
     proposer.step(0.1, 1, &ConsensusMessage::Accepted(REGISTER, proposal));
-    // No tick: the process was suspended, and handles the messages that came before its timers.
+    // No tick: the process was suspended, and handles the messages that had arrived before its timers.
     let effects = proposer.step(5.0, 2, &ConsensusMessage::Accepted(REGISTER, proposal));
     let chosen =
         |effect: &Effect| matches!(effect, Effect::Learned(_) | Effect::ProposalResolved(_, Outcome::Chosen));
     assert!(!effects.iter().any(chosen), "{effects:?}");
 }
 
-/// Guards against two chosen values: voter 1 promised a later proposal, forgot that with its disk, copied an
-/// earlier value from voter 2 and reported it as accepted; with voter 2 that is a majority. The later
-/// proposal's messages, delayed on their way, were accepted by a majority all the same.
+/// Guards against two chosen values. Voter 1 promised a later proposal, forgot that with its disk, copied an
+/// earlier value from voter 2 and reported it as accepted; with voter 2 that is a majority. The delayed
+/// messages of the later proposal were then accepted by a majority all the same.
 #[test]
 fn a_value_copied_after_a_lost_disk_does_not_count_against_a_forgotten_promise() {
     let (early, late) = (proposal(1, 4), proposal(2, 3));
     let (mut second, mut third) = (acceptor(2, Some(BTreeMap::new())), acceptor(3, Some(BTreeMap::new())));
-    // The early proposal is accepted by voter 2 alone, and given up. The late one has promises of voter 1,
-    // whose disk is lost right after, and of voter 3: neither has accepted anything, so it may propose any
-    // value, and its messages are on their way.
+    // The early proposal is accepted by voter 2 alone, and abandoned. The late one has promises from voter 1,
+    // whose disk is lost right after, and from voter 3. Neither has accepted anything, so it may propose any
+    // value, and its messages are in flight.
     second.step(4, &ConsensusMessage::Prepare(REGISTER, early));
     second.step(4, &ConsensusMessage::Accept(REGISTER, accepted_value(early, "early")));
     third.step(3, &ConsensusMessage::Prepare(REGISTER, late));
@@ -106,5 +106,5 @@
     first.step(3, &ConsensusMessage::Accept(REGISTER, accepted_value(late, "late")));
     third.step(3, &ConsensusMessage::Accept(REGISTER, accepted_value(late, "late")));
     let late_chosen = reports(&mut first, late) && reports(&mut third, late);
-    assert!(!(early_chosen && late_chosen), "both are taken for chosen");
+    assert!(!(early_chosen && late_chosen), "both values count as chosen");
 }
--- a/crates/consensus/tests/leases/abstract_model.rs
+++ b/crates/consensus/tests/leases/abstract_model.rs
@@ -1,26 +1,26 @@
-//! Grants as an abstract model: durations in ticks that each clock counts down by itself, without points in
-//! time; messages that come late or never; voters that restart, one lost disk, a change of the voter set with
-//! its joint epoch. The simulation checks the code itself for the same property.
+//! An abstract model of grants. Durations are in ticks that each clock counts down by itself, without
+//! absolute times; messages arrive late or never; voters restart, one disk may be lost, and the voter set may
+//! change through its joint epoch. The simulation checks the code itself for the same property.
 
 use stateright::{Checker, Model, Property};
 
 type NodeSet = u8;
 const VOTERS: usize = 4;
 const REQUESTERS: usize = 2;
-/// The voter sets of epochs 1, 2 and 3: a majority of each set of an epoch is needed.
+/// The voter sets of epochs 1, 2 and 3; a majority of each set of an epoch is needed.
 const VOTER_SETS: [&[NodeSet]; 3] = [&[0b0111], &[0b0111, 0b1011], &[0b1011]];
 /// A grant's duration on a voter's clock, which may run one tick ahead in that time.
 const GRANT_DURATION: u8 = 3;
-/// A lease's duration on its holder's clock, which may run one tick behind in that time: 3 - 1 and 1 + 1 are
-/// the same.
+/// A lease's duration on its holder's clock, which may run one tick behind in that time: a lease of 1 + 1
+/// ticks lasts as long as a grant of 3 - 1.
 const LEASE_DURATION: u8 = 1;
-/// The joint epoch lasts so long from when a majority is in it.
+/// Ticks that the joint epoch lasts from the time at which a majority is in it.
 const JOINT_EPOCH_WAIT: u8 = 2;
-/// A voter that lost its disk grants nothing for so long.
+/// Ticks for which a voter that lost its disk grants nothing.
 const LOST_DISK_SILENCE: u8 = 3;
 
 const ONE_HOLDER: &str = "one holder";
-const SOMEBODY_HOLDS: &str = "somebody holds a lease";
+const SOME_NODE_HOLDS: &str = "some node holds a lease";
 
 /// Faults that the checker has to find.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -34,7 +34,7 @@
     LostDiskGrants,
     /// A term that was given back is requested again.
     TermRequestedAgain,
-    /// The holder counts from when it won, not from when it sent the request.
+    /// The holder counts the duration from when it won instead of from when it sent the request.
     CountedFromGrant,
 }
 
@@ -44,10 +44,10 @@
     holder: usize,
     term: u8,
     remaining: u8,
-    /// This clock has already run ahead in this grant.
+    /// Whether this clock has already run ahead during this grant.
     ran_ahead: bool,
     silence: u8,
-    /// Has it granted the request in progress, of each requester?
+    /// Whether it has granted the request in progress, for each requester.
     granted: [bool; REQUESTERS],
 }
 
@@ -61,7 +61,7 @@
     remaining: u8,
     ran_behind: bool,
     requests: bool,
-    /// The greatest term that it gave back: the message may come to any voter at any time.
+    /// The highest term that it gave back: the release may arrive at any voter at any time.
     released_term: u8,
 }
 
@@ -77,7 +77,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// All clocks run one tick, but for one that may run two and one that may run none.
+    /// All clocks advance by one tick, except for at most one that advances by two and one that stands still.
     Tick {
         fast_voter: Option<usize>,
         slow_requester: Option<usize>,
@@ -93,7 +93,7 @@
     },
     /// A requester gives up its lease or its request.
     Leave(usize),
-    /// A message that gives back a term reaches a voter.
+    /// The release of a term reaches a voter.
     ReceiveRelease {
         voter: usize,
     },
@@ -101,10 +101,10 @@
     LoseDisk(usize),
     LearnEpoch(usize),
     BeginNextEpoch,
-    CommitInJointEpoch,
+    ConvergeInJointEpoch,
 }
 
-/// What is checked, and with which fault.
+/// The instance to check, and the fault planted in it.
 pub struct CheckedLeases {
     pub planted_fault: PlantedFault,
     pub changes_voter_set: bool,
@@ -128,8 +128,9 @@
         self.voters.iter_mut().for_each(|voter| voter.granted[requester] = false);
     }
 
-    /// The first `alike` voters in one order, and the requesters in one order.
-    fn canonical(mut self, alike: usize) -> State {
+    /// Returns the representative of all states that differ only in the order of the first `interchangeable` voters and
+    /// of the requesters.
+    fn canonical(mut self, interchangeable: usize) -> State {
         for index in 0..REQUESTERS {
             let requester = &mut self.requesters[index];
             if !requester.requests {
@@ -149,8 +150,8 @@
             voter.granted.swap(0, 1);
             voter.holder = if voter.term > 0 { 1 - voter.holder } else { 0 };
         }
-        self.voters[..alike].sort_unstable();
-        other.voters[..alike].sort_unstable();
+        self.voters[..interchangeable].sort_unstable();
+        other.voters[..interchangeable].sort_unstable();
         if (other.requesters, other.voters) < (self.requesters, self.voters) { other } else { self }
     }
 
@@ -182,7 +183,7 @@
                 requester.remaining = requester.remaining.saturating_sub(1);
                 requester.age = (requester.age + 1).min(LEASE_DURATION);
             }
-            // A request that can win nothing any more is over.
+            // A request that can no longer win anything is over.
             let is_over = requester.age == LEASE_DURATION && requester.remaining == 0;
             if is_over && fault != PlantedFault::CountedFromGrant {
                 requester.requests = false;
@@ -275,7 +276,7 @@
                 actions.push(Action::ReceiveRelease { voter: voter_index });
             }
         }
-        // It releases its lease, or gives back what it did not win.
+        // The requester releases its lease, or gives back what it did not win.
         if requester.requests && !self.uniform {
             actions.push(Action::Leave(index));
         }
@@ -302,7 +303,7 @@
         match state.newest_epoch {
             1 if self.changes_voter_set => actions.push(Action::BeginNextEpoch),
             2 if state.joint_epoch_wait.is_none() && has_quorum(2, in_joint_epoch) => {
-                actions.push(Action::CommitInJointEpoch)
+                actions.push(Action::ConvergeInJointEpoch)
             }
             2 if state.joint_epoch_wait == Some(0) => actions.push(Action::BeginNextEpoch),
             _ => {}
@@ -348,12 +349,12 @@
             Action::LoseDisk(voter) => state.lose_disk(fault, voter),
             Action::LearnEpoch(voter) => state.voters[voter].epoch += 1,
             Action::BeginNextEpoch => state.newest_epoch += 1,
-            Action::CommitInJointEpoch => {
+            Action::ConvergeInJointEpoch => {
                 let wait = if fault == PlantedFault::JointEpochWithoutWait { 0 } else { JOINT_EPOCH_WAIT };
                 state.joint_epoch_wait = Some(wait);
             }
         }
-        // Of the four nodes the change replaces the third by the fourth; the others are alike.
+        // The change replaces the third of the four nodes by the fourth; the others are interchangeable.
         Some(state.canonical(if self.changes_voter_set { 2 } else { 3 }))
     }
 
@@ -362,16 +363,16 @@
             Property::always(ONE_HOLDER, |_, state: &State| {
                 state.requesters.iter().filter(|requester| requester.remaining > 0).count() < 2
             }),
-            Property::sometimes(SOMEBODY_HOLDS, |_, state: &State| {
+            Property::sometimes(SOME_NODE_HOLDS, |_, state: &State| {
                 state.requesters.iter().any(|requester| requester.remaining > 0)
             }),
         ]
     }
 }
 
-/// Checks all states; returns how many there are, or `None` where two nodes held a lease at one time.
+/// Checks all states. Returns how many there are, or `None` if two nodes held a lease at one time.
 pub fn check_all_states(model: CheckedLeases) -> Option<usize> {
     let checked = model.checker().threads(4).spawn_dfs().join();
-    checked.assert_any_discovery(SOMEBODY_HOLDS);
+    checked.assert_any_discovery(SOME_NODE_HOLDS);
     checked.discovery(ONE_HOLDER).is_none().then(|| checked.unique_state_count())
 }
--- a/crates/consensus/tests/leases/main.rs
+++ b/crates/consensus/tests/leases/main.rs
@@ -1,5 +1,5 @@
-//! Leases: sequences of messages in which the models found a fault once, and an abstract model of grants that
-//! is checked exhaustively.
+//! Leases: message sequences in which the model checker once found a fault, and an abstract model of grants
+//! that is checked exhaustively.
 
 mod abstract_model;
 
@@ -19,9 +19,8 @@
     })
 }
 
-/// Guards against two holders: a node that is no voter gave back the grants of a term, requested that term
-/// again and won; the message that gave them back came late, or twice, and freed a voter that the holder
-/// counted on.
+/// Guards against two holders. A node that is not a voter gave back the grants of a term, requested that term
+/// again and won; the release arrived late, or twice, and freed a voter that the holder counted on.
 #[test]
 fn a_term_that_was_given_back_is_not_requested_again() {
     let mut leases = Leases::new(0.0, 4, 1, &[]);
@@ -31,15 +30,15 @@
         let now = f64::from(step) * 0.05;
         if let Some((grant, serial)) = requested_grant(&leases.tick(now)) {
             terms.push(grant.term);
-            // One voter of three grants: no majority.
+            // One grant from three voters is no majority.
             leases.step(now, 1, &ConsensusMessage::LeaseGranted(grant, serial));
         }
     }
     assert!(terms.len() > 3 && terms.windows(2).all(|pair| pair[0] < pair[1]), "{terms:?}");
 }
 
-/// Guards against two holders: a voter renewed a term while its record still waited for a slow disk, lost
-/// that record with its power, and granted another node the next term while the holder counted on the
+/// Guards against two holders. A voter renewed a term while its record still waited for a slow disk, lost
+/// that record in a power failure, and granted another node the next term while the holder counted on the
 /// renewal.
 #[test]
 fn a_renewal_waits_for_the_disk_until_the_term_is_on_it() {
@@ -55,7 +54,7 @@
     let Some(Effect::Store(record, messages)) = effects.first() else { panic!("{effects:?}") };
     assert_eq!(record.grants, [grant]);
     assert!(!grants_at_once(&leases.step(0.2, 2, &ConsensusMessage::LeaseRenewal(grant, 8))));
-    // A message from another node says nothing of this one's disk.
+    // A message from another node says nothing about this one's disk.
     leases.step(0.2, 2, &ConsensusMessage::GrantPersisted(grant));
     assert!(!grants_at_once(&leases.step(0.3, 2, &ConsensusMessage::LeaseRenewal(grant, 9))));
     for (to, message) in messages {
@@ -65,12 +64,12 @@
     }
     assert!(
         grants_at_once(&leases.step(0.5, 2, &ConsensusMessage::LeaseRenewal(grant, 10))),
-        "renewals cost no disk after that"
+        "a renewal does not wait for the disk once the term is on it"
     );
 }
 
 #[test]
-fn neither_restarts_nor_a_lost_disk_make_two_holders() {
+fn neither_restarts_nor_a_lost_disk_lead_to_two_holders() {
     let model = |planted_fault| CheckedLeases {
         planted_fault,
         changes_voter_set: false,
@@ -91,7 +90,7 @@
 
 #[test]
 #[ignore = "a minute: cargo test --release -p archlink-consensus --test leases -- --ignored --nocapture"]
-fn a_voter_set_change_makes_no_two_holders() {
+fn a_voter_set_change_does_not_lead_to_two_holders() {
     for (changes_voter_set, terms) in [(true, 2), (false, 3)] {
         let states = check_all_states(CheckedLeases {
             planted_fault: PlantedFault::None,
@@ -110,5 +109,5 @@
         terms: 2,
         uniform: true,
     };
-    assert_eq!(check_all_states(without_wait), None, "a joint epoch without a wait is not found");
+    assert_eq!(check_all_states(without_wait), None, "the missing wait in the joint epoch is not found");
 }
--- a/crates/consensus/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -1,7 +1,8 @@
-//! All interleavings of a small instance: three voters, two proposers that use one version number, one lost
-//! disk, one time-out after which all late messages may still arrive. The states are those of the acceptors
-//! and proposers themselves; only the network is simulated: any message on its way may come next, or never.
-//! The planted fault, an acceptor that lost its disk and is counted, has to be found.
+//! Model check of all interleavings of a small instance: three voters, two proposers that use one version
+//! number, one lost disk, and one timeout after which all late messages may still arrive. The states are
+//! those of the acceptors and proposers themselves; only the network is simulated: any message in flight may
+//! be delivered next, or never. The planted fault, an acceptor that votes after it lost its disk, has to be
+//! found.
 
 use archlink_consensus::acceptor::Acceptor;
 use archlink_consensus::proposer::{Change, Proposer};
@@ -17,8 +18,8 @@
 const VOTERS: [NodeId; 3] = [1, 2, 3];
 /// The node whose disk is lost.
 const LOST: NodeId = 1;
-/// Seconds of the time-out: longer than any proposal lives, and than an acceptor that lost its disk is
-/// silent.
+/// Seconds of the timeout: longer than any proposal lives, and longer than the silence of an acceptor that
+/// lost its disk.
 const TIMEOUT: f64 = 5.0;
 const CHECKER_THREADS: usize = 4;
 
@@ -51,11 +52,11 @@
     lost_disk: bool,
     timed_out: bool,
     proposed: u32,
-    /// A proposal that a majority has accepted is chosen.
+    /// The accepted values by proposal; one that a majority has accepted is chosen.
     accepted: BTreeMap<ProposalNumber, Acceptance>,
 }
 
-/// Hashes what is written to it.
+/// Feeds formatted text to a hasher.
 struct HashWriter<'a, H>(&'a mut H);
 
 impl<H: Hasher> std::fmt::Write for HashWriter<'_, H> {
@@ -84,15 +85,15 @@
     Deliver(usize),
     Propose,
     LoseDisk,
-    TimeOut,
+    Timeout,
 }
 
 struct SmallInstance {
-    /// The planted fault: an acceptor that lost its disk takes itself for recovered.
+    /// The planted fault: an acceptor that lost its disk counts as recovered.
     votes_after_lost_disk: bool,
 }
 
-/// Is it a reply that only a proposer acts on?
+/// Returns whether the message is a reply that only a proposer handles.
 fn is_for_proposer(message: &ConsensusMessage) -> bool {
     matches!(
         message,
@@ -113,7 +114,7 @@
                 Effect::Learned(_) | Effect::ProposalResolved(..) => {}
             }
         }
-        // A message to a node that doesn't act on it is dropped, and the order of those in flight makes no
+        // Messages to nodes that don't handle them are dropped, and the order of those in flight makes no
         // difference.
         let proposers = &self.proposers;
         let is_ignored = |InFlight { to, message, .. }: &InFlight| {
@@ -158,7 +159,7 @@
         self.apply(to, effects);
     }
 
-    /// In the order of their proposal numbers.
+    /// The chosen values, in the order of their proposal numbers.
     fn chosen(&self) -> Vec<&Acceptance> {
         let is_chosen = |acceptance: &&Acceptance| acceptance.accepted_by.len() > VOTERS.len() / 2;
         self.accepted.values().filter(is_chosen).collect()
@@ -205,12 +206,12 @@
         if state.proposed < 2 {
             actions.push(Action::Propose);
         }
-        // A disk is lost once something is chosen, as that is what its loss could undo.
+        // A disk is lost only once a value is chosen, since that is what its loss could undo.
         if !state.lost_disk && !state.chosen().is_empty() {
             actions.push(Action::LoseDisk);
         }
         if state.lost_disk && !state.timed_out {
-            actions.push(Action::TimeOut);
+            actions.push(Action::Timeout);
         }
     }
 
@@ -235,7 +236,7 @@
                 acceptor.set_voter_set(&VoterSet::initial(&VOTERS));
                 state.acceptors.insert(LOST, acceptor);
             }
-            Action::TimeOut => {
+            Action::Timeout => {
                 state.timed_out = true;
                 state.now += TIMEOUT;
                 let now = state.now;
@@ -259,7 +260,7 @@
     }
 }
 
-/// States checked in each of two orders: breadth first covers both proposers' attempts, depth first the
+/// States checked in each of two orders: breadth-first covers the attempts of both proposers, depth-first the
 /// recovery.
 const CHECKED_STATES: usize = 30_000;
 
--- a/crates/consensus/tests/registers/main.rs
+++ b/crates/consensus/tests/registers/main.rs
@@ -1,8 +1,10 @@
-//! The rule by which the voter set may change, as an abstract model that is checked exhaustively: acceptors
-//! with an epoch and, for each of two registers, a promised and an accepted proposal; one of the registers is
-//! the voter set itself. Any number of proposers, whose messages come late, twice or never and who may stop
-//! at any step; one lost disk. There are no times and no texts: a value is the sequence of the attempts that
-//! wrote it. `model.rs` and the simulation check the code itself for the same properties.
+//! An exhaustively checked abstract model of the rule by which the voter set may change: acceptors with an
+//! epoch and, for each of two registers, a promised and an accepted proposal; one of the registers is the
+//! voter set itself.
+//!
+//! There is any number of proposers, whose messages arrive late, twice or never and who may stop at any step,
+//! and one lost disk. There are no times and no texts: a value is the sequence of the attempts that wrote it.
+//! `model.rs` and the simulation check the code itself for the same properties.
 
 mod model;
 mod state;
@@ -14,7 +16,7 @@
 
 const CHECKER_THREADS: usize = 4;
 
-/// Which part of the model is checked: attempts on each register, changes of the voter set, and whether a
+/// The part of the model that is checked: attempts on each register, changes of the voter set, and whether a
 /// disk may be lost.
 type Instance = ([usize; 2], usize, bool);
 
@@ -26,7 +28,7 @@
     CheckedModel { planted_fault, attempts, changes, loses_disk, rolls_back }
 }
 
-/// Checks all states of an instance; returns how many there are.
+/// Checks all states of an instance, and returns how many there are.
 fn check_all_states(instance: Instance) -> usize {
     let (_, changes, _) = instance;
     let model = checked_model(PlantedFault::None, instance, true);
@@ -45,10 +47,10 @@
     }
 }
 
-/// The same with larger instances: some minutes, and some GB of memory.
+/// The same with larger instances. Takes some minutes and some GB of memory.
 #[test]
 #[ignore = "minutes: cargo test --release -p archlink-consensus --test registers -- --ignored --nocapture"]
-fn neither_splits_the_chosen_values_with_more_attempts_and_both_at_once() {
+fn neither_splits_the_chosen_values_in_larger_instances() {
     for instance in [
         ([2, 0], 2, false),
         ([0, 3], 1, true),
@@ -62,7 +64,7 @@
     }
 }
 
-/// How many steps lead to a violation with this fault.
+/// Returns the number of steps to a violation with this fault.
 fn steps_to_violation(planted_fault: PlantedFault, instance: Instance) -> usize {
     let model = checked_model(planted_fault, instance, false);
     let checked = model.checker().threads(CHECKER_THREADS).spawn_bfs().join();
--- a/crates/consensus/tests/registers/model.rs
+++ b/crates/consensus/tests/registers/model.rs
@@ -1,4 +1,4 @@
-//! The model checker's view: which actions a state allows, and which properties are checked.
+//! The model checker's view: the actions that a state allows, and the properties that are checked.
 
 use crate::types::{
     Acceptor, Action, Attempt, Goal, INCOMING, MAX_ATTEMPTS, NODES, NodeSet, PlantedFault, Recovery,
@@ -6,25 +6,24 @@
 };
 use stateright::{Model, Property};
 
-/// Of any two chosen values one is made on top of the other.
+/// Of any two chosen values one is built on the other.
 pub const CHOSEN_VALUES_FORM_ONE_SEQUENCE: &str = "chosen values form one sequence";
 /// A joint epoch was entered and left.
 pub const CHANGE_IS_COMPLETE: &str = "a change of the voter set is complete";
 
-const GOALS: [Goal; 5] = [Goal::Write, Goal::Commit, Goal::EnterJoint, Goal::AdoptIncoming, Goal::RollBack];
+const GOALS: [Goal; 5] = [Goal::Write, Goal::Converge, Goal::EnterJoint, Goal::AdoptIncoming, Goal::RollBack];
 
-/// What is checked, and with which fault.
+/// The instance to check, and the fault planted in it.
 pub struct CheckedModel {
     pub planted_fault: PlantedFault,
-    /// Attempts on each register. Without any on the second one, its values are chosen by nobody in
-    /// particular, in one sequence; that they are in one sequence is checked separately, without attempts on
-    /// the first one.
+    /// Attempts on each register. Without attempts on the second one, its values are simply chosen in one
+    /// sequence; that they do form one sequence is checked separately, without attempts on the first one.
     pub attempts: [usize; 2],
-    /// Changes of the voter set, one after the other.
+    /// Changes of the voter set, one after another.
     pub changes: usize,
-    /// May a disk be lost?
+    /// Whether a disk may be lost.
     pub loses_disk: bool,
-    /// May a change be rolled back?
+    /// Whether a change may be rolled back.
     pub rolls_back: bool,
 }
 
@@ -73,7 +72,7 @@
             let allowed = GOALS.iter().filter(is_allowed);
             actions.extend(allowed.map(|&goal| Action::Promise { node, register, attempt, goal }));
         } else {
-            actions.push(Action::Promise { node, register, attempt, goal: Goal::Commit });
+            actions.push(Action::Promise { node, register, attempt, goal: Goal::Converge });
         }
     }
 
--- a/crates/consensus/tests/registers/state.rs
+++ b/crates/consensus/tests/registers/state.rs
@@ -10,7 +10,8 @@
     (0..NODES).filter(move |node| set >> node & 1 == 1)
 }
 
-/// Is one value made on top of the other? Attempts are octal digits, the last attempt the lowest one.
+/// Returns whether the later value is built on the earlier one. The attempts of a value are octal digits, the
+/// last attempt the lowest.
 fn is_prefix(earlier: u16, mut later: u16) -> bool {
     while later > earlier {
         later /= 8;
@@ -34,22 +35,22 @@
         }
     }
 
-    /// The greatest attempt that was chosen in an epoch.
-    fn committed(&self, register: usize, in_epoch: u8) -> Option<u8> {
+    /// Returns the highest attempt that was chosen in an epoch.
+    fn newest_chosen(&self, register: usize, in_epoch: u8) -> Option<u8> {
         let is_chosen = |attempt: &Attempt| matches!(attempt, Attempt::Accepting { epoch, chosen: true, .. } if *epoch == in_epoch);
         self.attempts[register].iter().rposition(is_chosen).map(|index| index as u8 + 1)
     }
 
-    /// May a proposer of that epoch have that goal?
+    /// Returns whether a proposer of that epoch may have that goal.
     pub fn allows(&self, model: &CheckedModel, register: usize, goal: Goal, epoch: u8) -> bool {
         let Some(voter_set) = self.voter_set(epoch) else { return false };
         let is_joint = voter_set.incoming != 0;
         let ends_early = model.planted_fault == PlantedFault::JointEpochEndsEarly;
         let modelled = || [VALUE, VOTER_SET].into_iter().filter(|&register| model.attempts[register] > 0);
-        let all_committed =
-            || ends_early || modelled().all(|register| self.committed(register, epoch).is_some());
+        let all_converged =
+            || ends_early || modelled().all(|register| self.newest_chosen(register, epoch).is_some());
         let has_accepted = |node: usize, register: usize| {
-            self.committed(register, epoch).is_none_or(|attempt| {
+            self.newest_chosen(register, epoch).is_none_or(|attempt| {
                 self.value(register, attempt) == 0
                     || self.acceptors[node].registers[register].accepted >= attempt
             })
@@ -57,28 +58,29 @@
         let has_accepted_all = |node| modelled().all(|register| has_accepted(node, register));
         match (register, goal) {
             (VALUE, Goal::Write) => true,
-            (VALUE, Goal::Commit) | (VOTER_SET, Goal::Commit) => is_joint || model.loses_disk,
+            (VALUE, Goal::Converge) | (VOTER_SET, Goal::Converge) => is_joint || model.loses_disk,
             (VOTER_SET, Goal::EnterJoint) => epoch == 1,
             (VOTER_SET, Goal::AdoptIncoming) => {
                 is_joint
-                    && all_committed()
+                    && all_converged()
                     && (ends_early
                         || nodes_of(voter_set.joining()).all(has_accepted_all)
                         || model.planted_fault == PlantedFault::JoiningNodeCounts)
             }
-            (VOTER_SET, Goal::RollBack) => model.rolls_back && is_joint && all_committed(),
+            (VOTER_SET, Goal::RollBack) => model.rolls_back && is_joint && all_converged(),
             _ => false,
         }
     }
 
-    /// The value of an attempt on top of the newest one that a majority reported.
+    /// Returns the value of an attempt on top of the newest one that a majority reported.
     fn proposed_value(&self, register: usize, attempt: u8, goal: Goal, epoch: u8, newest: u8) -> u16 {
         let before = self.value(register, newest);
         let Some(voter_set) = self.voter_set(epoch) else { return before };
         match goal {
             Goal::Write => before * 8 + u16::from(attempt),
-            Goal::Commit => before,
-            // The voter set is a sequence as well: entered, and then adopted or rolled back.
+            Goal::Converge => before,
+            // The voter set is a sequence as well: a joint epoch is entered, and then its incoming voters are
+            // adopted or it is rolled back.
             Goal::EnterJoint if before == 0 => 1,
             Goal::AdoptIncoming if before == 1 && voter_set.incoming != 0 => 8 + 2,
             Goal::RollBack if before == 1 && voter_set.incoming != 0 => 8 + 3,
@@ -86,7 +88,7 @@
         }
     }
 
-    /// Notes an attempt as chosen once a majority has accepted it.
+    /// Records an attempt as chosen once a majority has accepted it.
     fn count_accepted(&mut self, model: &CheckedModel, register: usize, index: usize) {
         let Attempt::Accepting { epoch, value, accepted_by, chosen: false } = self.attempts[register][index]
         else {
@@ -128,7 +130,7 @@
         }
     }
 
-    /// May that acceptor reply to a message of that epoch?
+    /// Returns whether that acceptor may reply to a message of that epoch.
     pub fn may_reply(&self, model: &CheckedModel, node: usize, epoch: u8) -> bool {
         let acceptor = &self.acceptors[node];
         let ignores_epochs = model.planted_fault == PlantedFault::EpochsIgnored && acceptor.epoch != 0;
@@ -137,7 +139,8 @@
             && self.voter_set(epoch).is_some_and(|voter_set| voter_set.contains(node))
     }
 
-    /// The first two nodes are alike: one order of them represents both.
+    /// Returns the representative of this state and the one with the first two nodes swapped, which are
+    /// interchangeable.
     pub fn canonical(self) -> State {
         let mut other = self.clone();
         other.acceptors.swap(0, 1);
@@ -244,8 +247,8 @@
         for (transferred, sent) in acceptor.transferred.iter_mut().zip(sent) {
             *transferred = transferred.merge(sent);
         }
-        // Whoever promised together with it was a majority of both sets: a majority of either set beside it
-        // meets that.
+        // A majority of both sets promised together with this node; a majority of either set without this
+        // node intersects it.
         let received = acceptor.received;
         let has_voters = VoterSet { incoming: 0, ..voter_set }.has_quorum(received);
         let has_incoming = voter_set.incoming != 0
@@ -255,8 +258,8 @@
         }
     }
 
-    /// By then all attempts to which it replied before the loss have timed out: its replies are not counted
-    /// any more.
+    /// By then all attempts to which the node replied before the loss have timed out, and its replies are not
+    /// counted any more.
     fn end_attempts_before_loss(&mut self, node: usize) {
         for attempt in self.attempts.iter_mut().flatten() {
             match attempt {
@@ -278,7 +281,7 @@
             *state = state.merge(transferred);
         }
         for (register, state) in acceptor.registers.into_iter().enumerate() {
-            // Below the promise a value is passed on, and does not count as accepted here.
+            // A value below the promise is passed on, but doesn't count as accepted here.
             let counts_all = model.planted_fault == PlantedFault::TransferredValueCounts;
             if state.accepted == state.promised || counts_all {
                 self.record_accepted(model, node, register, state.accepted);
--- a/crates/consensus/tests/registers/types.rs
+++ b/crates/consensus/tests/registers/types.rs
@@ -1,6 +1,6 @@
-//! What a state of the model consists of, and what may happen in it.
+//! The parts of a state of the model, and the actions on it.
 
-/// Nodes, as bits.
+/// A set of nodes, one bit each.
 pub type NodeSet = u8;
 pub const NODES: usize = 4;
 /// The first voter set, the incoming voters of the first change, and those of the second one.
@@ -8,10 +8,10 @@
 pub const INCOMING: NodeSet = 0b1011;
 pub const SECOND_INCOMING: NodeSet = 0b1101;
 
-/// The registers: one with values, and the one with the voter set.
+/// The registers: one with values, and the voter set.
 pub const VALUE: usize = 0;
 pub const VOTER_SET: usize = 1;
-/// Attempts on each register at most. They are numbered from 1; 0 is none.
+/// The largest number of attempts on each register. Attempts are numbered from 1; 0 stands for none.
 pub const MAX_ATTEMPTS: usize = 4;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -35,7 +35,7 @@
     }
 }
 
-/// What an acceptor has on disk for a register.
+/// The state of a register on an acceptor's disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RegisterState {
     pub promised: u8,
@@ -60,28 +60,28 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Acceptor {
-    /// 0: not known.
+    /// 0 if it is not known.
     pub epoch: u8,
     pub recovery: Recovery,
     pub registers: [RegisterState; 2],
-    /// Nodes whose state was received in the state transfer, and that state, merged.
+    /// Nodes whose state was received in the state transfer, and the merged state.
     pub received: NodeSet,
     pub transferred: [RegisterState; 2],
 }
 
-/// What an attempt is for.
+/// The purpose of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Goal {
     Write,
-    Commit,
+    Converge,
     EnterJoint,
     AdoptIncoming,
     RollBack,
 }
 
-/// An attempt goes on as soon as a majority has promised: a promise that is not counted only binds its
-/// acceptor, and whatever may happen then may happen without it too. So its goal is decided at that moment,
-/// and of the promises the newest value is all that has to be kept.
+/// An attempt proceeds as soon as a majority has promised: a promise that is not counted only binds its
+/// acceptor, and whatever may happen then may happen without it too. So the goal is decided at that moment,
+/// and of the promises only the newest value has to be kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Attempt {
     Unused,
@@ -96,7 +96,7 @@
         accepted_by: NodeSet,
         chosen: bool,
     },
-    /// Its proposer has given it up.
+    /// Its proposer has abandoned it.
     Abandoned,
 }
 
@@ -104,11 +104,11 @@
 pub struct State {
     pub acceptors: [Acceptor; NODES],
     pub attempts: [[Attempt; MAX_ATTEMPTS]; 2],
-    /// Chosen voter sets: of epoch 1, 2 and so on.
+    /// The chosen voter sets, of epoch 1, 2 and so on.
     pub voter_sets: Vec<VoterSet>,
-    /// Whose disk was lost.
+    /// The node whose disk was lost.
     pub lost_disk: Option<u8>,
-    /// Two chosen values of which none is made on top of the other.
+    /// Whether there are two chosen values neither of which is built on the other.
     pub diverged: bool,
 }
 
@@ -142,15 +142,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlantedFault {
     None,
-    /// The joint epoch ends before anything was committed in it.
+    /// The joint epoch ends before any register has converged in it.
     JointEpochEndsEarly,
     /// Acceptors reply to messages of any epoch.
     EpochsIgnored,
     /// An acceptor that lost its disk votes at once.
     LostDiskVotes,
-    /// A joining node is counted as having accepted what it has not.
+    /// A joining node counts as having accepted what it has not.
     JoiningNodeCounts,
-    /// What an acceptor copied after the loss of its disk counts as accepted, also below what the senders
-    /// promised since.
+    /// What an acceptor copied after the loss of its disk counts as accepted, even below what the senders
+    /// have promised since.
     TransferredValueCounts,
 }
--- a/crates/consensus/tests/repair_timing.rs
+++ b/crates/consensus/tests/repair_timing.rs
@@ -1,9 +1,9 @@
-//! The durations of a repair, derived from the operators' bound.
+//! The time limits of a repair, derived from the operators' bound.
 
 use archlink_consensus::repair_timing::{HEARTBEAT, RepairTiming};
 
-/// `CatchUp` of the deployments, and one much shorter: the silence timeout is never shorter than a few
-/// heartbeats.
+/// Covers the `CatchUp` of the deployments and a much shorter one, for which the silence timeout still spans
+/// a few heartbeats.
 #[test]
 fn durations_grow_with_the_bound_and_stay_above_a_few_heartbeats() {
     let (short, usual, long) =
