--- a/crates/messages/src/patch.rs
+++ b/crates/messages/src/patch.rs
@@ -1,23 +1,23 @@
-//! Compressed texts: alone, or against a base that the receiver already has, so that the size of a patch follows the size of
-//! the change.
+//! Compression of texts, either alone or against a base that the receiver already has, so that the size of a patch
+//! follows the size of the change.
 //!
-//! Format: the length of the text in bytes (four bytes, little-endian), then one zstd frame with the base as dictionary.
-//! Invariant: [`decompress`] gives back the complete text or an error, and never more than its limit.
+//! Format: the length of the text in bytes (four bytes, little-endian), then one zstd frame with the base as
+//! dictionary. Invariant: [`decompress`] returns the complete text or an error, and never more than its limit.
 
 use std::{fmt, io};
 use zstd::bulk::{Compressor, Decompressor};
 
-/// The zstd level. A low one: a text is compressed once and read by many, but processor time is scarce.
+/// The zstd level. It is low because processor time is scarce, although a text is compressed once and read by many.
 const COMPRESSION_LEVEL: i32 = 3;
 
-/// The longest text, in bytes. Bounds the memory that a damaged or hostile patch can claim.
+/// The largest text, in bytes. Bounds the memory that a damaged or hostile patch can claim.
 const MAX_TEXT_BYTES: u32 = 64 << 20;
 
-/// Bytes of the length before the zstd frame.
+/// The number of length bytes before the zstd frame.
 const LENGTH_BYTES: usize = 4;
 
-/// Why a text could not be compressed or a patch not be decompressed. The functions return it inside an [`io::Error`], beside
-/// the errors of zstd. Operators see these texts.
+/// Why a text could not be compressed or a patch not be decompressed. The functions return it inside an [`io::Error`];
+/// errors of zstd are returned as they are. Operators see the messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PatchError {
     /// The text is longer than the limit of 64 MiB.
@@ -25,21 +25,21 @@
         /// Its length in bytes.
         length: usize,
     },
-    /// The patch ends within its head.
+    /// The patch ends within its length prefix.
     Truncated {
         /// Its length in bytes.
         length: usize,
     },
-    /// The patch names a length above the limit.
+    /// The patch states a length above the limit.
     LengthAboveLimit {
-        /// The length that it names, in bytes.
+        /// The stated length in bytes.
         length: u32,
     },
-    /// The patch contains a text of another length than it names.
+    /// The text in the patch has another length than the patch states.
     LengthMismatch {
-        /// The length that it names, in bytes.
+        /// The stated length in bytes.
         expected: u32,
-        /// The length of the text in it, in bytes.
+        /// The actual length of the text in bytes.
         actual: usize,
     },
 }
@@ -47,10 +47,10 @@
 impl fmt::Display for PatchError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            PatchError::TextTooLong { .. } => "a text too long",
+            PatchError::TextTooLong { .. } => "the text is longer than 64 MiB",
             PatchError::Truncated { .. }
             | PatchError::LengthAboveLimit { .. }
-            | PatchError::LengthMismatch { .. } => "a packed text that is damaged",
+            | PatchError::LengthMismatch { .. } => "the compressed text is damaged",
         })
     }
 }
@@ -67,7 +67,7 @@
     }
 }
 
-/// Compresses `text` against `base`; an empty base is none.
+/// Compresses `text` against `base`; an empty base compresses it alone.
 ///
 /// # Errors
 /// [`PatchError::TextTooLong`], or an error of zstd.
@@ -81,8 +81,8 @@
     Ok(patch)
 }
 
-/// The text that was compressed against `base`. With another base the result is an error or another text: callers compare
-/// versions first.
+/// Returns the text that was compressed against `base`. With a different base the result is an error or a different
+/// text, so callers compare versions first.
 ///
 /// # Errors
 /// [`io::ErrorKind::InvalidData`] with a [`PatchError`] inside, or an error of zstd.
--- a/crates/messages/tests/patch.rs
+++ b/crates/messages/tests/patch.rs
@@ -3,7 +3,7 @@
 use archlink_messages::PatchError;
 use archlink_messages::patch::{compress, decompress};
 
-/// With another base than the one of the patch the result is never the text.
+/// With a base other than that of the patch, the result is never the text.
 #[test]
 fn patch_size_follows_the_change_and_only_its_base_restores_the_text() {
     let line = |n: u32| format!("route {} {:08x}\n", n, n.wrapping_mul(0x9e37_79b9));
@@ -23,7 +23,7 @@
     });
 }
 
-/// The texts are part of the operators' answers.
+/// The messages are part of the answers to operators.
 #[test]
 fn damaged_patch_fails_with_a_patch_error_inside() {
     let patch = compress(b"text", b"").unwrap();
@@ -37,6 +37,6 @@
         let error = decompress(&patch, b"").unwrap_err();
         assert_eq!(error.kind(), std::io::ErrorKind::InvalidData);
         assert_eq!(error.get_ref().and_then(|inner| inner.downcast_ref()), Some(&expected));
-        assert_eq!(error.to_string(), "a packed text that is damaged");
+        assert_eq!(error.to_string(), "the compressed text is damaged");
     }
 }
