--- a/crates/messages/src/codec.rs
+++ b/crates/messages/src/codec.rs
@@ -5,7 +5,7 @@
 use std::{fmt, io};
 use tokio_util::codec::{Decoder, Encoder, LengthDelimitedCodec};
 
-/// The largest frame that is sent or accepted, in bytes. Bounds the memory that one connection can claim; the largest
+/// The largest frame that is sent or accepted, in bytes. Bounds the memory that one connection can claim. The largest
 /// messages are configurations and lists of hosts, which are sent compressed.
 const MAX_FRAME_BYTES: usize = 8 << 20;
 
--- a/crates/messages/src/consensus.rs
+++ b/crates/messages/src/consensus.rs
@@ -1,19 +1,20 @@
-//! Messages and values of the consensus protocol: single-decree Paxos per register, with a new proposal for each next value
-//! (L. Lamport, "Paxos Made Simple", 2001, section 2). `docs/control.md`, sections 2 to 4, has the rules and their reasons.
+//! Messages and values of the consensus protocol: single-decree Paxos per register, with a new proposal for each next
+//! value (L. Lamport, "Paxos Made Simple", 2001, section 2). `docs/control.md`, sections 2 to 4, has the rules and
+//! their reasons.
 
 use crate::{LeaseGrant, NodeId, generation};
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-/// The number of one proposal for a register (in Lamport's paper: proposal number, or ballot). Totally ordered by the fields
-/// in their order. Invariant: no two proposals have the same number.
+/// The number of one proposal for a register (in Lamport's paper: proposal number, or ballot). Totally ordered by its
+/// fields, in the order of declaration. Invariant: no two proposals have the same number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ProposalNumber {
     /// Grows with each attempt; its upper bits are the generation of the voter set.
     pub round: u64,
     /// The proposer.
     pub node: NodeId,
-    /// Random. Distinguishes proposals of one node that lost its disk and therefore may use a round twice.
+    /// Random. Distinguishes proposals of a node that lost its disk and may therefore use a round twice.
     pub nonce: u32,
 }
 
@@ -22,7 +23,7 @@
 pub enum Register {
     /// The configuration as the operator sent it, compressed without a base.
     Configuration,
-    /// The zones that are evacuated.
+    /// The evacuated zones.
     Evacuations,
     /// The [`VoterSet`](crate::VoterSet) that decides on all registers, this one included.
     VoterSet,
@@ -31,8 +32,8 @@
 /// All registers: each is agreed on separately, and a quorum read covers all of them.
 pub const REGISTERS: [Register; 3] = [Register::Configuration, Register::Evacuations, Register::VoterSet];
 
-/// A configuration version that was acknowledged to an operator, with the digest of its text: a repeated request with the
-/// same text is acknowledged again, one with another text is rejected (`docs/control.md`, section 2).
+/// A configuration version that was acknowledged to an operator, with the digest of its text. A repeated request with
+/// the same text is acknowledged again; one with another text is rejected (`docs/control.md`, section 2).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionDigest {
     /// The operator's version number.
@@ -47,7 +48,7 @@
 pub struct AcceptedValue {
     /// The proposal under which it was accepted.
     pub proposal: ProposalNumber,
-    /// Grows by each chosen value within a generation.
+    /// Grows with each change of the content within a generation.
     pub revision: u64,
     /// The content, in the encoding of its register.
     pub value: Bytes,
@@ -56,25 +57,26 @@
 }
 
 impl AcceptedValue {
-    /// The generation of the voter set in which it was accepted. An operator who forces a new generation moves on beyond
-    /// all rounds of the earlier ones.
+    /// Returns the generation of the voter set in which the value was accepted. An operator who forces a new generation
+    /// skips all rounds of the earlier ones.
     pub fn generation(&self) -> u64 {
         generation::of_round(self.proposal.round)
     }
 
-    /// Grows from each chosen value to the next, also across a forced new generation, where the revision may go back.
-    /// Version vectors and state updates carry this key in place of the revision.
+    /// Returns a key that orders the contents of a register from each chosen value to the next, also across a forced
+    /// new generation, in which the revision may go back. Version vectors and state updates carry this key in place of
+    /// the revision.
     pub fn ordering_key(&self) -> u64 {
         generation::first_round(self.generation()) | self.revision
     }
 }
 
-/// All that an acceptor persists for one register.
+/// Everything that an acceptor persists for one register.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AcceptorState {
-    /// The highest proposal that was promised: no lower one is accepted any more.
+    /// The highest promised proposal: no lower one is accepted any more.
     pub promised: ProposalNumber,
-    /// The value accepted last, if any.
+    /// The last accepted value, if any.
     pub accepted: Option<AcceptedValue>,
 }
 
@@ -89,7 +91,7 @@
     Reject(Register, ProposalNumber, ProposalNumber),
     /// Phase 2a: asks to accept this value under its proposal.
     Accept(Register, AcceptedValue),
-    /// Phase 2b: the value of this proposal is accepted and persisted.
+    /// Phase 2b: the value of this proposal has been accepted and persisted.
     Accepted(Register, ProposalNumber),
     /// Quorum read: asks for the proposals whose values the acceptor has persisted. The number identifies the request.
     ReadRequest(u64),
@@ -99,13 +101,14 @@
     FetchValue(Register),
     /// The reply to [`FetchValue`](Self::FetchValue).
     FetchedValue(Register, AcceptedValue),
-    /// A voter that lost its disk asks for the acceptor states of the other voters. The number identifies the request.
+    /// Asks for the acceptor states of other voters: sent by a voter that lost its disk, or a node that joins the voter
+    /// set. The number identifies the request.
     StateTransferRequest(u64),
     /// The reply to the [`StateTransferRequest`](Self::StateTransferRequest) of this number: acceptor states and grants.
     StateTransferReply(u64, Vec<(Register, AcceptorState)>, Vec<LeaseGrant>),
-    /// Asks for a lease in a new term. The number distinguishes one request from the next.
+    /// Asks for a lease in a new term. The number identifies the request.
     LeaseRequest(LeaseGrant, u64),
-    /// The lease holder asks to extend its lease. The number is the incarnation in which the holder won the term.
+    /// The lease holder asks to extend its lease. The number identifies the request.
     LeaseRenewal(LeaseGrant, u64),
     /// Sent by a voter to itself only: the grant is persisted.
     GrantPersisted(LeaseGrant),
@@ -113,6 +116,7 @@
     LeaseGranted(LeaseGrant, u64),
     /// The lease is denied; carries the grant that is in force.
     LeaseDenied(LeaseGrant),
-    /// The lease holder gives up its lease in favour of the named successor.
+    /// The lease holder gives up its lease in favour of the named successor; 0 names none and gives back a term that
+    /// was not won.
     LeaseReleased(LeaseGrant, NodeId),
 }
--- a/crates/messages/src/counter.rs
+++ b/crates/messages/src/counter.rs
@@ -7,8 +7,8 @@
 pub struct CounterAdd {
     /// The counter key.
     pub key: u64,
-    /// What is added.
+    /// The amount added.
     pub amount: f32,
-    /// Seconds that the counter lives from its first addition on.
+    /// The lifetime of the counter in seconds, from its first addition on.
     pub lifetime: f32,
 }
--- a/crates/messages/src/leases.rs
+++ b/crates/messages/src/leases.rs
@@ -1,4 +1,4 @@
-//! Leases for roles that one control node performs for all (`docs/control.md`, section 3).
+//! Leases for roles that one control node performs on behalf of all (`docs/control.md`, section 3).
 
 use crate::NodeId;
 use serde::{Deserialize, Serialize};
@@ -15,10 +15,11 @@
 /// All singleton roles.
 pub const SINGLETON_ROLES: [SingletonRole; 2] = [SingletonRole::HostDiscovery, SingletonRole::QuotaCounter];
 
-/// The lease of a role, granted to one node in one term. The term serves as fencing token: it grows with each new holder.
+/// The lease of a role, granted to one node in one term. The term serves as a fencing token: it grows with each new
+/// holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseGrant {
-    /// The role that is leased.
+    /// The leased role.
     pub role: SingletonRole,
     /// The lease holder.
     pub holder: NodeId,
--- a/crates/messages/src/lib.rs
+++ b/crates/messages/src/lib.rs
@@ -1,15 +1,15 @@
 //! Typed messages between the system's own processes, and their codec.
 //!
-//! Messages are plain values, encoded with postcard in length-delimited frames ([`MessageCodec`]). This package does no I/O
-//! beyond that, keeps no connection and takes no decision.
+//! Messages are plain values, encoded with postcard in length-delimited frames ([`MessageCodec`]). This package does no
+//! I/O of its own, keeps no connections and makes no decisions.
 //!
 //! Two rules hold for every type here:
 //!
-//! - postcard writes fields and variants by their position. The order of fields and variants is therefore the format on the
-//!   wire and on disk: new variants go at the end, and nothing is reordered. `tests/wire_fixtures.rs` compares with
+//! - postcard writes fields and variants by their position. The order of fields and variants is therefore the format on
+//!   the wire and on disk: new variants go at the end, and nothing is reordered. `tests/wire_fixtures` compares with
 //!   recorded bytes.
-//! - No message carries a time of day. Durations are in seconds; the cluster clock is a monotonic number of seconds with
-//!   an arbitrary origin.
+//! - No message carries a time of day. Durations are in seconds; the cluster clock is a monotonic number of seconds
+//!   with an arbitrary origin.
 
 mod codec;
 mod consensus;
--- a/crates/messages/src/message.rs
+++ b/crates/messages/src/message.rs
@@ -1,6 +1,6 @@
 //! The messages between nodes.
 //!
-//! `cluster_clock` and `clock` are readings of the cluster clock: seconds, monotonic, with an arbitrary origin. A `serial`
+//! `cluster_clock` is a reading of the cluster clock: seconds, monotonic, with an arbitrary origin. A `serial`
 //! identifies a request within its connection; it grows, and the reply carries it.
 
 use crate::{
@@ -9,10 +9,10 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// A control node's heartbeat: that it is alive, and the versions of the state that can be requested from it.
+/// A control node's heartbeat: shows that the node is alive, and which versions of the state can be requested from it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The serial of the session heartbeat that it answers; 0 where it is unsolicited.
+    /// The serial of the session heartbeat that it answers; 0 if it is unsolicited.
     pub serial: u64,
     /// The sender's reading of the cluster clock.
     pub cluster_clock: f64,
@@ -26,7 +26,7 @@
     pub voter_set: VoterSet,
     /// Whether the sender's disk has everything that the sender ever promised.
     pub recovered: bool,
-    /// Voters that the sender has not heard from for very long, while it was in contact with a majority.
+    /// The voters that the sender suspects to have failed, and the sender itself while it is shutting down.
     pub suspected: Vec<NodeId>,
 }
 
@@ -40,7 +40,7 @@
         /// The voter set as the sender knows it.
         voter_set: VoterSet,
     },
-    /// To a voter or from one, valid only in the epoch that it carries.
+    /// A message to or from a voter, valid only in the epoch that it carries.
     Consensus(u64, ConsensusMessage),
     /// The current voter set, in reply to a consensus message of an earlier epoch.
     VoterSet(VoterSet),
@@ -78,13 +78,14 @@
         serial: u64,
         /// The sender's reading of the cluster clock.
         cluster_clock: f64,
-        /// The totals after the additions, in their order; none where the sender does not hold the quota counter's lease.
+        /// The totals after the additions, in their order; `None` if the sender does not hold the quota counter's
+        /// lease.
         totals: Option<Vec<f32>>,
     },
 }
 
 impl VoterSet {
-    /// Wraps a consensus message; it is valid only in this set's epoch.
+    /// Wraps a consensus message, which is valid only in this set's epoch.
     pub fn message(&self, message: ConsensusMessage) -> Message {
         Message::Consensus(self.epoch, message)
     }
--- a/crates/messages/src/node_rank.rs
+++ b/crates/messages/src/node_rank.rs
@@ -1,36 +1,36 @@
-//! An order of all data nodes per subject that each node computes without communication (rendezvous hashing: D. G. Thaler and
-//! C. V. Ravishankar, "Using name-based mappings to increase hit rates", 1998). What cannot be divided evenly goes to the
-//! nodes at the front; each subject has another order, so that no node is always last. Invariant: the order depends only on
-//! the subject and the set of nodes.
+//! An order of all data nodes for each subject, which every node computes without communication (rendezvous hashing: D.
+//! G. Thaler and C. V. Ravishankar, "Using name-based mappings to increase hit rates", 1998). The remainder of a
+//! division goes to the nodes at the front; each subject has a different order, so that no node is always last.
+//! Invariant: the order depends only on the subject and the set of nodes.
 
 use crate::NodeId;
 
-/// FNV-1a, 64 bits: offset basis and prime.
+/// Offset basis and prime of 64-bit FNV-1a.
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
-/// A node's place in the order of a subject.
+/// The rank of a node in the order of a subject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NodeRank {
-    /// Number of nodes before this one.
+    /// The number of nodes before this one.
     pub rank: usize,
-    /// Number of nodes in the order; 0 while the nodes are unknown or this node is not one of them.
+    /// The number of nodes in the order; 0 while the nodes are unknown or this node is not one of them.
     pub nodes: usize,
 }
 
 impl NodeRank {
-    /// The rank of `node` for `subject` among `all_nodes`, the possibly active ones. A node that is not among them gets no
-    /// portion.
+    /// Returns the rank of `node` for `subject` among `all_nodes`, the possibly active ones. A node that is not among
+    /// them gets no portion.
     pub fn of(node: NodeId, subject: &str, all_nodes: &[NodeId]) -> NodeRank {
         let subject_hash = fnv_1a(subject.as_bytes());
-        let weight = |node: NodeId| (mix(subject_hash ^ u64::from(node)), node);
+        let weight = |node: NodeId| (split_mix_64(subject_hash ^ u64::from(node)), node);
         let own_weight = weight(node);
         let is_member = all_nodes.contains(&node);
         let rank = all_nodes.iter().filter(|&&node| weight(node) < own_weight).count();
         NodeRank { rank, nodes: if is_member { all_nodes.len() } else { 0 } }
     }
 
-    /// This node's portion of `total` units. Invariant: the portions of all nodes of one set add up to `total`.
+    /// Returns this node's portion of `total` units. Invariant: the portions of all nodes of one set add up to `total`.
     pub fn portion(&self, total: usize) -> usize {
         match self.nodes {
             0 => 0,
@@ -43,8 +43,9 @@
     bytes.iter().fold(FNV_OFFSET_BASIS, |hash, &byte| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME))
 }
 
-/// One step of SplitMix64 (G. L. Steele, D. Lea, C. H. Flood, 2014): neighbouring inputs give unrelated outputs.
-fn mix(input: u64) -> u64 {
+/// One step of SplitMix64 (G. L. Steele, D. Lea, C. H. Flood, 2014), which maps neighbouring inputs to unrelated
+/// outputs.
+fn split_mix_64(input: u64) -> u64 {
     let mixed = input.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/messages/src/nodes.rs
+++ b/crates/messages/src/nodes.rs
@@ -3,7 +3,8 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddrV4;
 
-/// A node: its IPv4 address as a number. It stays the same for the life of the machine, also after its disk is replaced.
+/// A node's id: its IPv4 address as a number. It stays the same for the life of the machine, also after its disk is
+/// replaced.
 pub type NodeId = u32;
 
 /// A control node.
@@ -11,11 +12,11 @@
 pub struct ControlNode {
     /// Its id.
     pub node: NodeId,
-    /// The zone that it runs in.
+    /// The zone in which it runs.
     pub zone: String,
     /// The region of that zone.
     pub region: String,
-    /// Where it serves the operators' API.
+    /// The address at which it serves the operators' API.
     pub operator_address: SocketAddrV4,
 }
 
@@ -24,11 +25,11 @@
 pub struct DataNode {
     /// Its id.
     pub node: NodeId,
-    /// The zone that it runs in.
+    /// The zone in which it runs.
     pub zone: String,
     /// The region of that zone.
     pub region: String,
-    /// Where it serves clients.
+    /// The address at which it serves clients.
     pub client_address: SocketAddrV4,
     /// Whether clients may be sent to it.
     pub ready: bool,
@@ -47,8 +48,9 @@
     pub data_nodes: Vec<DataNode>,
 }
 
-/// A fingerprint of a set of nodes, to compare sets without sending them. `nodes` are in ascending order; the fingerprint
-/// depends on the order. FNV-1 multiplier (G. Fowler, L. C. Noll, K.-P. Vo), seeded with the number of nodes.
+/// Returns a fingerprint of a set of nodes, to compare sets without sending them. `nodes` must be in ascending order,
+/// since the fingerprint depends on the order. Uses the FNV-1 multiplier (G. Fowler, L. C. Noll, K.-P. Vo), seeded with
+/// the number of nodes.
 pub fn node_set_fingerprint(nodes: impl ExactSizeIterator<Item = NodeId>) -> u64 {
     const FNV_PRIME: u64 = 0x0100_0000_01b3;
     let count = nodes.len() as u64;
--- a/crates/messages/src/updates.rs
+++ b/crates/messages/src/updates.rs
@@ -1,4 +1,4 @@
-//! Delivery of state: what a node already has ([`VersionVector`]) and what it lacks ([`StateUpdate`]).
+//! State delivery: what a node already has ([`VersionVector`]) and what it lacks ([`StateUpdate`]).
 
 use crate::{AcceptedValue, ControlNode, HostList, NodeId, Register, SessionTable};
 use bytes::Bytes;
@@ -15,7 +15,7 @@
     pub hosts: (u64, u64),
     /// [`node_set_fingerprint`](crate::node_set_fingerprint) of the control nodes.
     pub control_nodes: u64,
-    /// Fingerprint of the data nodes that are possibly active, recently lost ones included; 0 while they are unknown.
+    /// Fingerprint of the data nodes that are possibly active, including recently lost ones; 0 while they are unknown.
     pub data_nodes: u64,
     /// Source, incarnation and version of each [`SessionTable`].
     pub sessions: Vec<(NodeId, u64, u64)>,
@@ -48,7 +48,7 @@
     },
     /// The control nodes.
     ControlNodes(Vec<ControlNode>),
-    /// The data nodes that are possibly active, recently lost ones included, in ascending order.
+    /// The data nodes that are possibly active, including recently lost ones, in ascending order.
     DataNodes(Vec<NodeId>),
     /// The sessions of one control node.
     Sessions(SessionTable),
--- a/crates/messages/src/voter_set.rs
+++ b/crates/messages/src/voter_set.rs
@@ -1,9 +1,9 @@
-//! The voter set of an epoch, its quorums, and how one set follows another.
+//! The voter set of an epoch, its quorums, and the transition from one set to the next.
 //!
 //! The set changes by joint consensus (D. Ongaro, "Consensus: Bridging Theory and Practice", 2014, section 4.3;
-//! `docs/control.md`, section 3): a joint epoch, in which both sets have to agree, lies between the old set and the new one,
-//! and each next voter set is chosen by a quorum of the one before. Invariant: two quorums of one epoch, or of neighbouring
-//! epochs, have a voter in common.
+//! `docs/control.md`, section 3): a joint epoch, in which both sets have to agree, lies between the old set and the new
+//! one, and each next voter set is chosen by a quorum of the one before. Invariant: two quorums of one epoch, or of
+//! neighbouring epochs, have a voter in common.
 
 use crate::{NodeId, generation};
 use bytes::Bytes;
@@ -12,11 +12,11 @@
 /// The voters of an epoch, and in a joint epoch the incoming voters as well.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct VoterSet {
-    /// 0 while it is unknown; 1 for the seed nodes of the first start.
+    /// The epoch: 0 while the set is unknown, 1 for the seed nodes of the first start.
     pub epoch: u64,
-    /// In ascending order.
+    /// The current voters, in ascending order.
     pub voters: Vec<NodeId>,
-    /// The voters of the set that follows, in ascending order; empty outside a joint epoch.
+    /// The voters of the next set, in ascending order; empty outside a joint epoch.
     pub incoming: Vec<NodeId>,
 }
 
@@ -27,23 +27,23 @@
 }
 
 impl VoterSet {
-    /// The voter set of the first start, known to all nodes from their settings.
+    /// Returns the voter set of the first start, which all nodes know from their settings.
     pub fn initial(seeds: &[NodeId]) -> VoterSet {
         VoterSet { epoch: 1, voters: sorted(seeds.to_vec()), incoming: Vec::new() }
     }
 
-    /// The next epoch, a joint one: both the current and the incoming voters vote.
+    /// Returns the next epoch, a joint one in which both the current and the incoming voters vote.
     pub fn enter_joint(&self, incoming: Vec<NodeId>) -> VoterSet {
         VoterSet { epoch: self.epoch + 1, voters: self.voters.clone(), incoming: sorted(incoming) }
     }
 
-    /// The epoch after a joint one: `voters`, one of its two sets, vote alone.
+    /// Returns the epoch after a joint one, in which `voters`, one of its two sets, vote alone.
     pub fn leave_joint(&self, voters: &[NodeId]) -> VoterSet {
         VoterSet { epoch: self.epoch + 1, voters: voters.to_vec(), incoming: Vec::new() }
     }
 
-    /// The voter set of a generation that an operator forces, beyond all epochs that this one can lead to; `nonce`
-    /// distinguishes it from one that is forced elsewhere at the same time.
+    /// Returns the voter set of a generation that an operator forces, beyond all epochs to which this one can lead;
+    /// `nonce` distinguishes it from one that is forced elsewhere at the same time.
     pub fn next_generation(&self, voters: Vec<NodeId>, nonce: u16) -> VoterSet {
         VoterSet {
             epoch: generation::next_epoch(self.epoch, nonce),
@@ -52,33 +52,34 @@
         }
     }
 
-    /// Proposal rounds of this generation are above this one; rounds of earlier generations are below it.
+    /// Returns the first round of this generation: its proposal rounds are above it, and those of earlier generations
+    /// below it.
     pub fn first_round(&self) -> u64 {
         generation::first_round(generation::of_epoch(self.epoch))
     }
 
-    /// Whether any voter set is known.
+    /// Returns whether any voter set is known.
     pub fn is_known(&self) -> bool {
         self.epoch > 0
     }
 
-    /// Whether the epoch is a joint one.
+    /// Returns whether the epoch is a joint one.
     pub fn is_joint(&self) -> bool {
         !self.incoming.is_empty()
     }
 
-    /// Whether `node` votes, as a current or an incoming voter.
+    /// Returns whether `node` votes, as a current or an incoming voter.
     pub fn contains(&self, node: NodeId) -> bool {
         self.voters.contains(&node) || self.incoming.contains(&node)
     }
 
-    /// All nodes that vote, each once, in ascending order.
+    /// Returns all nodes that vote, each once, in ascending order.
     pub fn all_voters(&self) -> Vec<NodeId> {
         sorted(self.voters.iter().chain(&self.incoming).copied().collect())
     }
 
-    /// Whether the voters that satisfy `has_agreed` are a quorum: a majority of the voters and, in a joint epoch, of the
-    /// incoming voters.
+    /// Returns whether the voters that satisfy `has_agreed` are a quorum: a majority of the voters and, in a joint
+    /// epoch, of the incoming voters.
     pub fn has_quorum(&self, has_agreed: impl Fn(NodeId) -> bool) -> bool {
         let is_majority =
             |voters: &[NodeId]| 2 * voters.iter().filter(|&&node| has_agreed(node)).count() > voters.len();
@@ -87,15 +88,15 @@
             && (self.incoming.is_empty() || is_majority(&self.incoming))
     }
 
-    /// The value of [`Register::VoterSet`](crate::Register::VoterSet) for this set.
+    /// Encodes this set as a value of [`Register::VoterSet`](crate::Register::VoterSet).
     pub fn to_bytes(&self) -> Bytes {
         // Cannot fail: the vector grows as needed, and postcard rejects only sequences of unknown length, of which the set
         // has none.
         postcard::to_stdvec(self).unwrap_or_default().into()
     }
 
-    /// Decodes a value of [`Register::VoterSet`](crate::Register::VoterSet); none where the bytes are not a known, non-empty
-    /// voter set.
+    /// Decodes a value of [`Register::VoterSet`](crate::Register::VoterSet); `None` if the bytes are not a known,
+    /// non-empty voter set.
     pub fn from_bytes(bytes: &[u8]) -> Option<VoterSet> {
         postcard::from_bytes(bytes)
             .ok()
