--- a/crates/messages/tests/node_rank.rs
+++ b/crates/messages/tests/node_rank.rs
@@ -1,8 +1,9 @@
-//! Ranks of nodes and the portions that follow from them.
+//! Node ranks and the portions derived from them.
 
 use archlink_messages::{NodeId, NodeRank};
 
-/// For any number of units; over many subjects no node is favoured. A node that is not in the set gets nothing.
+/// The portions of every subject add up to its units, and over many subjects no node is favoured. A node that is not in
+/// the set gets nothing.
 #[test]
 fn portions_add_up_and_no_node_is_favoured() {
     let nodes: Vec<NodeId> = (0..92).map(|n| 0x0a01_0020 + n * 7).collect();
--- a/crates/messages/tests/wire_fixtures/main.rs
+++ b/crates/messages/tests/wire_fixtures/main.rs
@@ -1,7 +1,10 @@
-//! Compares the encoding of every message between the system's own processes, and of the values that they store or patch
-//! against, with `fixtures/messages.txt`: one line a message, with its name and its bytes in hexadecimal, `-` for none.
-//! Renaming types, variants or fields leaves these bytes as they are, since processes of two versions run side by side. The
-//! test never writes the fixture: where a line is missing or differs, it prints the line that the present code gives.
+//! Compares the encoding of every message between the system's own processes, and of the values that they store or
+//! patch against, with `fixtures/messages.txt`: one line per message, with its name and its bytes in hexadecimal, `-`
+//! for none.
+//!
+//! Renaming types, variants or fields must not change these bytes, since processes of two versions run side by side.
+//! The test never writes the fixture: if a line is missing or differs, it prints the line that the present code
+//! produces.
 
 mod names;
 mod samples;
@@ -17,7 +20,7 @@
 
 const RECORDED: &str = include_str!("../../fixtures/messages.txt");
 
-/// Values that are stored or patched against and are not frames; each has a test of its own.
+/// Values that are stored or patched against and are not frames. Each has a test of its own.
 const VALUES: [&str; 9] = [
     "value.hosts.empty",
     "value.hosts.filled",
@@ -84,7 +87,7 @@
             differing.push(format!("{name} {}", to_hex(&bytes)));
         }
     }
-    assert!(differing.is_empty(), "not recorded, or recorded otherwise:\n{}", differing.join("\n"));
+    assert!(differing.is_empty(), "not recorded, or recorded differently:\n{}", differing.join("\n"));
 }
 
 #[test]
@@ -110,9 +113,9 @@
     assert_eq!(lines, names);
 }
 
-/// Every variant has the number on the wire that is recorded for it, and the number after the last one has no variant.
+/// Every variant has the index on the wire that is recorded for it, and the index after the last one has no variant.
 #[test]
-fn every_variant_has_its_recorded_number() {
+fn every_variant_has_its_recorded_index() {
     const LENGTH: usize = 4;
     let first = |name: &str| name.split('.').next().unwrap().to_string();
     let mut found: [BTreeSet<(usize, String)>; 3] = Default::default();
@@ -132,7 +135,7 @@
     let numbered = |names: &[&str]| names.iter().map(|name| name.to_string()).enumerate().collect();
     assert_eq!(found, [numbered(&MESSAGES), numbered(&CONSENSUS_MESSAGES), numbered(&UPDATES)]);
 
-    // A variant after the last one would decode some of these bodies; a number without a variant decodes none.
+    // A variant after the last one would decode some of these bodies; an index without a variant decodes none.
     let assert_undecodable = |head: &[u8]| {
         for body in [0, 1, 255].into_iter().flat_map(|byte: u8| (0..64).map(move |length| vec![byte; length]))
         {
@@ -181,13 +184,13 @@
     }
 }
 
-/// Patches of an older process are decompressed; the bytes of a new patch may change with the compression library.
+/// Patches from an older process can be decompressed; the bytes of a new patch may change with the compression library.
 #[test]
 fn recorded_patches_decompress() {
     for (name, base) in [("value.packed.alone", b"".as_slice()), ("value.packed.against_base", BASE)] {
         assert_eq!(patch::decompress(&recorded()[name], base).unwrap(), TEXT, "{name}");
-        let repacked = patch::compress(TEXT, base).unwrap();
-        assert_eq!(patch::decompress(&repacked, base).unwrap(), TEXT, "{name}");
-        assert_eq!(repacked[..4], recorded()[name][..4], "{name}: the text's length");
+        let recompressed = patch::compress(TEXT, base).unwrap();
+        assert_eq!(patch::decompress(&recompressed, base).unwrap(), TEXT, "{name}");
+        assert_eq!(recompressed[..4], recorded()[name][..4], "{name}: the text's length");
     }
 }
--- a/crates/messages/tests/wire_fixtures/names.rs
+++ b/crates/messages/tests/wire_fixtures/names.rs
@@ -1,4 +1,4 @@
-//! The name of each message in the fixture. Names are those of an earlier vocabulary: they are part of the fixture.
+//! The name of each message in the fixture. The names are an earlier vocabulary and part of the fixture.
 
 use archlink_messages::{ConsensusMessage, Message, Register, SingletonRole, StateUpdate};
 
@@ -25,8 +25,8 @@
     }
 }
 
-/// A new variant does not compile without an arm here, and fails the test of variant numbers without a row in
-/// `consensus_messages`.
+/// Returns the name of a consensus message. A new variant doesn't compile without an arm here, and fails the test of
+/// variant indexes without a row in `consensus_messages`.
 pub fn consensus_message_name(consensus_message: &ConsensusMessage) -> String {
     match consensus_message {
         ConsensusMessage::Prepare(register, _) => format!("prepare.{}", register_name(*register)),
@@ -67,7 +67,7 @@
     }
 }
 
-/// As for `consensus_message_name`.
+/// Returns the name of a state update; a new variant is caught as in `consensus_message_name`.
 pub fn update_name(update: &StateUpdate) -> String {
     match update {
         StateUpdate::Chosen(register, accepted_value) => {
@@ -77,12 +77,12 @@
                 list_name(accepted_value.recent_versions.is_empty())
             )
         }
-        StateUpdate::ConfigurationPatch { patch: packed, .. } => {
-            format!("chart.{}", list_name(packed.is_empty()))
+        StateUpdate::ConfigurationPatch { patch, .. } => {
+            format!("chart.{}", list_name(patch.is_empty()))
         }
         StateUpdate::HostList(hosts) => format!("hosts.{}", list_name(hosts.instances.is_empty())),
-        StateUpdate::HostListPatch { patch: packed, .. } => {
-            format!("hosts_patch.{}", list_name(packed.is_empty()))
+        StateUpdate::HostListPatch { patch, .. } => {
+            format!("hosts_patch.{}", list_name(patch.is_empty()))
         }
         StateUpdate::ControlNodes(control_nodes) => {
             format!("keepers.{}", list_name(control_nodes.is_empty()))
@@ -92,7 +92,7 @@
     }
 }
 
-/// As for `consensus_message_name`.
+/// Returns the name of a message; a new variant is caught as in `consensus_message_name`.
 pub fn message_name(message: &Message) -> String {
     match message {
         Message::PeerHello { voter_set, .. } => {
@@ -123,7 +123,7 @@
     }
 }
 
-/// The first part of the name of each variant, in the order of declaration, which is its number on the wire.
+/// The first part of the name of each variant, in the order of declaration; its position is the index on the wire.
 pub const MESSAGES: [&str; 9] = ["greet", "poll", "muster", "beat", "pull", "news", "hail", "adds", "totals"];
 pub const CONSENSUS_MESSAGES: [&str; 17] = [
     "prepare", "promise", "refuse", "accept", "accepted", "ask", "answer", "fetch", "fetched", "recall",
--- a/crates/messages/tests/wire_fixtures/samples.rs
+++ b/crates/messages/tests/wire_fixtures/samples.rs
@@ -1,4 +1,4 @@
-//! One value or more of every variant, as recorded in the fixture.
+//! One or more values of every variant, as recorded in the fixture.
 
 use archlink_messages::{
     AcceptedValue, AcceptorState, ConsensusMessage, ControlNode, CounterAdd, DataNode, Heartbeat,
@@ -12,7 +12,8 @@
     text.parse().unwrap()
 }
 
-/// Numbers of one, two and more bytes on the wire, so that a change of the encoding or of the order of fields is seen.
+/// Covers numbers of one, two and more bytes on the wire, so that a change of the encoding or of the order of fields is
+/// noticed.
 fn proposal() -> ProposalNumber {
     ProposalNumber { round: 0x0100_0000_0003, node: 0x0a01_0020, nonce: 300 }
 }
