--- a/crates/control-client/src/fleet_view/updates.rs
+++ b/crates/control-client/src/fleet_view/updates.rs
@@ -16,7 +16,7 @@
 impl FleetView {
     pub(super) fn apply_update(&mut self, now: f64, update: StateUpdate) -> Option<ViewChange> {
         match update {
-            StateUpdate::ConfigurationPatch { revision: stamp, base, patch: packed }
+            StateUpdate::ConfigurationPatch { ordering_key: stamp, base, patch: packed }
                 if stamp > self.versions.configuration =>
             {
                 self.patch_configuration(now, stamp, base, &packed)
--- a/crates/control-client/tests/fleet_view.rs
+++ b/crates/control-client/tests/fleet_view.rs
@@ -45,7 +45,7 @@
 
 fn configuration_update(stamp: u64) -> Event {
     let packed = packed_configuration(stamp - 1);
-    Event::Update(StateUpdate::ConfigurationPatch { revision: stamp, base: 0, patch: packed })
+    Event::Update(StateUpdate::ConfigurationPatch { ordering_key: stamp, base: 0, patch: packed })
 }
 
 fn evacuations_update(revision: u64) -> Event {
@@ -78,7 +78,7 @@
     match kind {
         0 => {
             let packed = configurations[n as usize - 1].clone();
-            Event::Update(StateUpdate::ConfigurationPatch { revision: n, base: 0, patch: packed })
+            Event::Update(StateUpdate::ConfigurationPatch { ordering_key: n, base: 0, patch: packed })
         }
         1 => evacuations_update(n),
         2 => {
--- a/crates/control-node/src/update_delivery.rs
+++ b/crates/control-node/src/update_delivery.rs
@@ -49,8 +49,8 @@
         let stamp = value.ordering_key();
         let is_newest = self.configurations.newest() == Some(stamp);
         match self.configurations.patch(base).filter(|_| is_newest) {
-            Some(packed) => StateUpdate::ConfigurationPatch { revision: stamp, base, patch: packed },
-            None => StateUpdate::ConfigurationPatch { revision: stamp, base: 0, patch: value.value },
+            Some(packed) => StateUpdate::ConfigurationPatch { ordering_key: stamp, base, patch: packed },
+            None => StateUpdate::ConfigurationPatch { ordering_key: stamp, base: 0, patch: value.value },
         }
     }
 
--- a/crates/data-plane/src/tests/control_session.rs
+++ b/crates/data-plane/src/tests/control_session.rs
@@ -52,7 +52,7 @@
     let packed = patch::compress(configuration.as_bytes(), b"").unwrap().into();
     let value = format!("zone-{n}").into();
     let updates = vec![
-        StateUpdate::ConfigurationPatch { revision: n, base: 0, patch: packed },
+        StateUpdate::ConfigurationPatch { ordering_key: n, base: 0, patch: packed },
         StateUpdate::Chosen(
             Register::Evacuations,
             AcceptedValue { revision: n, value, ..AcceptedValue::default() },
--- a/crates/data-plane/src/tests/mod.rs
+++ b/crates/data-plane/src/tests/mod.rs
@@ -49,7 +49,7 @@
     let instances = hosts.iter().enumerate().map(host_instance).collect();
     let packed = patch::compress(configuration.as_bytes(), b"").unwrap().into();
     for update in [
-        StateUpdate::ConfigurationPatch { revision: 1, base: 0, patch: packed },
+        StateUpdate::ConfigurationPatch { ordering_key: 1, base: 0, patch: packed },
         StateUpdate::DataNodes(vec![archlink_runtime::node_id([127, 0, 0, 1].into())]),
         StateUpdate::HostList(HostList { term: 1, version: 1, instances }),
     ] {
--- a/crates/messages/src/updates.rs
+++ b/crates/messages/src/updates.rs
@@ -28,8 +28,8 @@
     Chosen(Register, AcceptedValue),
     /// The configuration as a [`patch`](crate::patch).
     ConfigurationPatch {
-        /// Ordering key of the configuration.
-        revision: u64,
+        /// [`AcceptedValue::ordering_key`] of the configuration.
+        ordering_key: u64,
         /// Ordering key of the configuration that it is compressed against, which the receiver has; 0 for none.
         base: u64,
         /// The patch.
--- a/crates/messages/tests/wire_fixtures/samples.rs
+++ b/crates/messages/tests/wire_fixtures/samples.rs
@@ -175,8 +175,12 @@
         ]);
     }
     all.extend([
-        StateUpdate::ConfigurationPatch { revision: 514, base: 0, patch: Bytes::new() },
-        StateUpdate::ConfigurationPatch { revision: 514, base: 513, patch: Bytes::from_static(b"packed") },
+        StateUpdate::ConfigurationPatch { ordering_key: 514, base: 0, patch: Bytes::new() },
+        StateUpdate::ConfigurationPatch {
+            ordering_key: 514,
+            base: 513,
+            patch: Bytes::from_static(b"packed"),
+        },
         StateUpdate::HostList(HostList::default()),
         StateUpdate::HostList(hosts()),
         StateUpdate::HostListPatch { revision: (12, 346), base: (0, 0), patch: Bytes::new() },
