--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -209,7 +209,7 @@
     }
 
     fn propose_convergence(&mut self, register: Register) -> Option<(u64, Change)> {
-        self.propose(InternalProposal::Converge(register), Change::Commit(register))
+        self.propose(InternalProposal::Converge(register), Change::Converge(register))
     }
 
     fn propose_voter_set(&mut self, voter_set: VoterSet) -> Vec<(u64, Change)> {
--- a/crates/consensus/src/proposer/change.rs
+++ b/crates/consensus/src/proposer/change.rs
@@ -35,8 +35,9 @@
         /// Whether the zone is to be evacuated.
         on: bool,
     },
-    /// Brings a register on which voters may differ to one value, its newest, under the current epoch.
-    Commit(Register),
+    /// Brings the voters of a register, which may hold different values, to one value, the newest, under the
+    /// current epoch.
+    Converge(Register),
     /// The voter set of the next epoch, provided that the epoch before it is the newest one.
     VoterSet(VoterSet),
 }
@@ -47,7 +48,7 @@
         match self {
             Change::Configuration { .. } => Register::Configuration,
             Change::Evacuation { .. } => Register::Evacuations,
-            Change::Commit(register) => *register,
+            Change::Converge(register) => *register,
             Change::VoterSet(_) => Register::VoterSet,
         }
     }
@@ -78,7 +79,7 @@
                 let value = AcceptedValue { proposal, revision, value, recent_versions: Vec::new() };
                 Some((value, Outcome::Chosen))
             }
-            Change::Commit(_) | Change::VoterSet(_) => Some((unchanged()?, Outcome::Chosen)),
+            Change::Converge(_) | Change::VoterSet(_) => Some((unchanged()?, Outcome::Chosen)),
         }
     }
 }
--- a/crates/consensus/src/proposer/reads.rs
+++ b/crates/consensus/src/proposer/reads.rs
@@ -24,7 +24,7 @@
         let mut effects = Vec::new();
         for register in self.quorum_read.diverged_registers(now, &self.voter_set) {
             if !self.active.contains_key(&register) {
-                let change = Change::Commit(register);
+                let change = Change::Converge(register);
                 let deadline = now + PROPOSAL_TIMEOUT;
                 let proposal = PendingProposal { change, token: None, deadline, internal: false };
                 effects.extend(self.enqueue(now, proposal));
--- a/crates/control-node/src/node/recovery.rs
+++ b/crates/control-node/src/node/recovery.rs
@@ -53,7 +53,7 @@
         }
         let mut effects = Vec::new();
         for register in self.acceptor.transferred() {
-            let commit = Change::Commit(register);
+            let commit = Change::Converge(register);
             let proposed = self.proposer.propose_internal(now, commit, FIRST_INTERNAL_TOKEN);
             effects.extend(self.apply_effects(now, proposed));
         }
