--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -12,6 +12,9 @@
 //! - [`leases`]: singleton roles, each held by one control node at a time (C. Gray and D. Cheriton, "Leases",
 //!   SOSP 1989, section 2).
 //!
+//! A value is *chosen* once a quorum of the voters has accepted it under one proposal number. The *committed*
+//! value of a register is the newest of its chosen values that a node knows.
+//!
 //! The input is time (seconds of a local monotonic clock), messages and the completion of writes; the output
 //! is [`Effect`]s, in order. Random numbers come from a seed, so that a run can be replayed.
 
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum ChangeResult {
     /// The incoming voters are the voters now.
-    Committed,
+    Completed,
     /// The voters are the same as before: a joining node did not accept all registers in time.
     RolledBack,
 }
@@ -140,7 +140,7 @@
 
     fn record_change_result(&mut self, now: f64, joint: &VoterSet) {
         let result = if joint.incoming == self.voter_set.voters {
-            ChangeResult::Committed
+            ChangeResult::Completed
         } else {
             let joining = joint.incoming.iter().filter(|node| !joint.voters.contains(node));
             self.failed_joins.extend(joining.map(|node| (*node, now)));
--- a/crates/control-plane/src/admin/voters.rs
+++ b/crates/control-plane/src/admin/voters.rs
@@ -66,7 +66,7 @@
         status.members.into_iter().map(|member| member_fields(member, node.id, &control_nodes)).collect();
     let last_change = status
         .last_change
-        .map(|(age, result)| json!({"SecondsAgo": age, "Came": result == ChangeResult::Committed}));
+        .map(|(age, result)| json!({"SecondsAgo": age, "Came": result == ChangeResult::Completed}));
     let accepted: Vec<Value> = status.accepted.into_iter().map(accepted_fields).collect();
     json!({"Here": Ipv4Addr::from(node.id), "Epoch": status.voter_set.epoch, "Founded": status.established,
         "Changing": changing, "Members": members, "Lost": lost, "DiskWhole": recovered,
--- a/crates/messages/src/updates.rs
+++ b/crates/messages/src/updates.rs
@@ -24,7 +24,7 @@
 /// One part of the state that the receiver lacks.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum StateUpdate {
-    /// The chosen value of a register.
+    /// The committed value of a register: the newest chosen value that the sender knows.
     Chosen(Register, AcceptedValue),
     /// The configuration as a [`patch`](crate::patch).
     ConfigurationPatch {
