--- a/crates/admission/src/interface.rs
+++ b/crates/admission/src/interface.rs
@@ -1,25 +1,25 @@
 //! Types that a driver fills in, and the trait through which the decisions act on the outside world.
 //!
-//! Times are seconds on the driver's monotonic clock; identifiers are the driver's own.
+//! Times are seconds on the driver's monotonic clock; identifiers are assigned by the driver.
 
-/// A host, as the driver numbers it.
+/// The driver's number of a host.
 pub type HostId = u64;
 
-/// What running a request more than once means.
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Reads only: may run any number of times.
+    /// Reads only; may run any number of times.
     Pure,
-    /// Hosts drop repeats of one idempotency key, within [`DedupScope`] and for a limited time.
+    /// Carries an idempotency key; hosts drop repeats of a key within its [`DedupScope`], for a limited time.
     Receipted,
     /// Must not run twice.
     Effectful,
 }
 
-/// Which hosts drop the repeats of a receipted request.
+/// Which hosts share their memory of idempotency keys, and so drop repeats of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
-    /// All hosts share their memory of keys.
+    /// All hosts.
     All,
     /// The hosts of one zone.
     Zone,
@@ -36,17 +36,17 @@
     pub client_timeout: f64,
     /// Value of an answer in time, relative to other classes.
     pub importance: f64,
-    /// Part of its importance that an answer after the latency target is still worth, 0 to 1.
+    /// Share of the importance that an answer after the latency target still has, 0 to 1.
     pub late_value: f64,
-    /// What running it more than once means.
+    /// Whether a request may run more than once.
     pub effect: Effect,
-    /// Which hosts drop its repeats, where it is receipted.
+    /// Which hosts drop repeats of a request with an idempotency key.
     pub dedup_scope: DedupScope,
-    /// Seconds for which they do.
+    /// Seconds for which hosts remember an idempotency key.
     pub dedup_window: f64,
 }
 
-/// A plan's limits; 0 in `rate` or `rate_limit` means that there is no such limit.
+/// A plan's limits; a `rate` or `rate_limit` of 0 means no such limit.
 #[derive(Clone, Debug, Default)]
 pub struct PlanLimits {
     /// Quota in units a second.
@@ -67,14 +67,14 @@
     pub rate_limit_slack: f64,
 }
 
-/// All that a gateway's decisions are configured with at its start.
+/// Settings of a gateway's decisions.
 #[derive(Clone, Debug)]
 pub struct AdmissionSettings {
     /// Request classes, by index.
     pub classes: Vec<RequestClass>,
     /// Plans, by index.
     pub plans: Vec<PlanLimits>,
-    /// Gateways in the deployment.
+    /// Number of gateways in the deployment.
     pub gateways: u32,
     /// This gateway's number among them, from 0 on.
     pub gateway_number: u32,
@@ -82,9 +82,9 @@
     pub zone: u8,
     /// Whether there is a shared counter.
     pub may_count: bool,
-    /// Seconds after which a call to the counter has failed.
+    /// Timeout of a call to the counter, in seconds.
     pub count_timeout: f64,
-    /// Whether hosts report the units that a request really used.
+    /// Whether hosts report the units that a request actually used, so that the difference is settled.
     pub settles: bool,
     /// Units of the largest request.
     pub max_units: f64,
@@ -94,7 +94,7 @@
     pub ask_within: f64,
     /// Whether hosts differ in capacity.
     pub sized: bool,
-    /// Most attempts for one request.
+    /// Largest number of attempts for one request.
     pub max_attempts: u32,
     /// Whether a second attempt may run beside the first (hedged request).
     pub may_hedge: bool,
@@ -114,9 +114,9 @@
     pub cold_from: f64,
     /// Seconds until a host that has started has its full capacity.
     pub warm_up: f64,
-    /// Load at which a host tips over, as a multiple of its capacity.
+    /// Load at which a host becomes overloaded and slow, as a multiple of its capacity.
     pub tip_multiple: f64,
-    /// Seconds for which a host stays slow after that.
+    /// Seconds for which an overloaded host stays slow.
     pub tip_for: f64,
 }
 
@@ -126,7 +126,7 @@
     /// Takes requests.
     #[default]
     Ready,
-    /// Finishes what it has; takes no new requests.
+    /// Finishes its requests; takes no new ones.
     Draining,
     /// No longer listed.
     Removed,
@@ -147,7 +147,7 @@
     pub state: HostState,
     /// Its capacity relative to others.
     pub size: f64,
-    /// When it started, in seconds; 0: long ago.
+    /// When it started, in seconds; 0 means long ago.
     pub started: f64,
 }
 
@@ -158,9 +158,9 @@
     Delta,
     /// The complete list.
     Full,
-    /// The complete list as it was last known, from a cache.
+    /// The complete list from a cache, as last received.
     Cached,
-    /// There is none: the subscription failed.
+    /// No list: the subscription failed.
     Failed,
 }
 
@@ -175,13 +175,13 @@
     pub plan: usize,
     /// Its customer.
     pub customer: u64,
-    /// Seconds until the client abandons this try.
+    /// Seconds until the client gives up.
     pub remaining: f64,
-    /// Units that it is expected to use.
+    /// Units that the request is expected to use.
     pub units: f64,
-    /// How many gateways its customer uses.
+    /// The number of gateways that its customer uses.
     pub spread: u32,
-    /// The number of the first of them.
+    /// The gateway number of the first of them.
     pub first: u32,
 }
 
@@ -200,13 +200,13 @@
     ConnectFailed,
     /// The connection ended before the answer was complete.
     Reset,
-    /// Cancelled from here.
+    /// Cancelled by the gateway.
     Cancelled,
     /// Nothing was sent.
     NeverSent,
 }
 
-/// A host's own load report, as far as it gave one.
+/// A host's own load report; values that it did not report are `None`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Load {
     /// Utilization, 0 to 1.
@@ -222,13 +222,13 @@
     pub request: u32,
     /// Number of the attempt, from 0 on.
     pub attempt: u16,
-    /// Whether the client has its answer: nothing more is owed for the request.
+    /// Whether the client has its answer, so that the request is finished.
     pub final_attempt: bool,
     /// How it ended.
     pub outcome: Outcome,
     /// Seconds that it took.
     pub elapsed: f64,
-    /// Units that it really used; 0: not reported.
+    /// Units that the request actually used; 0 means not reported.
     pub true_units: f64,
     /// The host.
     pub host: HostId,
@@ -236,39 +236,40 @@
     pub load: Load,
 }
 
-/// A counter's reply to one add.
+/// The counter's reply to one add.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CounterReply {
-    /// Added; the total under the key after it.
+    /// Added; the total under the key after the add.
     Total(f64),
-    /// Certainly not added.
+    /// Definitely not added.
     NotAdded,
     /// No reply: it may have been added.
     Unknown,
 }
 
-/// What the decisions may do. A driver implements it; an implementation must not call back into [`Admission`].
+/// The actions of the decisions, implemented by a driver. An implementation must not call back into [`Admission`].
 ///
 /// [`Admission`]: crate::admission::Admission
 pub trait Driver {
-    /// Sends the request to a host. `until`: when the attempt has to end, in seconds; 0: with the request.
+    /// Sends the request to a host. `until` is when the attempt has to end, in seconds; 0 means with the request.
     fn start_attempt(&mut self, request: u32, host: HostId, until: f64);
-    /// Cancels an attempt in flight; its end is reported as any other.
+    /// Cancels an attempt in flight; its end is reported like any other.
     fn cancel_attempt(&mut self, request: u32, attempt: u16);
-    /// Answers the client that nothing ran; it may retry after so many seconds (0: no advice).
+    /// Rejects the request: the client may retry, after `retry_after` seconds unless that is 0.
     fn reject(&mut self, request: u32, retry_after: f64);
-    /// Answers the client that the request failed and may have run.
+    /// Tells the client that the request failed and may have run.
     fn abort(&mut self, request: u32);
-    /// Checks whether a host's process runs; answered by `probe_finished`.
+    /// Checks whether a host's process runs; the result is reported by `probe_finished`.
     fn probe(&mut self, host: HostId);
-    /// Adds to a counter key, which lives for `lifetime` seconds from its first add on; answered by `counter_replied`.
+    /// Adds to a counter key, which expires `lifetime` seconds after its first add; the reply is reported by
+    /// `counter_replied`.
     fn add_to_counter(&mut self, key: u64, amount: f64, lifetime: f64);
-    /// Sends bytes to one gateway, or to all.
+    /// Sends bytes to one gateway, or to all if `gateway` is `None`.
     fn send_to_peers(&mut self, gateway: Option<u32>, payload: &[u8]);
     /// Subscribes to host lists.
     fn subscribe(&mut self);
-    /// Sets the only timer: `timer_fired` is due after so many seconds; replaces an earlier one.
+    /// Sets the only timer, replacing an earlier one: `timer_fired` is due after so many seconds.
     fn set_timer(&mut self, after: f64);
-    /// A line for the log.
+    /// Writes a line to the log.
     fn log(&mut self, line: &str);
 }
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,5 +1,6 @@
-//! Admission of requests against plans: quotas over all gateways, host selection, retries. The decision module of
-//! `archlink-gateway` and of the bench adapter; the quota package uses it as client of its counter. See [`admission`].
+//! Admission of requests against plans: quotas across all gateways, host selection, retries. The decisions of
+//! `archlink-gateway` and of the bench adapter; the quota package uses them as the client of its counter. See
+//! [`admission`].
 
 mod accounting;
 pub mod admission;
--- a/crates/admission/src/quota.rs
+++ b/crates/admission/src/quota.rs
@@ -1,25 +1,27 @@
-//! Whether a request is within its customer's quota: one add to the active tier's window, further tiers by their marks,
-//! and a decision on local knowledge where the counter does not answer.
+//! Whether a request is within its customer's quota: one add to the window of the active tier, entry into further tiers by
+//! marks on the counter, and a local decision where the counter does not reply.
 //!
-//! Source: the design note's global sliding window from two fixed-window names, the closed one weighted.
+//! A global sliding window is approximated by two fixed windows, each under its own counter key; the closed one is
+//! weighted.
 
 use crate::admission::Admission;
 use crate::counter_keys::counter_key;
 use crate::interface::{Driver, PlanLimits};
-use crate::state::CounterContinuation;
+use crate::state::{Charge, ClosedWindow, CounterContinuation, Exhausted};
+use crate::tiers::RateLimit;
 use crate::windows::window;
 
 pub use crate::tiers::{Tier, tiers};
 
-/// Most requests that one add stands for, itself included: more is noise in a small plan's window.
+/// The number of requests that one add represents at most, itself included; more would be noise in a small plan's window.
 const MAX_REPRESENTED: f64 = 2.5;
 
 impl Admission {
-    /// Refills this gateway's even part of the rate limit, from nothing at a start: restarts would otherwise grant the stored
-    /// burst twice. True if the request fits; its units are taken then.
+    /// Refills this gateway's even part of the rate limit and takes the request's units if they fit; returns whether they do.
+    /// The bucket is empty at start, or a restart would grant the stored burst twice.
     pub(crate) fn within_rate_limit(&mut self, id: u32) -> bool {
         let (customer, plan, units) = self.quota_subject(id);
-        let (_, rate, burst) = self.rate_limits[plan];
+        let RateLimit { rate, burst, .. } = self.rate_limits[plan];
         let Some(customer_state) = self.customers.get_mut(&customer) else { return false };
         let grown = customer_state.rate_limit_tokens
             + (self.now - customer_state.rate_limit_refilled_at) * rate * customer_state.even_share;
@@ -30,163 +32,184 @@
         fits
     }
 
+    /// Checks the rate limit and the quota, and dispatches or rejects the request, perhaps after a reply of the counter.
     pub(crate) fn check_quota(&mut self, driver: &mut dyn Driver, id: u32) {
         let (customer, plan, _) = self.quota_subject(id);
         let (tier, until) = self.customers[&customer].active_tier;
-        match (self.rate_limits[plan].0 || self.within_rate_limit(id), self.tiers[plan].is_empty()) {
+        match (
+            self.rate_limits[plan].enforced_by_counter || self.within_rate_limit(id),
+            self.tiers[plan].is_empty(),
+        ) {
             (false, _) => self.reject_overloaded(driver, id),
             (_, true) => self.dispatch(driver, id),
             _ => self.add_to_tier(driver, id, if until > self.now { tier } else { 0 }),
         }
     }
 
-    /// One add to the tier's current window; the closed window is read where it decides.
-    pub(crate) fn add_to_tier(&mut self, driver: &mut dyn Driver, id: u32, k: usize) {
+    /// Adds the request's units to the tier's current window; the closed window is read only where it decides.
+    pub(crate) fn add_to_tier(&mut self, driver: &mut dyn Driver, id: u32, tier_index: usize) {
         let now = self.now;
         let (customer, plan, units) = self.quota_subject(id);
-        let tier = self.tiers[plan][k];
+        let tier = self.tiers[plan][tier_index];
         let (index, elapsed_part) = window(customer, &tier, now);
-        let (present, keep) = (counter_key(customer, k as u64, index), tier.window * 2.0 + 0.5);
-        let full = self.customers[&customer].windows[k].exhausted_until;
-        if full.0 > now && units >= full.1 {
-            return self.try_next_tier(driver, id, k, full.0 - now);
+        let (current_key, lifetime) =
+            (counter_key(customer, tier_index as u64, index), tier.window * 2.0 + 0.5);
+        let exhausted = self.customers[&customer].windows[tier_index].exhausted;
+        if exhausted.until > now && units >= exhausted.min_units {
+            return self.try_next_tier(driver, id, tier_index, exhausted.until - now);
         }
-        // What is admitted locally is added with the next add to its key; for a spread-out customer the adds made stand for it.
-        let wide = self.customers[&customer].spread_out;
-        let stands_for =
-            if wide { units * (1.0 / self.counter_call_fraction).min(MAX_REPRESENTED) } else { units };
-        let asks = self.may_call_counter();
-        if asks || !wide {
-            self.counter_entry(present, keep).wanted += stands_for;
-            self.requests.entry(id).and_modify(|o| o.charged = Some((present, keep, stands_for)));
+        // Units admitted locally go with the next add to their key. A spread-out customer's next add may never come: each add
+        // that is made represents the requests decided locally as well.
+        let spread_out = self.customers[&customer].spread_out;
+        let represented =
+            if spread_out { units * (1.0 / self.counter_call_fraction).min(MAX_REPRESENTED) } else { units };
+        let ask_counter = self.may_call_counter();
+        if ask_counter || !spread_out {
+            self.counter_entry(current_key, lifetime).wanted += represented;
+            self.requests.entry(id).and_modify(|open| {
+                open.charged = Some(Charge { key: current_key, lifetime, units: represented })
+            });
         }
-        if !asks {
+        if !ask_counter {
             return self.decide_locally(driver, id);
         }
         let next: CounterContinuation = Box::new(move |gateway, driver, total| match total {
             _ if !gateway.requests.contains_key(&id) => (),
             None => gateway.decide_locally(driver, id),
-            Some(total) => gateway.evaluate_total(driver, id, k, total, index, elapsed_part),
+            Some(total) => gateway.evaluate_total(driver, id, tier_index, total, index, elapsed_part),
         });
-        self.send_add(driver, present, keep, Some((id, next)));
+        self.send_add(driver, current_key, lifetime, Some((id, next)));
     }
 
+    /// Dispatches, rejects or moves to the next tier, by the total of the current window after this request's add.
     pub(crate) fn evaluate_total(
         &mut self,
         driver: &mut dyn Driver,
         id: u32,
-        k: usize,
+        tier_index: usize,
         total: f64,
         index: u64,
         elapsed_part: f64,
     ) {
-        // Longest time, in seconds, without asking about an exhausted window, since other gateways may have refunded units.
+        // Longest time, in seconds, without asking about an exhausted window: other gateways may refund units meanwhile.
         const MAX_EXHAUSTED: f64 = 1.0;
-        // Share of the limit from which on the rest of the closed window counts: moderate customers stay below it.
+        // Share of the limit from which on the undrained part of the closed window counts; moderate customers stay below it.
         const CARRY_OVER_FROM: f64 = 0.25;
         let now = self.now;
         let (customer, plan, units) = self.quota_subject(id);
-        let added = self.requests[&id].charged.map_or(units, |c| c.2);
-        let (tier, may_read) = (self.tiers[plan][k], self.may_call_counter());
+        let added = self.requests[&id].charged.map_or(units, |charge| charge.units);
+        let (tier, may_call) = (self.tiers[plan][tier_index], self.may_call_counter());
         let Some(customer_state) = self.customers.get_mut(&customer) else { return };
-        let (wide, window_state) = (customer_state.spread_out, &mut customer_state.windows[k]);
+        let (spread_out, window_state) = (customer_state.spread_out, &mut customer_state.windows[tier_index]);
         let before = *window_state;
-        let room = match wide {
+        let room = match spread_out {
             true => {
                 window_state.update_spread_out(&tier, index, elapsed_part, total, added, now) + added - units
             }
             false => window_state.update(&tier, index, elapsed_part, total, units, now),
         };
         let crosses = total >= tier.limit * CARRY_OVER_FROM && total - added < tier.limit * CARRY_OVER_FROM;
-        if wide && crosses {
-            self.read_closed_window(driver, id, k, None, (index, elapsed_part));
+        if spread_out && crosses {
+            self.read_closed_window(driver, id, tier_index, None, (index, elapsed_part));
         }
         if room >= -1e-6 {
             return self.dispatch(driver, id);
         }
-        let unread = before.closed.is_none_or(|c| c.0 + 1 != index);
-        if !wide && may_read && unread && total <= 2.0 * tier.limit {
-            self.customers.entry(customer).and_modify(|c| c.windows[k] = before);
-            return self.read_closed_window(driver, id, k, Some(total), (index, elapsed_part));
+        let closed_unknown = before.closed.is_none_or(|closed| closed.index + 1 != index);
+        if !spread_out && may_call && closed_unknown && total <= 2.0 * tier.limit {
+            self.customers
+                .entry(customer)
+                .and_modify(|customer_state| customer_state.windows[tier_index] = before);
+            return self.read_closed_window(driver, id, tier_index, Some(total), (index, elapsed_part));
         }
         let Some(customer_state) = self.customers.get_mut(&customer) else { return };
-        let window_state = &mut customer_state.windows[k];
+        let window_state = &mut customer_state.windows[tier_index];
         window_state.room += added;
         window_state.total -= added;
         // Room returns at the tier's rate; until then the gateway need not ask again.
         let wait = -room * tier.window / tier.limit;
-        window_state.exhausted_until = (now + wait.min(MAX_EXHAUSTED), units);
+        window_state.exhausted = Exhausted { until: now + wait.min(MAX_EXHAUSTED), min_units: units };
         self.refund(driver, id);
-        self.try_next_tier(driver, id, k, wait);
+        self.try_next_tier(driver, id, tier_index, wait);
     }
 
-    /// Reads the closed window for a request that is then evaluated again at its total. Of a spread-out customer the one add
-    /// that brings it past `CARRY_OVER_FROM` reads for all gateways, and adds what the closed window left undrained to the current
-    /// key: a single total tells everything, also where the customer is seen once a minute.
+    /// Reads the closed window for a request, which is then evaluated again with `total_to_evaluate`. For a spread-out
+    /// customer (`None`), the one add that crosses `CARRY_OVER_FROM` reads on behalf of all gateways and adds the undrained
+    /// part of the closed window to the current key: a single total is then enough, even at a gateway that sees the customer
+    /// once a minute.
     pub(crate) fn read_closed_window(
         &mut self,
         driver: &mut dyn Driver,
         id: u32,
-        k: usize,
-        at: Option<f64>,
+        tier_index: usize,
+        total_to_evaluate: Option<f64>,
         window: (u64, f64),
     ) {
         let (index, elapsed_part) = window;
-        // How far one closed window moves the local share: a few windows are enough to converge.
+        // Weight of one closed window in the local share, which converges within a few windows.
         const SHARE_STEP: f64 = 0.5;
         let (customer, plan, _) = self.quota_subject(id);
-        let tier = self.tiers[plan][k];
-        let keep = tier.window * 2.0 + 0.5;
-        let [before, present] = [index - 1, index].map(|index| counter_key(customer, k as u64, index));
-        let next: CounterContinuation = Box::new(move |gateway, driver, read| {
-            let mine = gateway.counters.get(&before).map_or(0.0, |t| t.wanted);
+        let tier = self.tiers[plan][tier_index];
+        let lifetime = tier.window * 2.0 + 0.5;
+        let [closed_key, current_key] =
+            [index - 1, index].map(|index| counter_key(customer, tier_index as u64, index));
+        let next: CounterContinuation = Box::new(move |gateway, driver, reply| {
+            let own_units = gateway.counters.get(&closed_key).map_or(0.0, |entry| entry.wanted);
             let Some(customer_state) = gateway.customers.get_mut(&customer) else { return };
             let share = customer_state.local_share;
-            // A closed window that holds less than this gateway sent was lost by the counter: use the own part and share.
-            let read = read.filter(|read| read + 0.01 >= mine);
-            let Some(total) = at else {
-                let left = read.map_or(0.0, |read| (read - tier.limit).clamp(0.0, tier.limit));
-                gateway.counter_entry(present, keep).wanted += left;
-                return gateway.send_add(driver, present, keep, None);
+            // A closed window with less than this gateway sent was lost by the counter: use the own units and share instead.
+            let reply = reply.filter(|total| total + 0.01 >= own_units);
+            let Some(total) = total_to_evaluate else {
+                let undrained = reply.map_or(0.0, |total| (total - tier.limit).clamp(0.0, tier.limit));
+                gateway.counter_entry(current_key, lifetime).wanted += undrained;
+                return gateway.send_add(driver, current_key, lifetime, None);
             };
-            let closed = read.unwrap_or(mine / share);
-            customer_state.windows[k].closed = Some((index - 1, closed));
-            if closed > 0.0 && mine > 0.0 {
-                customer_state.local_share += SHARE_STEP * ((mine / closed).min(1.0) - share);
+            let closed_total = reply.unwrap_or(own_units / share);
+            customer_state.windows[tier_index].closed =
+                Some(ClosedWindow { index: index - 1, total: closed_total });
+            if closed_total > 0.0 && own_units > 0.0 {
+                customer_state.local_share += SHARE_STEP * ((own_units / closed_total).min(1.0) - share);
             }
             if gateway.requests.contains_key(&id) {
-                gateway.evaluate_total(driver, id, k, total, index, elapsed_part);
+                gateway.evaluate_total(driver, id, tier_index, total, index, elapsed_part);
             }
         });
-        self.counter_entry(before, keep);
-        self.send_add(driver, before, keep, Some((if at.is_some() { id } else { u32::MAX }, next)));
+        self.counter_entry(closed_key, lifetime);
+        self.send_add(
+            driver,
+            closed_key,
+            lifetime,
+            Some((if total_to_evaluate.is_some() { id } else { u32::MAX }, next)),
+        );
     }
 
-    /// Decides without the counter, by the room last seen: it drains on, and each own request stands for the other gateways'
-    /// too, by the local share, into debt if need be: one request a minute of a customer spread over fifty gateways is
-    /// admitted. Could harm where the share is far too low. The older the last total, the more may be owed, up to a burst.
-    /// Most of those rejected on an estimate are within their quota: the cheaper overage is, the more is admitted, once for
-    /// the whole fleet.
+    /// Decides without the counter, from the room last seen. Past use keeps draining, and each request seen here also
+    /// represents those at other gateways, by the local share. The room may go into debt, up to a burst, the more the older
+    /// the last total is: otherwise one request a minute of a customer spread over fifty gateways would be rejected. A share
+    /// that is far too low does harm here. Most requests rejected on an estimate are within their quota, so the cheaper
+    /// overage is, the larger the extra allowance, granted once for the whole fleet.
     pub(crate) fn decide_locally(&mut self, driver: &mut dyn Driver, id: u32) {
-        // A share learned from one closed window may be next to nothing; more than a thousand gateways are unlikely.
+        // A share learned from a single closed window may be close to 0; more than a thousand gateways are unlikely.
         const MIN_SHARE: f64 = 0.001;
         let (customer, plan, units) = self.quota_subject(id);
-        let PlanLimits { rate, burst, overage_cost: over_costs, .. } = self.settings.plans[plan];
+        let PlanLimits { rate, burst, overage_cost, .. } = self.settings.plans[plan];
         let Some(customer_state) = self.customers.get_mut(&customer) else { return };
         let cost = units / customer_state.local_share.max(MIN_SHARE);
-        // At most four bursts, and few where a request is a small part of one: with few gateways more did harm.
-        let guess = (cost / burst.max(1e-9)).min(1.0);
-        let spared = if over_costs > 0.0 { guess * guess * burst / over_costs.max(0.25) } else { 0.0 };
+        // At most four bursts, and little where a request is a small part of one: a larger allowance did harm with few
+        // gateways.
+        let uncertainty = (cost / burst.max(1e-9)).min(1.0);
+        let allowance =
+            if overage_cost > 0.0 { uncertainty * uncertainty * burst / overage_cost.max(0.25) } else { 0.0 };
         let window_state = &mut customer_state.windows[0];
         let grown = window_state.room + (self.now - window_state.updated_at) * rate;
-        let room = (grown - window_state.granted_unasked).min(burst);
-        if room + (grown - window_state.room).min(burst) + spared + 1e-9 >= cost.min(burst.max(units)) {
-            window_state.granted_unasked = grown - room + cost;
-            if !self.rate_limits[plan].0 || self.within_rate_limit(id) {
+        let room = (grown - window_state.granted_locally).min(burst);
+        if room + (grown - window_state.room).min(burst) + allowance + 1e-9 >= cost.min(burst.max(units)) {
+            window_state.granted_locally = grown - room + cost;
+            if !self.rate_limits[plan].enforced_by_counter || self.within_rate_limit(id) {
                 return self.dispatch(driver, id);
             }
         }
-        // The rejection is an estimate: the next try should come soon enough to ask the counter in time.
+        // The rejection rests on an estimate, so the client's next try should come soon enough to ask the counter in time.
         self.refund(driver, id);
         self.reject_overloaded(driver, id);
     }
