--- a/crates/admission/tests/all/departures.rs
+++ b/crates/admission/tests/all/departures.rs
@@ -1,49 +1,50 @@
-//! What clients that leave cost their customers: nothing, unless a host may have run it.
+//! What a request costs its customer after the client disconnected: nothing, unless a host may have run it.
 
-use crate::world::*;
+use crate::harness::*;
 use archlink_admission::interface::*;
 
-fn world() -> World {
+fn harness() -> Harness {
     let plan = PlanLimits { rate: 5.0, burst: 40.0, ..PlanLimits::default() };
-    World::new(AdmissionSettings { plans: vec![plan], gateways: 1, ..terms() }, 3)
+    Harness::new(AdmissionSettings { plans: vec![plan], gateways: 1, ..settings() }, 3)
 }
 
-fn leave(world: &mut World, id: u32) {
-    world.rules.taken.entry(id).and_modify(|taken| taken.answer = Some(Answer::Left));
-    world.gateway.client_disconnected(world.rules.now, &mut world.rules, id);
-    world.count_all();
+fn disconnect(harness: &mut Harness, id: u32) {
+    harness.checker.requests.entry(id).and_modify(|tracked| tracked.answer = Some(Answer::ClientLeft));
+    harness.admission.client_disconnected(harness.checker.now, &mut harness.checker, id);
+    harness.answer_counter_calls();
 }
 
-fn used(world: &World) -> f64 {
-    world.totals.values().map(|total| total.0).sum()
+fn units_used(harness: &Harness) -> f64 {
+    harness.counter_totals.values().map(|total| total.0).sum()
 }
 
-/// Its add was not taken back: a customer whose clients are impatient used its quota up without any request run.
+/// The add of a request whose client disconnected before the counter replied was not refunded: a customer with impatient
+/// clients used up its quota although no request ran.
 #[test]
-fn what_a_client_that_left_while_it_was_counted_took_is_given_back() {
-    let mut world = world();
+fn disconnect_before_the_counter_replies_is_refunded() {
+    let mut harness = harness();
     for n in 0..60 {
-        let id = world.arrive(0, 0, 1, 1.0, 2.5);
-        leave(&mut world, id);
-        assert!(used(&world).abs() < 1e-9, "{} used after {n}", used(&world));
-        world.pass(0.01);
+        let id = harness.arrive(0, 0, 1, 1.0, 2.5);
+        disconnect(&mut harness, id);
+        assert!(units_used(&harness).abs() < 1e-9, "{} units used after request {n}", units_used(&harness));
+        harness.advance(0.01);
     }
-    assert!(world.rules.broken.is_empty(), "{:?}", world.rules.broken);
+    assert!(harness.checker.violations.is_empty(), "{:?}", harness.checker.violations);
 }
 
-/// What a host is at work on, or may have run, stays counted.
+/// A request that a host is running, or may have run, stays charged.
 #[test]
-fn what_may_have_run_stays_counted_when_its_client_leaves() {
+fn request_that_may_have_run_stays_charged_after_a_disconnect() {
     for ended in [None, Some(Outcome::Reset)] {
-        let mut world = world();
-        // Effectful: after a reset it may go nowhere else, and its client may leave before it is told.
-        let id = world.arrive(2, 0, 1, 1.0, 2.5);
-        world.count_all();
-        assert_eq!(world.hand_offs(id), 1);
+        let mut harness = harness();
+        // Effectful: it may not be retried after a reset, and its client may disconnect before it is answered.
+        let id = harness.arrive(2, 0, 1, 1.0, 2.5);
+        harness.answer_counter_calls();
+        assert_eq!(harness.attempt_count(id), 1);
         if let Some(outcome) = ended {
-            world.end(id, 0, outcome);
+            harness.end_attempt(id, 0, outcome);
         }
-        leave(&mut world, id);
-        assert!((used(&world) - 1.0).abs() < 1e-9, "{ended:?}: {} used", used(&world));
+        disconnect(&mut harness, id);
+        assert!((units_used(&harness) - 1.0).abs() < 1e-9, "{ended:?}: {} units used", units_used(&harness));
     }
 }
--- a/crates/admission/tests/all/main.rs
+++ b/crates/admission/tests/all/main.rs
@@ -1,6 +1,6 @@
-//! Tests of the admission decisions: rules under drawn events, and cases found in service.
+//! Tests of the admission decisions: rules under generated events, and regression tests of single failures.
 
 mod cases;
 mod departures;
+mod harness;
 mod rules;
-mod world;
