--- a/crates/admission-settings/src/error.rs
+++ b/crates/admission-settings/src/error.rs
@@ -1,11 +1,11 @@
-//! Why a settings object is refused.
+//! Errors of a settings object.
 
 use std::fmt;
 
 /// A wrong value in a settings object.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError {
-    /// Path of the key, as `classes.0.effect`.
+    /// Path of the key, such as `classes.0.effect`.
     pub key: String,
     /// What is wrong with its value.
     pub problem: Problem,
@@ -14,7 +14,7 @@
 /// What is wrong with a value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Problem {
-    /// The key is needed and absent.
+    /// The key is required and absent.
     Missing,
     /// Not a number.
     NotANumber,
@@ -26,9 +26,9 @@
     TooMany,
     /// Not a fraction from 0 to 1.
     NotAFraction,
-    /// None of the words that are allowed here.
+    /// Not one of the allowed words.
     UnknownValue,
-    /// A cap on attempts open at once, which is not supported.
+    /// A limit on concurrent attempts, which is not supported.
     UnsupportedCap,
 }
 
@@ -45,11 +45,11 @@
             Problem::NotANumber => "not a number",
             Problem::NegativeOrInfinite => "negative or infinite",
             Problem::NotABoolean => "neither true nor false",
-            Problem::TooMany => "too many",
-            Problem::NotAFraction => "a share, 0 to 1",
-            Problem::UnknownValue => "unknown",
+            Problem::TooMany => "too many entries",
+            Problem::NotAFraction => "not a fraction from 0 to 1",
+            Problem::UnknownValue => "unknown value",
             Problem::UnsupportedCap => {
-                "a cap on hand-offs open at once is not kept; give the plan a rate, or 0 here"
+                "a limit on concurrent attempts is not supported; set a rate for the plan, or 0 here"
             }
         })
     }
--- a/crates/admission-settings/src/lib.rs
+++ b/crates/admission-settings/src/lib.rs
@@ -1,8 +1,8 @@
-//! The settings object of a deployment, read into the admission module's types, once, for every driver.
+//! Reads the settings object of a deployment into the types of the admission decisions, for all drivers.
 //!
-//! It comes as lines of `path=value` or as nested JSON of the same names. Unknown keys are ignored; a wrong value is an
-//! error that names its key. This package owns the names and units of the settings and has no default that steers a
-//! decision.
+//! The settings are lines of `path=value` or nested JSON with the same names. Unknown keys are ignored; an invalid value is
+//! an error that names its key. This package defines the names and units of the settings. None of its defaults influences
+//! a decision.
 
 mod error;
 mod values;
@@ -11,19 +11,19 @@
 
 use archlink_admission::interface::*;
 use serde_json::Value;
-use values::{Values, refuse};
+use values::{Values, error_at};
 
-/// Where the settings name no time for a connection to a host to come up, in microseconds.
-const CONNECT_TIMEOUT: f64 = 250_000.0;
-/// Where they name no time after which hosts close idle connections, in microseconds.
-const IDLE_CLOSE: f64 = 15_000_000.0;
-/// Where they name no longest wait between two subscriptions, in microseconds.
-const MUST_ASK_IN: f64 = 1e7;
+/// Default timeout of a connection attempt to a host, in microseconds.
+const DEFAULT_CONNECT_TIMEOUT: f64 = 250_000.0;
+/// Default time after which hosts close idle connections, in microseconds.
+const DEFAULT_IDLE_CLOSE: f64 = 15_000_000.0;
+/// Default of the longest wait between two attempts to subscribe, in microseconds.
+const DEFAULT_MAX_SUBSCRIBE_WAIT: f64 = 1e7;
 
-/// The module's settings, and what a driver needs to read and write its own protocol.
+/// Settings of the admission decisions, and what a driver needs besides to read and write its own protocol.
 #[derive(Clone, Debug)]
 pub struct ParsedSettings {
-    /// For the admission module.
+    /// Settings of the admission decisions.
     pub admission: AdmissionSettings,
     /// Names of the request classes, by index.
     pub classes: Vec<String>,
@@ -33,15 +33,15 @@
     pub zones: Vec<String>,
     /// Names of the kinds of hosts, by index.
     pub kinds: Vec<String>,
-    /// Names of the values in a host's load report.
+    /// Names of the fields in a host's load report, in order.
     pub load_report_fields: Vec<String>,
-    /// Seconds for a connection to a host to come up.
+    /// Timeout of a connection attempt to a host, in seconds.
     pub connect_timeout: f64,
     /// Seconds after which hosts close idle connections.
     pub idle_close: f64,
 }
 
-/// Sets one value of a host's load report, by the name that the settings give it; unknown names are ignored.
+/// Sets one field of a host's load report by its name in the settings; unknown names are ignored.
 pub fn set_load_field(load: &mut Load, name: &str, value: f64) {
     match name {
         "busy" | "util" => load.util = Some(value),
@@ -53,7 +53,7 @@
 /// Reads settings from lines of `path=value`.
 ///
 /// # Errors
-/// The key of the first wrong value, and what is wrong with it.
+/// Fails at the first invalid value; the error has its key and what is wrong with it.
 pub fn from_lines(text: &str) -> Result<ParsedSettings, SettingsError> {
     parse(&Values::from_lines(text))
 }
@@ -61,13 +61,13 @@
 /// Reads settings from nested JSON.
 ///
 /// # Errors
-/// As [`from_lines`]; a plan's cap on attempts open at once is refused as well.
+/// Fails like [`from_lines`], and also if a plan limits concurrent attempts.
 pub fn from_json(settings: &Value) -> Result<ParsedSettings, SettingsError> {
     let values = Values::from_json(settings);
     for n in 0..values.count("contracts.count")? {
         let key = format!("contracts.{n}.max-out");
         if values.number_or(&key, 0.0)? > 0.0 {
-            return Err(refuse(key, Problem::UnsupportedCap));
+            return Err(error_at(key, Problem::UnsupportedCap));
         }
     }
     parse(&values)
@@ -83,8 +83,8 @@
         zones: values.list("zones"),
         kinds: values.list("kinds"),
         load_report_fields: values.list("telemetry.fields"),
-        connect_timeout: values.seconds_or("limits.connect-timeout-us", CONNECT_TIMEOUT)?,
-        idle_close: values.seconds_or("limits.idle-close-us", IDLE_CLOSE)?,
+        connect_timeout: values.seconds_or("limits.connect-timeout-us", DEFAULT_CONNECT_TIMEOUT)?,
+        idle_close: values.seconds_or("limits.idle-close-us", DEFAULT_IDLE_CLOSE)?,
     })
 }
 
@@ -104,7 +104,7 @@
         settles: values.flag("domain.settles")?,
         max_units: values.number_or("domain.most-units", 1.0)?,
         must_subscribe: values.get("discovery") == Some("subscribe"),
-        ask_within: values.seconds_or("obligations.must-ask-in-us", MUST_ASK_IN)?,
+        ask_within: values.seconds_or("obligations.must-ask-in-us", DEFAULT_MAX_SUBSCRIBE_WAIT)?,
         sized: values.get("weights").is_some_and(|meaning| meaning != "silent"),
         max_attempts: values.number("limits.max-attempts")? as u32,
         may_hedge: values.flag("limits.second-copies")?,
@@ -128,13 +128,13 @@
             "pure" => Effect::Pure,
             "token" => Effect::Receipted,
             "side_effect" => Effect::Effectful,
-            _ => return Err(refuse(key("effect"), Problem::UnknownValue)),
+            _ => return Err(error_at(key("effect"), Problem::UnknownValue)),
         },
         dedup_scope: match values.get(&key("key-scope")) {
             Some("zone") => DedupScope::Zone,
             Some("cell") => DedupScope::Cell,
             None | Some("all") => DedupScope::All,
-            Some(_) => return Err(refuse(key("key-scope"), Problem::UnknownValue)),
+            Some(_) => return Err(error_at(key("key-scope"), Problem::UnknownValue)),
         },
         latency_target: values.seconds(&key("on-time-us"))?,
         client_timeout: values.seconds(&key("deadline-us"))?,
--- a/crates/admission-settings/src/values.rs
+++ b/crates/admission-settings/src/values.rs
@@ -1,25 +1,25 @@
-//! Typed access to the values of a settings object, by the paths of their keys.
+//! Typed access to the values of a settings object by the paths of their keys.
 
 use crate::error::{Problem, SettingsError};
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// Longest list of classes or plans.
+/// The largest number of classes or plans.
 const MAX_ENTRIES: f64 = 10_000.0;
-/// Microseconds in a second: times in the settings are in microseconds.
-const MICROSECONDS: f64 = 1e6;
+/// Microseconds in a second; times in the settings are in microseconds.
+const MICROSECONDS_PER_SECOND: f64 = 1e6;
 
-/// Values by the path of their key.
+/// Values by the paths of their keys.
 pub(crate) struct Values(BTreeMap<String, String>);
 
 impl Values {
-    /// From lines of `path=value`; other lines are ignored.
+    /// Reads lines of `path=value`; other lines are ignored.
     pub(crate) fn from_lines(text: &str) -> Values {
         let pairs = text.lines().filter_map(|line| line.split_once('='));
         Values(pairs.map(|(key, value)| (key.to_string(), value.to_string())).collect())
     }
 
-    /// From nested JSON, flattened to the same paths.
+    /// Reads nested JSON, flattened to the same paths.
     pub(crate) fn from_json(settings: &Value) -> Values {
         let mut values = BTreeMap::new();
         flatten(settings, String::new(), &mut values);
@@ -31,13 +31,14 @@
     }
 
     pub(crate) fn text(&self, key: &str) -> Result<&str, SettingsError> {
-        self.get(key).ok_or_else(|| refuse(key, Problem::Missing))
+        self.get(key).ok_or_else(|| error_at(key, Problem::Missing))
     }
 
+    /// A finite number that is not negative.
     pub(crate) fn number(&self, key: &str) -> Result<f64, SettingsError> {
-        let value: f64 = self.text(key)?.parse().map_err(|_| refuse(key, Problem::NotANumber))?;
+        let value: f64 = self.text(key)?.parse().map_err(|_| error_at(key, Problem::NotANumber))?;
         if !value.is_finite() || value < 0.0 {
-            return Err(refuse(key, Problem::NegativeOrInfinite));
+            return Err(error_at(key, Problem::NegativeOrInfinite));
         }
         Ok(value)
     }
@@ -48,35 +49,35 @@
 
     /// A time in microseconds, as seconds.
     pub(crate) fn seconds(&self, key: &str) -> Result<f64, SettingsError> {
-        Ok(self.number(key)? / MICROSECONDS)
+        Ok(self.number(key)? / MICROSECONDS_PER_SECOND)
     }
 
-    /// The same; `absent` is in microseconds as well.
+    /// Like `seconds`, with a default; `absent` is in microseconds as well.
     pub(crate) fn seconds_or(&self, key: &str, absent: f64) -> Result<f64, SettingsError> {
-        Ok(self.number_or(key, absent)? / MICROSECONDS)
+        Ok(self.number_or(key, absent)? / MICROSECONDS_PER_SECOND)
     }
 
-    /// A fraction from 0 to 1.
+    /// A fraction from 0 to 1, with a default.
     pub(crate) fn fraction_or(&self, key: &str, absent: f64) -> Result<f64, SettingsError> {
         match self.number_or(key, absent)? {
             fraction if fraction <= 1.0 => Ok(fraction),
-            _ => Err(refuse(key, Problem::NotAFraction)),
+            _ => Err(error_at(key, Problem::NotAFraction)),
         }
     }
 
-    /// A boolean; false where it is absent.
+    /// A boolean, false if absent.
     pub(crate) fn flag(&self, key: &str) -> Result<bool, SettingsError> {
         match self.get(key) {
             None | Some("false") => Ok(false),
             Some("true") => Ok(true),
-            Some(_) => Err(refuse(key, Problem::NotABoolean)),
+            Some(_) => Err(error_at(key, Problem::NotABoolean)),
         }
     }
 
-    /// The number of entries of a list.
+    /// The number of entries in a list.
     pub(crate) fn count(&self, key: &str) -> Result<usize, SettingsError> {
         let count = self.number(key)?;
-        if count <= MAX_ENTRIES { Ok(count as usize) } else { Err(refuse(key, Problem::TooMany)) }
+        if count <= MAX_ENTRIES { Ok(count as usize) } else { Err(error_at(key, Problem::TooMany)) }
     }
 
     /// Values separated by commas.
@@ -85,30 +86,33 @@
         text.split(',').filter(|entry| !entry.is_empty()).map(str::to_string).collect()
     }
 
-    /// Names of the entries of a list of objects; an entry without one has an empty name.
+    /// Names of the entries in a list of objects; an entry without a name gets an empty one.
     pub(crate) fn names(&self, list: &str) -> Result<Vec<String>, SettingsError> {
         let name = |n: usize| self.get(&format!("{list}.{n}.name")).unwrap_or_default().to_string();
         Ok((0..self.count(&format!("{list}.count"))?).map(name).collect())
     }
 }
 
-/// An error that names `key`.
-pub(crate) fn refuse(key: impl Into<String>, problem: Problem) -> SettingsError {
+/// The error for the value at `key`.
+pub(crate) fn error_at(key: impl Into<String>, problem: Problem) -> SettingsError {
     SettingsError { key: key.into(), problem }
 }
 
-/// Lists of objects become `path.count` and `path.N.key`, lists of values `path.count` and one line with commas.
+/// Flattens a JSON value: a list of objects becomes `path.count` and `path.N.key`, a list of scalars `path.count` and one
+/// comma-separated value.
 fn flatten(value: &Value, path: String, values: &mut BTreeMap<String, String>) {
-    let below = |name: &str| if path.is_empty() { name.to_string() } else { format!("{path}.{name}") };
+    let path_of = |name: &str| if path.is_empty() { name.to_string() } else { format!("{path}.{name}") };
     match value {
-        Value::Object(fields) => fields.iter().for_each(|(name, field)| flatten(field, below(name), values)),
+        Value::Object(fields) => {
+            fields.iter().for_each(|(name, field)| flatten(field, path_of(name), values))
+        }
         Value::Array(items) if items.iter().any(Value::is_object) => {
-            values.insert(below("count"), items.len().to_string());
-            items.iter().enumerate().for_each(|(n, item)| flatten(item, below(&n.to_string()), values));
+            values.insert(path_of("count"), items.len().to_string());
+            items.iter().enumerate().for_each(|(n, item)| flatten(item, path_of(&n.to_string()), values));
         }
         Value::Array(items) => {
             let entries: Vec<String> = items.iter().map(scalar).collect();
-            values.insert(below("count"), items.len().to_string());
+            values.insert(path_of("count"), items.len().to_string());
             values.insert(path, entries.join(","));
         }
         value => {
--- a/crates/admission-settings/tests/forms.rs
+++ b/crates/admission-settings/tests/forms.rs
@@ -1,4 +1,4 @@
-//! The two forms of the settings object say the same.
+//! The two forms of the settings object, lines and JSON, give the same settings.
 
 use archlink_admission_settings::{from_json, from_lines};
 use serde_json::json;
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn plan_with_an_unsupported_cap_is_refused_by_its_key() {
+fn limit_on_concurrent_attempts_is_rejected_with_its_key() {
     let parsed = from_json(&json!({"contracts": [{"name": "team", "max-out": 3}]}));
     assert!(parsed.unwrap_err().to_string().starts_with("contracts.0.max-out: "));
 }
--- a/crates/admission-settings/tests/keys.rs
+++ b/crates/admission-settings/tests/keys.rs
@@ -1,10 +1,10 @@
-//! The settings object as operators write it: every key that is read, and the field that its value goes to.
+//! Every key of the settings object as operators write it, and the field that its value is read into.
 
 use archlink_admission::interface::{AdmissionSettings, DedupScope, Effect, PlanLimits, RequestClass};
 use archlink_admission_settings::{ParsedSettings, from_json};
 use serde_json::{Value, json};
 
-fn whole() -> Value {
+fn all_keys() -> Value {
     json!({
         "classes": [
             {"name": "look", "effect": "pure", "key-scope": "zone", "on-time-us": 800_000, "deadline-us": 3_000_000,
@@ -29,96 +29,102 @@
 #[test]
 fn every_key_of_the_settings_object_is_read_into_its_field() {
     let ParsedSettings {
-        admission: terms,
-        classes: lanes,
-        plans,
+        admission: settings,
+        classes: class_names,
+        plans: plan_names,
         zones,
         kinds,
-        load_report_fields: report,
+        load_report_fields,
         connect_timeout,
         idle_close,
-    } = from_json(&whole()).unwrap();
-    assert_eq!((lanes, plans), (vec!["look".into(), "file".into(), "pay".into()], vec!["team".into()]));
+    } = from_json(&all_keys()).unwrap();
+    assert_eq!(
+        (class_names, plan_names),
+        (vec!["look".into(), "file".into(), "pay".into()], vec!["team".into()])
+    );
     assert_eq!((zones, kinds), (vec!["a".to_string(), "b".into()], vec!["k".to_string(), "l".into()]));
     assert_eq!(
-        (report, connect_timeout, idle_close),
+        (load_report_fields, connect_timeout, idle_close),
         (vec!["busy".to_string(), "lat_ms".into()], 0.125, 30.0)
     );
     let AdmissionSettings {
-        classes: lanes,
+        classes,
         plans,
         gateways,
-        gateway_number: my_number,
-        zone: my_zone,
+        gateway_number,
+        zone,
         may_count,
         count_timeout,
         settles,
-        max_units: most_units,
+        max_units,
         must_subscribe,
         ask_within,
         sized,
-        max_attempts: most_hand_offs,
-        may_hedge: second_copies,
+        max_attempts,
+        may_hedge,
         may_cancel,
         may_probe,
-        may_message_peers: may_tell,
+        may_message_peers,
         may_advise,
-        max_retry_after: most_advice,
+        max_retry_after,
         drain_grace,
         cold_from,
         warm_up,
         tip_multiple,
         tip_for,
-    } = terms;
+    } = settings;
     let RequestClass {
-        latency_target: goal,
-        client_timeout: abandon,
+        latency_target,
+        client_timeout,
         importance,
-        late_value: late_worth,
+        late_value,
         effect,
-        dedup_scope: group,
-        dedup_window: memory,
-    } = lanes[0].clone();
-    assert_eq!((goal, abandon, importance, late_worth, memory), (0.8, 3.0, 2.5, 0.25, 15.0));
-    assert!(matches!((effect, group), (Effect::Pure, DedupScope::Zone)));
-    assert!(matches!((lanes[1].effect, lanes[1].dedup_scope), (Effect::Receipted, DedupScope::Cell)));
-    assert!(matches!((lanes[2].effect, lanes[2].dedup_scope), (Effect::Effectful, DedupScope::All)));
+        dedup_scope,
+        dedup_window,
+    } = classes[0].clone();
+    assert_eq!(
+        (latency_target, client_timeout, importance, late_value, dedup_window),
+        (0.8, 3.0, 2.5, 0.25, 15.0)
+    );
+    assert!(matches!((effect, dedup_scope), (Effect::Pure, DedupScope::Zone)));
+    assert!(matches!((classes[1].effect, classes[1].dedup_scope), (Effect::Receipted, DedupScope::Cell)));
+    assert!(matches!((classes[2].effect, classes[2].dedup_scope), (Effect::Effectful, DedupScope::All)));
     let PlanLimits {
         rate,
         burst,
-        overage_revenue: over_earns,
-        overage_cost: over_costs,
+        overage_revenue,
+        overage_cost,
         price,
-        rate_limit: ceiling_rate,
-        rate_limit_burst: ceiling_burst,
-        rate_limit_slack: ceiling_slack,
+        rate_limit,
+        rate_limit_burst,
+        rate_limit_slack,
     } = plans[0].clone();
-    assert_eq!((rate, burst, over_earns, over_costs), (1.5, 8.0, 0.5, 0.75));
-    assert_eq!((price, ceiling_rate, ceiling_burst, ceiling_slack), (3.0, 4.0, 5.0, 6.0));
-    assert_eq!((gateways, my_number, my_zone), (3, 2, 1));
-    assert_eq!((may_count, count_timeout, settles, most_units), (true, 0.03, true, 4.0));
-    assert_eq!((must_subscribe, ask_within, sized, most_hand_offs), (true, 2.5, true, 5));
-    assert!(second_copies && may_cancel && may_probe && may_tell && may_advise);
-    assert_eq!((most_advice, drain_grace, cold_from), (0.5, 0.25, 0.25));
+    assert_eq!((rate, burst, overage_revenue, overage_cost), (1.5, 8.0, 0.5, 0.75));
+    assert_eq!((price, rate_limit, rate_limit_burst, rate_limit_slack), (3.0, 4.0, 5.0, 6.0));
+    assert_eq!((gateways, gateway_number, zone), (3, 2, 1));
+    assert_eq!((may_count, count_timeout, settles, max_units), (true, 0.03, true, 4.0));
+    assert_eq!((must_subscribe, ask_within, sized, max_attempts), (true, 2.5, true, 5));
+    assert!(may_hedge && may_cancel && may_probe && may_message_peers && may_advise);
+    assert_eq!((max_retry_after, drain_grace, cold_from), (0.5, 0.25, 0.25));
     assert_eq!((warm_up, tip_multiple, tip_for), (14.0, 4.5, 2.0));
 }
 
 #[test]
-fn wrong_value_is_refused_with_its_key() {
-    for (at, value, error) in [
-        ("/classes/0/effect", json!("x"), "classes.0.effect: unknown"),
-        ("/classes/0/key-scope", json!("x"), "classes.0.key-scope: unknown"),
+fn invalid_value_is_rejected_with_its_key() {
+    for (pointer, value, error) in [
+        ("/classes/0/effect", json!("x"), "classes.0.effect: unknown value"),
+        ("/classes/0/key-scope", json!("x"), "classes.0.key-scope: unknown value"),
         ("/classes/0/on-time-us", json!("x"), "classes.0.on-time-us: not a number"),
         ("/classes/0/deadline-us", json!(-1), "classes.0.deadline-us: negative or infinite"),
-        ("/classes/0/late-share", json!(2), "classes.0.late-share: a share, 0 to 1"),
+        ("/classes/0/late-share", json!(2), "classes.0.late-share: not a fraction from 0 to 1"),
         ("/contracts/0/rate", json!("x"), "contracts.0.rate: not a number"),
         ("/domain/may-count", json!("x"), "domain.may-count: neither true nor false"),
         ("/peers-total", json!("x"), "peers-total: not a number"),
         ("/limits/max-attempts", json!("x"), "limits.max-attempts: not a number"),
         ("/obligations/cold-from", json!("x"), "obligations.cold-from: not a number"),
     ] {
-        let mut settings = whole();
-        *settings.pointer_mut(at).unwrap() = value;
+        let mut settings = all_keys();
+        *settings.pointer_mut(pointer).unwrap() = value;
         assert_eq!(from_json(&settings).unwrap_err().to_string(), error);
     }
 }
