--- a/crates/admission-settings/src/lib.rs
+++ b/crates/admission-settings/src/lib.rs
@@ -126,7 +126,7 @@
     Ok(RequestClass {
         effect: match values.text(&key("effect"))? {
             "pure" => Effect::Pure,
-            "token" => Effect::Receipted,
+            "token" => Effect::Deduplicated,
             "side_effect" => Effect::Effectful,
             _ => return Err(error_at(key("effect"), Problem::UnknownValue)),
         },
--- a/crates/admission-settings/tests/keys.rs
+++ b/crates/admission-settings/tests/keys.rs
@@ -87,7 +87,7 @@
         (0.8, 3.0, 2.5, 0.25, 15.0)
     );
     assert!(matches!((effect, dedup_scope), (Effect::Pure, DedupScope::Zone)));
-    assert!(matches!((classes[1].effect, classes[1].dedup_scope), (Effect::Receipted, DedupScope::Cell)));
+    assert!(matches!((classes[1].effect, classes[1].dedup_scope), (Effect::Deduplicated, DedupScope::Cell)));
     assert!(matches!((classes[2].effect, classes[2].dedup_scope), (Effect::Effectful, DedupScope::All)));
     let PlanLimits {
         rate,
--- a/crates/admission/src/admission.rs
+++ b/crates/admission/src/admission.rs
@@ -36,7 +36,7 @@
     pub(crate) fn of(class: &RequestClass) -> ClassPolicy {
         let (retryable, dedup_scope, dedup_window, client_may_retry) = match class.effect {
             Effect::Pure => (true, DedupScope::All, f64::INFINITY, true),
-            Effect::Receipted => {
+            Effect::Deduplicated => {
                 (true, class.dedup_scope, class.dedup_window, class.dedup_scope == DedupScope::All)
             }
             Effect::Effectful => (false, DedupScope::All, 0.0, false),
--- a/crates/admission/src/interface.rs
+++ b/crates/admission/src/interface.rs
@@ -11,7 +11,7 @@
     /// Reads only; may run any number of times.
     Pure,
     /// Carries an idempotency key; hosts drop repeats of a key within its [`DedupScope`], for a limited time.
-    Receipted,
+    Deduplicated,
     /// Must not run twice.
     Effectful,
 }
--- a/crates/admission/tests/all/cases.rs
+++ b/crates/admission/tests/all/cases.rs
@@ -395,7 +395,7 @@
 }
 
 #[test]
-fn receipted_request_is_retried_only_within_its_dedup_scope() {
+fn deduplicated_request_is_retried_only_within_its_dedup_scope() {
     let mut harness = Harness::new(settings(), 6);
     let id = harness.arrive(1, 1, 1, 1.0, 2.5);
     harness.answer_counter_calls();
@@ -713,7 +713,7 @@
     assert_eq!(calls_after_failures(true), calls_after_failures(false));
 }
 
-/// A receipted request that a silent host held for seconds, with no other host in its cell, counted against the capacity
+/// A deduplicated request that a silent host held for seconds, with no other host in its cell, counted against the capacity
 /// of all other hosts.
 #[test]
 fn silent_host_is_ejected_even_if_its_request_cannot_be_retried() {
--- a/crates/admission/tests/all/harness.rs
+++ b/crates/admission/tests/all/harness.rs
@@ -24,9 +24,9 @@
     AdmissionSettings {
         classes: vec![
             request_class(Effect::Pure, DedupScope::All),
-            request_class(Effect::Receipted, DedupScope::Cell),
+            request_class(Effect::Deduplicated, DedupScope::Cell),
             request_class(Effect::Effectful, DedupScope::All),
-            request_class(Effect::Receipted, DedupScope::All),
+            request_class(Effect::Deduplicated, DedupScope::All),
         ],
         plans: vec![
             PlanLimits { rate: 5.0, burst: 20.0, price: 1.0, overage_cost: 1.0, ..PlanLimits::default() },
@@ -116,7 +116,7 @@
         let nothing_ran = tracked.attempts.iter().all(|attempt| attempt.ended.is_some_and(never_ran));
         nothing_ran
             || class.effect == Effect::Pure
-            || (class.effect == Effect::Receipted && class.dedup_scope == DedupScope::All)
+            || (class.effect == Effect::Deduplicated && class.dedup_scope == DedupScope::All)
     }
 
     /// The rule that an attempt of this request at this host would break now, if any.
@@ -142,10 +142,10 @@
             _ if live && !self.settings.may_hedge => Some("two attempts in flight"),
             _ if tracked.attempts.len() >= self.settings.max_attempts as usize => Some("too many attempts"),
             Effect::Effectful if !may_have_run.is_empty() => Some("effectful request sent twice"),
-            Effect::Receipted if may_have_run.iter().any(|attempt| !in_scope(attempt)) => {
+            Effect::Deduplicated if may_have_run.iter().any(|attempt| !in_scope(attempt)) => {
                 Some("retry outside its dedup scope")
             }
-            Effect::Receipted if may_have_run.iter().any(|attempt| forgotten(attempt)) => {
+            Effect::Deduplicated if may_have_run.iter().any(|attempt| forgotten(attempt)) => {
                 Some("retry after its dedup window")
             }
             _ => None,
--- a/crates/gateway/src/http/request_parsing.rs
+++ b/crates/gateway/src/http/request_parsing.rs
@@ -32,7 +32,7 @@
     let field = |name| header(head.headers, name);
     let remaining = field(REQ_DEADLINE).and_then(parse_number).ok_or(Malformed)?;
     let id = field(REQ_ID).filter(|id| (1..=MAX_ID).contains(&id.len())).ok_or(Malformed)?;
-    if effect == Effect::Receipted && field(IDEMPOTENCY_KEY).is_none_or(str::is_empty) {
+    if effect == Effect::Deduplicated && field(IDEMPOTENCY_KEY).is_none_or(str::is_empty) {
         return Err(Malformed);
     }
     let Weight { units, spread, first } = parse_weight(&settings.admission, head.headers)?;
@@ -59,7 +59,7 @@
 fn parse_method(effect: Effect, method: Option<&str>) -> Result<&'static str, InvalidRequest> {
     match (effect, method) {
         (Effect::Pure, Some("GET")) => Ok("GET"),
-        (Effect::Receipted | Effect::Effectful, Some("POST")) => Ok("POST"),
+        (Effect::Deduplicated | Effect::Effectful, Some("POST")) => Ok("POST"),
         _ => Err(InvalidRequest::WrongMethod),
     }
 }
