--- a/crates/admission-settings/src/lib.rs
+++ b/crates/admission-settings/src/lib.rs
@@ -104,7 +104,7 @@
         settles: values.flag("domain.settles")?,
         max_units: values.number_or("domain.most-units", 1.0)?,
         must_subscribe: values.get("discovery") == Some("subscribe"),
-        ask_within: values.seconds_or("obligations.must-ask-in-us", DEFAULT_MAX_SUBSCRIBE_WAIT)?,
+        max_subscribe_wait: values.seconds_or("obligations.must-ask-in-us", DEFAULT_MAX_SUBSCRIBE_WAIT)?,
         sized: values.get("weights").is_some_and(|meaning| meaning != "silent"),
         max_attempts: values.number("limits.max-attempts")? as u32,
         may_hedge: values.flag("limits.second-copies")?,
--- a/crates/admission/src/host_list.rs
+++ b/crates/admission/src/host_list.rs
@@ -16,7 +16,8 @@
     ) {
         self.now = now;
         if update == HostListUpdate::Failed {
-            let delay = self.subscribe_backoff.failed(1.0, self.settings.ask_within, self.rng.rand_float());
+            let delay =
+                self.subscribe_backoff.failed(1.0, self.settings.max_subscribe_wait, self.rng.rand_float());
             self.schedule(delay, Box::new(|_, driver| driver.subscribe()));
             return self.arm_timer(driver);
         }
--- a/crates/admission/src/interface.rs
+++ b/crates/admission/src/interface.rs
@@ -91,7 +91,7 @@
     /// Whether host lists come by subscription.
     pub must_subscribe: bool,
     /// Longest wait between two attempts to subscribe, in seconds.
-    pub ask_within: f64,
+    pub max_subscribe_wait: f64,
     /// Whether hosts differ in capacity.
     pub sized: bool,
     /// Largest number of attempts for one request.
--- a/crates/admission/tests/all/harness.rs
+++ b/crates/admission/tests/all/harness.rs
@@ -42,7 +42,7 @@
         settles: false,
         max_units: 4.0,
         must_subscribe: false,
-        ask_within: 10.0,
+        max_subscribe_wait: 10.0,
         sized: false,
         max_attempts: 4,
         may_hedge: false,
--- a/crates/quota/src/counter_client.rs
+++ b/crates/quota/src/counter_client.rs
@@ -281,7 +281,7 @@
         settles: false,
         max_units: 1.0,
         must_subscribe: false,
-        ask_within: 1.0,
+        max_subscribe_wait: 1.0,
         sized: false,
         max_attempts: 1,
         may_hedge: false,
