--- a/crates/admission-settings/src/lib.rs
+++ b/crates/admission-settings/src/lib.rs
@@ -116,7 +116,7 @@
         drain_grace: values.seconds("obligations.drain-grace-us")?,
         cold_from: values.number("obligations.cold-from")?,
         warm_up: values.seconds("obligations.warm-up-us")?,
-        tip_multiple: values.number("obligations.tip-multiple")?,
+        overload_multiple: values.number("obligations.tip-multiple")?,
         tip_for: values.seconds("obligations.overload-for-us")?,
     })
 }
--- a/crates/admission/src/interface.rs
+++ b/crates/admission/src/interface.rs
@@ -115,7 +115,7 @@
     /// Seconds until a host that has started has its full capacity.
     pub warm_up: f64,
     /// Load at which a host becomes overloaded and slow, as a multiple of its capacity.
-    pub tip_multiple: f64,
+    pub overload_multiple: f64,
     /// Seconds for which an overloaded host stays slow.
     pub tip_for: f64,
 }
--- a/crates/admission/tests/all/harness.rs
+++ b/crates/admission/tests/all/harness.rs
@@ -54,7 +54,7 @@
         drain_grace: 1.0,
         cold_from: 0.2,
         warm_up: 15.0,
-        tip_multiple: 2.5,
+        overload_multiple: 2.5,
         tip_for: 2.0,
     }
 }
--- a/crates/admission/tests/all/rules.rs
+++ b/crates/admission/tests/all/rules.rs
@@ -171,8 +171,13 @@
 fn contradictory_settings() -> AdmissionSettings {
     let contradictory =
         AdmissionSettings { cold_from: 3.0, warm_up: 0.0, count_timeout: 0.0, max_units: 0.0, ..settings() };
-    let mut contradictory =
-        AdmissionSettings { gateways: 0, drain_grace: 0.0, tip_multiple: 0.0, tip_for: 0.0, ..contradictory };
+    let mut contradictory = AdmissionSettings {
+        gateways: 0,
+        drain_grace: 0.0,
+        overload_multiple: 0.0,
+        tip_for: 0.0,
+        ..contradictory
+    };
     contradictory.classes.iter_mut().for_each(|class| class.latency_target = 0.0);
     contradictory.plans[0].burst = 0.0;
     contradictory.plans[3].rate = 1e-9;
--- a/crates/quota/src/counter_client.rs
+++ b/crates/quota/src/counter_client.rs
@@ -293,7 +293,7 @@
         drain_grace: 0.0,
         cold_from: 1.0,
         warm_up: 0.0,
-        tip_multiple: 1.0,
+        overload_multiple: 1.0,
         tip_for: 0.0,
     }
 }
