--- a/crates/admission-settings/src/lib.rs
+++ b/crates/admission-settings/src/lib.rs
@@ -117,7 +117,7 @@
         cold_from: values.number("obligations.cold-from")?,
         warm_up: values.seconds("obligations.warm-up-us")?,
         overload_multiple: values.number("obligations.tip-multiple")?,
-        tip_for: values.seconds("obligations.overload-for-us")?,
+        overload_duration: values.seconds("obligations.overload-for-us")?,
     })
 }
 
--- a/crates/admission-settings/tests/keys.rs
+++ b/crates/admission-settings/tests/keys.rs
@@ -71,7 +71,7 @@
         cold_from,
         warm_up,
         overload_multiple,
-        tip_for,
+        overload_duration,
     } = settings;
     let RequestClass {
         latency_target,
@@ -106,7 +106,7 @@
     assert_eq!((must_subscribe, max_subscribe_wait, sized, max_attempts), (true, 2.5, true, 5));
     assert!(may_hedge && may_cancel && may_probe && may_message_peers && may_advise);
     assert_eq!((max_retry_after, drain_grace, cold_from), (0.5, 0.25, 0.25));
-    assert_eq!((warm_up, overload_multiple, tip_for), (14.0, 4.5, 2.0));
+    assert_eq!((warm_up, overload_multiple, overload_duration), (14.0, 4.5, 2.0));
 }
 
 #[test]
--- a/crates/admission/src/interface.rs
+++ b/crates/admission/src/interface.rs
@@ -117,7 +117,7 @@
     /// Load at which a host becomes overloaded and slow, as a multiple of its capacity.
     pub overload_multiple: f64,
     /// Seconds for which an overloaded host stays slow.
-    pub tip_for: f64,
+    pub overload_duration: f64,
 }
 
 /// State of a host in the host list.
--- a/crates/admission/tests/all/harness.rs
+++ b/crates/admission/tests/all/harness.rs
@@ -55,7 +55,7 @@
         cold_from: 0.2,
         warm_up: 15.0,
         overload_multiple: 2.5,
-        tip_for: 2.0,
+        overload_duration: 2.0,
     }
 }
 
--- a/crates/admission/tests/all/rules.rs
+++ b/crates/admission/tests/all/rules.rs
@@ -175,7 +175,7 @@
         gateways: 0,
         drain_grace: 0.0,
         overload_multiple: 0.0,
-        tip_for: 0.0,
+        overload_duration: 0.0,
         ..contradictory
     };
     contradictory.classes.iter_mut().for_each(|class| class.latency_target = 0.0);
--- a/crates/quota/src/counter_client.rs
+++ b/crates/quota/src/counter_client.rs
@@ -294,6 +294,6 @@
         cold_from: 1.0,
         warm_up: 0.0,
         overload_multiple: 1.0,
-        tip_for: 0.0,
+        overload_duration: 0.0,
     }
 }
