--- a/crates/admission-settings/src/lib.rs
+++ b/crates/admission-settings/src/lib.rs
@@ -111,7 +111,7 @@
         may_cancel: values.flag("limits.may-cancel")?,
         may_probe: values.flag("limits.probes")?,
         may_message_peers: values.flag("limits.peers")?,
-        may_advise: values.flag("limits.retry-after")?,
+        may_send_retry_after: values.flag("limits.retry-after")?,
         max_retry_after: values.seconds_or("limits.max-retry-after-us", 0.0)?,
         drain_grace: values.seconds("obligations.drain-grace-us")?,
         cold_from: values.number("obligations.cold-from")?,
--- a/crates/admission/src/attempts.rs
+++ b/crates/admission/src/attempts.rs
@@ -180,8 +180,11 @@
     }
 
     pub(crate) fn reject(&mut self, driver: &mut dyn Driver, id: u32, wait: f64) {
-        let retry_after =
-            if self.settings.may_advise { wait.clamp(0.0, self.settings.max_retry_after) } else { 0.0 };
+        let retry_after = if self.settings.may_send_retry_after {
+            wait.clamp(0.0, self.settings.max_retry_after)
+        } else {
+            0.0
+        };
         driver.reject(id, retry_after);
         self.finish(driver, id);
     }
--- a/crates/admission/src/interface.rs
+++ b/crates/admission/src/interface.rs
@@ -105,7 +105,7 @@
     /// Whether gateways may send messages to each other.
     pub may_message_peers: bool,
     /// Whether a rejection may carry a `Retry-After`.
-    pub may_advise: bool,
+    pub may_send_retry_after: bool,
     /// Largest `Retry-After`, in seconds.
     pub max_retry_after: f64,
     /// Seconds after which nothing may be sent to a draining host.
--- a/crates/admission/tests/all/harness.rs
+++ b/crates/admission/tests/all/harness.rs
@@ -49,7 +49,7 @@
         may_cancel: true,
         may_probe: true,
         may_message_peers: false,
-        may_advise: true,
+        may_send_retry_after: true,
         max_retry_after: 1.0,
         drain_grace: 1.0,
         cold_from: 0.2,
--- a/crates/admission/tests/all/rules.rs
+++ b/crates/admission/tests/all/rules.rs
@@ -161,7 +161,7 @@
         may_count: false,
         may_cancel: false,
         may_probe: false,
-        may_advise: false,
+        may_send_retry_after: false,
         ..settings()
     };
     AdmissionSettings { gateways: 1, max_attempts: 1, ..minimal }
--- a/crates/migrate/tests/command.rs
+++ b/crates/migrate/tests/command.rs
@@ -60,7 +60,9 @@
     assert_eq!(look["on-time-us"], 2_000_000, "the shape's own figure");
     assert_eq!(file["settings"]["limits"]["max-attempts"], was["limits"]["max-attempts"]);
     let told = archlink_admission_settings::from_json(&file["settings"]).unwrap().admission;
-    assert!(!told.may_probe && !told.may_advise && told.settles && told.classes[1].late_value == 0.0);
+    assert!(
+        !told.may_probe && !told.may_send_retry_after && told.settles && told.classes[1].late_value == 0.0
+    );
     assert!(migrate(&old, &shape, &["--write", name]).status.code() == Some(1), "never over a file unasked");
     assert_eq!(migrate(&old, &shape, &["--write", name, "--replace"]).status.code(), Some(2));
     let over_itself = migrate(&old, &shape, &["--write", old.to_str().unwrap(), "--replace"]);
--- a/crates/quota/src/counter_client.rs
+++ b/crates/quota/src/counter_client.rs
@@ -288,7 +288,7 @@
         may_cancel: false,
         may_probe: false,
         may_message_peers: false,
-        may_advise: true,
+        may_send_retry_after: true,
         max_retry_after: 1.0,
         drain_grace: 0.0,
         cold_from: 1.0,
