--- a/crates/admission-settings/src/lib.rs
+++ b/crates/admission-settings/src/lib.rs
@@ -114,7 +114,7 @@
         may_send_retry_after: values.flag("limits.retry-after")?,
         max_retry_after: values.seconds_or("limits.max-retry-after-us", 0.0)?,
         drain_grace: values.seconds("obligations.drain-grace-us")?,
-        cold_from: values.number("obligations.cold-from")?,
+        cold_capacity_share: values.number("obligations.cold-from")?,
         warm_up: values.seconds("obligations.warm-up-us")?,
         overload_multiple: values.number("obligations.tip-multiple")?,
         overload_duration: values.seconds("obligations.overload-for-us")?,
--- a/crates/admission-settings/tests/keys.rs
+++ b/crates/admission-settings/tests/keys.rs
@@ -68,7 +68,7 @@
         may_send_retry_after,
         max_retry_after,
         drain_grace,
-        cold_from,
+        cold_capacity_share,
         warm_up,
         overload_multiple,
         overload_duration,
@@ -105,7 +105,7 @@
     assert_eq!((may_count, count_timeout, settles, max_units), (true, 0.03, true, 4.0));
     assert_eq!((must_subscribe, max_subscribe_wait, sized, max_attempts), (true, 2.5, true, 5));
     assert!(may_hedge && may_cancel && may_probe && may_message_peers && may_send_retry_after);
-    assert_eq!((max_retry_after, drain_grace, cold_from), (0.5, 0.25, 0.25));
+    assert_eq!((max_retry_after, drain_grace, cold_capacity_share), (0.5, 0.25, 0.25));
     assert_eq!((warm_up, overload_multiple, overload_duration), (14.0, 4.5, 2.0));
 }
 
--- a/crates/admission/src/host_selection.rs
+++ b/crates/admission/src/host_selection.rs
@@ -15,7 +15,7 @@
 impl Admission {
     /// Share of its full capacity that a host has at least, given its age (slow start).
     pub(crate) fn slow_start_factor(&self, entry: &HostEntry) -> f64 {
-        let (age, from) = (self.now - entry.started, self.settings.cold_from.clamp(0.01, 1.0));
+        let (age, from) = (self.now - entry.started, self.settings.cold_capacity_share.clamp(0.01, 1.0));
         let cold = entry.started > 0.0 && age < self.settings.warm_up;
         if cold { from + (1.0 - from) * (age / self.settings.warm_up).max(0.0) } else { 1.0 }
     }
--- a/crates/admission/src/interface.rs
+++ b/crates/admission/src/interface.rs
@@ -111,7 +111,7 @@
     /// Seconds after which nothing may be sent to a draining host.
     pub drain_grace: f64,
     /// Share of its capacity that a host has when it starts.
-    pub cold_from: f64,
+    pub cold_capacity_share: f64,
     /// Seconds until a host that has started has its full capacity.
     pub warm_up: f64,
     /// Load at which a host becomes overloaded and slow, as a multiple of its capacity.
--- a/crates/admission/tests/all/harness.rs
+++ b/crates/admission/tests/all/harness.rs
@@ -52,7 +52,7 @@
         may_send_retry_after: true,
         max_retry_after: 1.0,
         drain_grace: 1.0,
-        cold_from: 0.2,
+        cold_capacity_share: 0.2,
         warm_up: 15.0,
         overload_multiple: 2.5,
         overload_duration: 2.0,
--- a/crates/admission/tests/all/rules.rs
+++ b/crates/admission/tests/all/rules.rs
@@ -169,8 +169,13 @@
 
 /// Zeros and contradictions: nothing may panic, divide by 0 or wait for ever.
 fn contradictory_settings() -> AdmissionSettings {
-    let contradictory =
-        AdmissionSettings { cold_from: 3.0, warm_up: 0.0, count_timeout: 0.0, max_units: 0.0, ..settings() };
+    let contradictory = AdmissionSettings {
+        cold_capacity_share: 3.0,
+        warm_up: 0.0,
+        count_timeout: 0.0,
+        max_units: 0.0,
+        ..settings()
+    };
     let mut contradictory = AdmissionSettings {
         gateways: 0,
         drain_grace: 0.0,
--- a/crates/quota/src/counter_client.rs
+++ b/crates/quota/src/counter_client.rs
@@ -291,7 +291,7 @@
         may_send_retry_after: true,
         max_retry_after: 1.0,
         drain_grace: 0.0,
-        cold_from: 1.0,
+        cold_capacity_share: 1.0,
         warm_up: 0.0,
         overload_multiple: 1.0,
         overload_duration: 0.0,
