--- a/crates/admission/src/accounting.rs
+++ b/crates/admission/src/accounting.rs
@@ -16,6 +16,7 @@
         }
     }
 
+    /// The local entry of a counter key, created if there is none.
     pub(crate) fn counter_entry(&mut self, key: u64, lifetime: f64) -> &mut CounterEntry {
         let new_entry = CounterEntry { expires: self.now + lifetime, ..CounterEntry::default() };
         self.counters.entry(key).or_insert(new_entry)
--- a/crates/admission/src/admission.rs
+++ b/crates/admission/src/admission.rs
@@ -16,7 +16,7 @@
 use crate::state::*;
 use crate::tiers::{RateLimit, Tier, rate_limit, tiers};
 use crate::timers::SWEEP_INTERVAL;
-use crate::windows::SPREAD_OUT_FROM;
+use crate::windows::SPREAD_OUT_ABOVE;
 use std::collections::BTreeMap;
 
 /// Retry policy of a request class: whether an attempt may be retried, on which hosts, and for how long.
@@ -135,7 +135,7 @@
         let even_share = 1.0 / f64::from(spread.max(1));
         let new_customer = || Customer {
             last_seen: now,
-            spread_out: spread > SPREAD_OUT_FROM,
+            spread_out: spread > SPREAD_OUT_ABOVE,
             local_share: even_share,
             even_share,
             windows: [SlidingWindow { room: limits.burst, updated_at: now, ..SlidingWindow::default() }; 3],
--- a/crates/admission/src/attempts.rs
+++ b/crates/admission/src/attempts.rs
@@ -3,7 +3,7 @@
 use crate::admission::Admission;
 use crate::interface::*;
 use crate::state::*;
-use crate::windows::SPREAD_OUT_FROM;
+use crate::windows::SPREAD_OUT_ABOVE;
 
 impl Admission {
     /// Handles a request whose quota is granted: starts the first attempt, or refunds the units if no host has capacity.
@@ -17,6 +17,7 @@
         self.begin_attempt(driver, id, host);
     }
 
+    /// Starts an attempt at a host, and the timer after which it is overdue.
     pub(crate) fn begin_attempt(&mut self, driver: &mut dyn Driver, id: u32, host: HostId) {
         // Multiple of the latency target after which an attempt is overdue; a smaller one mostly catches long requests.
         const OVERDUE_AFTER: f64 = 2.0;
@@ -42,6 +43,8 @@
         driver.start_attempt(id, host, 0.0);
     }
 
+    /// Handles an attempt that is overdue: hedges or cancels it, unless its host is only busy or the request may not be
+    /// retried.
     pub(crate) fn attempt_overdue(&mut self, driver: &mut dyn Driver, id: u32, attempt: u16) {
         if !self.attempts.contains_key(&(id, attempt)) {
             return;
@@ -58,9 +61,9 @@
         if leave_alone || !self.may_retry(id) {
             return;
         }
-        // With many gateways the host is ejected even if the request cannot be retried elsewhere: attempts that it holds would
-        // otherwise count against the capacity of all other hosts.
-        if self.gateways_per_host > f64::from(SPREAD_OUT_FROM) {
+        // With many gateways the host is ejected at once, even if no other host may run the request: attempts that it holds
+        // would otherwise count against the capacity of all other hosts.
+        if self.gateways_per_host > f64::from(SPREAD_OUT_ABOVE) {
             self.eject(driver, host, Some(class));
         }
         match (self.settings.may_hedge, self.settings.may_cancel && self.has_capacity(class)) {
--- a/crates/admission/src/counter_health.rs
+++ b/crates/admission/src/counter_health.rs
@@ -22,6 +22,7 @@
     /// timeout of a call. Where targets are short it is what a call takes on a busy counter, which would otherwise be taken
     /// for silent.
     pub(crate) fn counter_timeout(&self) -> f64 {
+        // Seconds that a call takes on a busy counter.
         const BUSY_COUNTER_REPLY: f64 = 0.03;
         let shortest_target =
             self.classes.iter().map(|class| class.latency_target).fold(f64::INFINITY, f64::min);
--- a/crates/admission/src/tiers.rs
+++ b/crates/admission/src/tiers.rs
@@ -36,12 +36,12 @@
         return Vec::new();
     }
     let (rate, burst) = (plan.rate, plan.burst.max(1e-3));
-    let base_window = (burst / rate).clamp(MIN_WINDOW, MAX_WINDOW);
+    let plan_window = (burst / rate).clamp(MIN_WINDOW, MAX_WINDOW);
     let cycle = BURST_TIER_BURST_SHARE * burst / (BURST_TIER_RATE_SHARE * rate);
-    let (active, burst_window) = (base_window * ACTIVE_SHARE_OF_WINDOW, (cycle / 2.0).min(MAX_WINDOW));
+    let (active, burst_window) = (plan_window * ACTIVE_SHARE_OF_WINDOW, (cycle / 2.0).min(MAX_WINDOW));
     let limit = BURST_TIER_BURST_SHARE * burst / (1.0 + active / burst_window);
     let permanent = |window, limit| Tier { window, limit, active: f64::INFINITY, cooldown: 0.0 };
-    let mut tiers = vec![permanent(base_window, burst.min(rate * base_window))];
+    let mut tiers = vec![permanent(plan_window, burst.min(rate * plan_window))];
     let base = (1.0 - BURST_TIER_BURST_SHARE) * burst;
     if limit >= MIN_BURST_TIER * max_units && cycle <= 2.0 * MAX_WINDOW && base >= max_units {
         let window = (base / ((1.0 - BURST_TIER_RATE_SHARE) * rate)).clamp(MIN_WINDOW, MAX_WINDOW);
@@ -51,7 +51,7 @@
         ];
     }
     if plan.overage_revenue > plan.overage_cost {
-        tiers.push(Tier { window: base_window, limit: burst, active: base_window, cooldown: 0.0 });
+        tiers.push(Tier { window: plan_window, limit: burst, active: plan_window, cooldown: 0.0 });
     }
     tiers
 }
--- a/crates/admission/src/windows.rs
+++ b/crates/admission/src/windows.rs
@@ -5,7 +5,7 @@
 use crate::tiers::Tier;
 
 /// A customer that uses more gateways than this is spread out: its next request rarely arrives here within a window.
-pub(crate) const SPREAD_OUT_FROM: u32 = 10;
+pub(crate) const SPREAD_OUT_ABOVE: u32 = 10;
 /// Refunds of other gateways in flight are a few requests at most.
 const MAX_REFUNDS_IN_FLIGHT: f64 = 4.0;
 
