--- a/crates/admission-settings/src/lib.rs
+++ b/crates/admission-settings/src/lib.rs
@@ -105,7 +105,7 @@
         max_units: values.number_or("domain.most-units", 1.0)?,
         must_subscribe: values.get("discovery") == Some("subscribe"),
         max_subscribe_wait: values.seconds_or("obligations.must-ask-in-us", DEFAULT_MAX_SUBSCRIBE_WAIT)?,
-        sized: values.get("weights").is_some_and(|meaning| meaning != "silent"),
+        hosts_differ_in_capacity: values.get("weights").is_some_and(|meaning| meaning != "silent"),
         max_attempts: values.number("limits.max-attempts")? as u32,
         may_hedge: values.flag("limits.second-copies")?,
         may_cancel: values.flag("limits.may-cancel")?,
--- a/crates/admission-settings/tests/keys.rs
+++ b/crates/admission-settings/tests/keys.rs
@@ -59,7 +59,7 @@
         max_units,
         must_subscribe,
         max_subscribe_wait,
-        sized,
+        hosts_differ_in_capacity,
         max_attempts,
         may_hedge,
         may_cancel,
@@ -103,7 +103,10 @@
     assert_eq!((price, rate_limit, rate_limit_burst, rate_limit_slack), (3.0, 4.0, 5.0, 6.0));
     assert_eq!((gateways, gateway_number, zone), (3, 2, 1));
     assert_eq!((may_count, count_timeout, settles, max_units), (true, 0.03, true, 4.0));
-    assert_eq!((must_subscribe, max_subscribe_wait, sized, max_attempts), (true, 2.5, true, 5));
+    assert_eq!(
+        (must_subscribe, max_subscribe_wait, hosts_differ_in_capacity, max_attempts),
+        (true, 2.5, true, 5)
+    );
     assert!(may_hedge && may_cancel && may_probe && may_message_peers && may_send_retry_after);
     assert_eq!((max_retry_after, drain_grace, cold_capacity_share), (0.5, 0.25, 0.25));
     assert_eq!((warm_up, overload_multiple, overload_duration), (14.0, 4.5, 2.0));
--- a/crates/admission/src/interface.rs
+++ b/crates/admission/src/interface.rs
@@ -93,7 +93,7 @@
     /// Longest wait between two attempts to subscribe, in seconds.
     pub max_subscribe_wait: f64,
     /// Whether hosts differ in capacity.
-    pub sized: bool,
+    pub hosts_differ_in_capacity: bool,
     /// Largest number of attempts for one request.
     pub max_attempts: u32,
     /// Whether a second attempt may run beside the first (hedged request).
--- a/crates/admission/tests/all/harness.rs
+++ b/crates/admission/tests/all/harness.rs
@@ -43,7 +43,7 @@
         max_units: 4.0,
         must_subscribe: false,
         max_subscribe_wait: 10.0,
-        sized: false,
+        hosts_differ_in_capacity: false,
         max_attempts: 4,
         may_hedge: false,
         may_cancel: true,
--- a/crates/quota/src/counter_client.rs
+++ b/crates/quota/src/counter_client.rs
@@ -282,7 +282,7 @@
         max_units: 1.0,
         must_subscribe: false,
         max_subscribe_wait: 1.0,
-        sized: false,
+        hosts_differ_in_capacity: false,
         max_attempts: 1,
         may_hedge: false,
         may_cancel: false,
