--- a/crates/control-plane/src/admin/calls.rs
+++ b/crates/control-plane/src/admin/calls.rs
@@ -4,13 +4,13 @@
 
 /// What a call's answer rests on, and so what a partitioned node answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Basis {
+pub enum Consistency {
     /// A quorum's answer after the call started; 503 where none comes.
-    ConfirmedRead,
+    LinearizableRead,
     /// A quorum that answered recently: without one the call is not started, and says so at once.
     QuorumContact,
     /// An operator's decision, where no quorum is left.
-    OperatorDecision,
+    OperatorOverride,
     /// Sessions and what peers reported of theirs: they expire by themselves (`archlink_control_node::registry`), the answer
     /// by its `Ttl`.
     Sessions,
@@ -51,44 +51,46 @@
 
 impl Call {
     /// Method, path, and basis. A path that ends in a slash is followed by names.
-    fn row(self) -> (&'static str, &'static str, Basis) {
+    fn endpoint(self) -> (&'static str, &'static str, Consistency) {
         match self {
-            Call::ReplaceConfiguration => ("POST", "/archlink/Configuration.Replace", Basis::QuorumContact),
-            Call::ReadConfiguration => ("GET", "/archlink/Configuration.Read", Basis::ConfirmedRead),
-            Call::BeginEvacuation => ("POST", "/archlink/Evacuation.Begin/", Basis::QuorumContact),
-            Call::FinishEvacuation => ("POST", "/archlink/Evacuation.Finish/", Basis::QuorumContact),
-            Call::Voters => ("GET", "/archlink/voters", Basis::LocalState),
-            Call::ReplaceVoter => ("POST", "/archlink/Voters.Replace/", Basis::QuorumContact),
-            Call::ForceNewGeneration => ("POST", "/archlink/Voters.Refound", Basis::OperatorDecision),
-            Call::Resolve => ("GET", "/archlink/resolution", Basis::Sessions),
-            Call::Members => ("GET", "/archlink/members", Basis::LocalState),
-            Call::Hosts => ("GET", "/archlink/hosts", Basis::LocalState),
-            Call::Leases => ("GET", "/archlink/duties", Basis::LocalState),
-            Call::Quota => ("GET", "/archlink/quota", Basis::LocalState),
-            Call::Events => ("GET", "/archlink/journal", Basis::LocalState),
+            Call::ReplaceConfiguration => {
+                ("POST", "/archlink/Configuration.Replace", Consistency::QuorumContact)
+            }
+            Call::ReadConfiguration => ("GET", "/archlink/Configuration.Read", Consistency::LinearizableRead),
+            Call::BeginEvacuation => ("POST", "/archlink/Evacuation.Begin/", Consistency::QuorumContact),
+            Call::FinishEvacuation => ("POST", "/archlink/Evacuation.Finish/", Consistency::QuorumContact),
+            Call::Voters => ("GET", "/archlink/voters", Consistency::LocalState),
+            Call::ReplaceVoter => ("POST", "/archlink/Voters.Replace/", Consistency::QuorumContact),
+            Call::ForceNewGeneration => ("POST", "/archlink/Voters.Refound", Consistency::OperatorOverride),
+            Call::Resolve => ("GET", "/archlink/resolution", Consistency::Sessions),
+            Call::Members => ("GET", "/archlink/members", Consistency::LocalState),
+            Call::Hosts => ("GET", "/archlink/hosts", Consistency::LocalState),
+            Call::Leases => ("GET", "/archlink/duties", Consistency::LocalState),
+            Call::Quota => ("GET", "/archlink/quota", Consistency::LocalState),
+            Call::Events => ("GET", "/archlink/journal", Consistency::LocalState),
         }
     }
 
     /// The HTTP method.
     pub fn method(self) -> &'static str {
-        self.row().0
+        self.endpoint().0
     }
 
     /// The path, up to the names that follow it.
     pub fn path(self) -> &'static str {
-        self.row().1
+        self.endpoint().1
     }
 
     /// What the answer rests on.
-    pub fn basis(self) -> Basis {
-        self.row().2
+    pub fn consistency(self) -> Consistency {
+        self.endpoint().2
     }
 
     /// The call at a path, and the names that follow it.
-    pub fn at(path: &str) -> Option<(Call, &str)> {
+    pub fn from_path(path: &str) -> Option<(Call, &str)> {
         Call::iter().find_map(|call| {
-            let names = path.strip_prefix(call.path())?;
-            (names.is_empty() != call.path().ends_with('/')).then_some((call, names))
+            let path_parameters = path.strip_prefix(call.path())?;
+            (path_parameters.is_empty() != call.path().ends_with('/')).then_some((call, path_parameters))
         })
     }
 }
--- a/crates/control-plane/src/admin/commands.rs
+++ b/crates/control-plane/src/admin/commands.rs
@@ -4,9 +4,9 @@
 //! Invariants: nothing is acknowledged that no quorum holds; a rejection would not change if the same text came again: it
 //! rests on the text alone, or on another text that has the same version for good.
 
-use super::answers::{error, outcome_or_unavailable, rejected};
-use super::calls::{Basis, Call};
-use super::configuration::{check, digest, hex};
+use super::calls::{Call, Consistency};
+use super::configuration::{digest, hex, validate};
+use super::responses::{error, outcome_or_unavailable, rejected};
 use crate::server::node::{Node, NotStarted, OperatorRequest};
 use archlink_consensus::Outcome;
 use archlink_consensus::proposer::Change;
@@ -20,7 +20,10 @@
 
 /// Submits a request, where the basis of its call lets it start.
 pub async fn submit(node: &Node, call: Call, request: OperatorRequest) -> Result<Outcome, NotStarted> {
-    if call.basis() == Basis::QuorumContact && !node.recently_started() && !node.probe_quorum().await {
+    if call.consistency() == Consistency::QuorumContact
+        && !node.recently_started()
+        && !node.probe_quorum().await
+    {
         log::warn!(call = call.path(); "operator request not started: no quorum contact");
         return Err(NotStarted::NoQuorum);
     }
@@ -29,7 +32,7 @@
 
 /// Puts a configuration in force.
 pub async fn replace_configuration(node: &Node, text: &Bytes) -> Response {
-    let version = match check(text) {
+    let version = match validate(text) {
         Ok(configuration) => configuration.version,
         Err(reason) => {
             log::warn!(reason:% = reason; "configuration rejected");
@@ -48,7 +51,7 @@
         Ok(Outcome::VersionConflict(accepted)) => version_conflict(sent, accepted),
         Ok(Outcome::Rejected(reason)) => rejected(reason),
         Ok(_) => acknowledged(node, sent),
-        Err(answer) => answer,
+        Err(response) => response,
     }
 }
 
@@ -99,6 +102,6 @@
     match outcome_or_unavailable(outcome) {
         Ok(Outcome::Rejected(reason)) => rejected(reason),
         Ok(_) => Response::json(200, json!({"Zone": zone, "Evacuated": on}).to_string()),
-        Err(answer) => answer,
+        Err(response) => response,
     }
 }
--- a/crates/control-plane/src/admin/configuration.rs
+++ b/crates/control-plane/src/admin/configuration.rs
@@ -31,7 +31,7 @@
 impl std::error::Error for ConfigurationError {}
 
 /// Parses a configuration that may be put in force.
-pub fn check(text: &[u8]) -> Result<Configuration, ConfigurationError> {
+pub fn validate(text: &[u8]) -> Result<Configuration, ConfigurationError> {
     let configuration = Configuration::read(text)
         .map_err(|report| ConfigurationError::Invalid(report.current_context().clone()))?;
     match configuration.version {
--- a/crates/control-plane/src/admin/queries.rs
+++ b/crates/control-plane/src/admin/queries.rs
@@ -2,9 +2,9 @@
 //!
 //! Invariant: what this node knows does not pass for what a quorum holds; each answer has the age of the last contact.
 
-use super::answer_names;
-use super::answers::{error, unavailable};
 use super::configuration::{digest, hex};
+use super::response_names;
+use super::responses::{error, unavailable};
 use crate::server::node::{CLIENT_TIMEOUT, Node};
 use archlink_control_node::event_log::Event;
 use archlink_http::codec::Response;
@@ -110,7 +110,7 @@
         let grants: Vec<Value> = (state.leases.holders(now).iter())
             .map(|grant| {
                 let holder = Ipv4Addr::from(grant.holder);
-                json!({"Duty": answer_names::role(grant.role), "Holder": holder, "Term": grant.term})
+                json!({"Duty": response_names::role(grant.role), "Holder": holder, "Term": grant.term})
             })
             .collect();
         json!({"Duties": grants})
--- a/crates/control-plane/src/admin/answer_names.rs
+++ b/crates/control-plane/src/admin/response_names.rs
@@ -22,7 +22,7 @@
 }
 
 /// The `Reason` of a rejected change of the voter set.
-pub fn rejection(reason: MembershipError) -> &'static str {
+pub fn rejection_code(reason: MembershipError) -> &'static str {
     match reason {
         MembershipError::Unknown => "Unknown",
         MembershipError::ChangeInProgress => "UnderWay",
--- a/crates/control-plane/src/admin/answers.rs
+++ b/crates/control-plane/src/admin/responses.rs
@@ -1,6 +1,6 @@
 //! The forms of answers that several calls share. Texts are part of the operators' interface.
 
-use super::answer_names;
+use super::response_names;
 use crate::server::node::NotStarted;
 use archlink_consensus::{MembershipError, Outcome};
 use archlink_http::codec::Response;
@@ -40,7 +40,7 @@
 }
 
 /// What an operator does about a rejected change.
-fn advice(reason: MembershipError) -> &'static str {
+fn rejection_message(reason: MembershipError) -> &'static str {
     match reason {
         MembershipError::Unknown => {
             "who votes is not known here yet: ask again once this gateway has reached another, or ask another"
@@ -65,6 +65,6 @@
 /// A change that the core rejects as things are; nothing was started.
 pub fn rejected(reason: MembershipError) -> Response {
     log::warn!(reason:? = reason; "operator request rejected");
-    let body = json!({"Error": advice(reason), "Reason": answer_names::rejection(reason)});
+    let body = json!({"Error": rejection_message(reason), "Reason": response_names::rejection_code(reason)});
     Response::json(409, body.to_string())
 }
--- a/crates/control-plane/src/admin/server.rs
+++ b/crates/control-plane/src/admin/server.rs
@@ -2,8 +2,8 @@
 //!
 //! Invariant: no request is started whose caller is known to have disconnected.
 
-use super::answers::{error, unavailable};
 use super::calls::Call;
+use super::responses::{error, unavailable};
 use super::{commands, queries, voters};
 use crate::server::node::Node;
 use archlink_http::codec::{Decoded, Request, Response, ServerCodec};
@@ -20,7 +20,7 @@
 /// Bytes of one body: the largest configuration.
 const MAX_BODY: usize = 16 << 20;
 /// All bodies at once, as a part of the memory that the settings name.
-const BODIES_PART_OF_MEMORY: f64 = 0.25;
+const BODY_MEMORY_FRACTION: f64 = 0.25;
 /// A connection without a request is closed after this.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 /// Bytes that are read ahead of a caller that sends its next request early: a head's worth.
@@ -33,13 +33,13 @@
 /// Accepts connections for ever.
 pub async fn listen(node: Rc<Node>, listener: TcpListener) {
     // Each connection holds a clone: the count is the number of open ones, and one.
-    let open = Rc::new(());
-    let body_memory = Rc::new(Cell::new((node.settings.memory_bytes * BODIES_PART_OF_MEMORY) as usize));
+    let open_connections = Rc::new(());
+    let body_memory = Rc::new(Cell::new((node.settings.memory_bytes * BODY_MEMORY_FRACTION) as usize));
     loop {
         match listener.accept().await {
-            Ok((stream, _)) if Rc::strong_count(&open) <= MAX_CONNECTIONS => {
+            Ok((stream, _)) if Rc::strong_count(&open_connections) <= MAX_CONNECTIONS => {
                 stream.set_nodelay(true).ok();
-                spawn_local(serve(node.clone(), stream, body_memory.clone(), open.clone()));
+                spawn_local(serve(node.clone(), stream, body_memory.clone(), open_connections.clone()));
             }
             Ok(_) => log::warn!(limit = MAX_CONNECTIONS; "operator connection rejected: limit reached"),
             Err(e) => {
@@ -51,38 +51,43 @@
 }
 
 /// Serves one connection until it closes; `body_memory` is the memory left for bodies of all connections.
-pub async fn serve(node: Rc<Node>, stream: TcpStream, body_memory: Rc<Cell<usize>>, _open: Rc<()>) {
+pub async fn serve(
+    node: Rc<Node>,
+    stream: TcpStream,
+    body_memory: Rc<Cell<usize>>,
+    _connection_guard: Rc<()>,
+) {
     let mut framed = Framed::new(stream, ServerCodec::new(&[], MAX_BODY, body_memory));
     while let Ok(Some(Ok(decoded))) = timeout(IDLE_TIMEOUT, framed.next()).await {
-        let (mut answer, close) = match decoded {
+        let (mut response, close) = match decoded {
             Decoded::Rejected(status) => (bad_request(status, framed.codec().out_of_memory()), true),
-            Decoded::Request(request) => match answer(&node, &mut framed, &request).await {
-                Some(answer) => (answer, request.close),
+            Decoded::Request(request) => match response(&node, &mut framed, &request).await {
+                Some(response) => (response, request.close),
                 None => return,
             },
         };
-        answer.close = close || node.draining.get();
-        let close = answer.close;
-        if framed.send(answer).await.is_err() || close {
+        response.close = close || node.draining.get();
+        let close = response.close;
+        if framed.send(response).await.is_err() || close {
             return;
         }
     }
 }
 
 /// The answer to a request; none where its caller has disconnected.
-async fn answer(
+async fn response(
     node: &Node,
     framed: &mut Framed<TcpStream, ServerCodec>,
     request: &Request,
 ) -> Option<Response> {
     match route(request) {
-        Err(answer) => Some(answer),
+        Err(response) => Some(response),
         Ok(call) => tokio::select! {
             biased;
             // Polled first, each time: the request of a caller that has disconnected is not started, and withdrawn where
             // it was.
             _ = wait_for_disconnect(framed, READ_AHEAD) => None,
-            answer = respond(node, call, request) => Some(answer),
+            response = respond(node, call, request) => Some(response),
         },
     }
 }
@@ -99,7 +104,7 @@
 /// The call of a request; else the answer that there is none.
 fn route(request: &Request) -> Result<Call, Response> {
     let (path, _) = path_and_query(&request.target);
-    let (call, _) = Call::at(path).ok_or_else(|| error(404, "no such call"))?;
+    let (call, _) = Call::from_path(path).ok_or_else(|| error(404, "no such call"))?;
     let method = call.method();
     if method != request.method {
         return Err(error(405, format_args!("{method} is the method of this call")));
@@ -112,13 +117,15 @@
     // What arrived during a stall is processed before anything is answered or started.
     node.catch_up_after_stall().await;
     let (path, query) = path_and_query(&request.target);
-    let names = path.strip_prefix(call.path()).unwrap_or("");
+    let path_parameters = path.strip_prefix(call.path()).unwrap_or("");
     match call {
         Call::ReplaceConfiguration => commands::replace_configuration(node, &request.body).await,
-        Call::BeginEvacuation | Call::FinishEvacuation => commands::evacuate(node, call, names).await,
+        Call::BeginEvacuation | Call::FinishEvacuation => {
+            commands::evacuate(node, call, path_parameters).await
+        }
         Call::ReadConfiguration => queries::read_configuration(node).await,
         Call::Voters => queries::with_contact(node, voters::status(node)),
-        Call::ReplaceVoter => voters::replace(node, names).await,
+        Call::ReplaceVoter => voters::replace(node, path_parameters).await,
         Call::ForceNewGeneration => voters::force_new_generation(node, &request.body).await,
         Call::Resolve => queries::resolve(node, query),
         Call::Members => queries::with_contact(node, queries::members(node)),
--- a/crates/control-plane/src/admin/voters.rs
+++ b/crates/control-plane/src/admin/voters.rs
@@ -2,11 +2,11 @@
 //!
 //! Invariant: no new generation is forced where a quorum answers, and no voter is given up that is heard of or was not named.
 
-use super::answer_names;
-use super::answers::{error, outcome_or_unavailable, rejected};
 use super::calls::Call;
 use super::commands::submit;
 use super::queries::round_to_milliseconds;
+use super::response_names;
+use super::responses::{error, outcome_or_unavailable, rejected};
 use crate::server::node::{Node, OperatorRequest};
 use archlink_consensus::membership::ChangeResult;
 use archlink_consensus::{MembershipChange, Outcome};
@@ -51,7 +51,7 @@
 fn accepted_fields((register, revision, proposal): (Register, u64, ProposalNumber)) -> Value {
     let version =
         (register == Register::Configuration).then(|| format!("{:08x}", revision.saturating_sub(1)));
-    json!({"Register": answer_names::register(register), "Stamp": revision, "ConfigVersion": version,
+    json!({"Register": response_names::register(register), "Stamp": revision, "ConfigVersion": version,
         "Ballot": [proposal.round, u64::from(proposal.node), u64::from(proposal.nonce)]})
 }
 
@@ -79,13 +79,13 @@
 }
 
 /// `OLD/NEW`: gives a voter's seat to another node.
-pub async fn replace(node: &Node, names: &str) -> Response {
-    let Some((old, new)) = names.split_once('/') else {
+pub async fn replace(node: &Node, path_parameters: &str) -> Response {
+    let Some((old, new)) = path_parameters.split_once('/') else {
         return error(400, "two addresses are needed: OLD/NEW");
     };
     let (old, new) = match (parse_node_or_error(old), parse_node_or_error(new)) {
         (Ok(old), Ok(new)) => (old, new),
-        (Err(answer), _) | (_, Err(answer)) => return answer,
+        (Err(response), _) | (_, Err(response)) => return response,
     };
     change_membership(node, Call::ReplaceVoter, MembershipChange::Replace { old, new }).await
 }
@@ -95,7 +95,7 @@
     match outcome_or_unavailable(outcome) {
         Ok(Outcome::Rejected(reason)) => rejected(reason),
         Ok(_) => Response::json(200, status(node).to_string()),
-        Err(answer) => answer,
+        Err(response) => response,
     }
 }
 
@@ -115,10 +115,10 @@
     };
     let given_up = match lose.iter().map(|text| parse_node_or_error(text)).collect() {
         Ok(nodes) => nodes,
-        Err(answer) => return answer,
+        Err(response) => return response,
     };
-    if let Err(answer) = check_quorum_is_lost(node, &given_up).await {
-        return answer;
+    if let Err(response) = check_quorum_is_lost(node, &given_up).await {
+        return response;
     }
     let voters = node.with_state(|state, _| state.voter_set().all_voters());
     let voters: Vec<NodeId> = voters.into_iter().filter(|voter| !given_up.contains(voter)).collect();
--- a/crates/control-plane/src/cli/arguments/tests.rs
+++ b/crates/control-plane/src/cli/arguments/tests.rs
@@ -9,7 +9,7 @@
 
 /// Each earlier spelling is read as the command that has its place now, and the help names the new one alone.
 #[test]
-fn earlier_spellings_are_read_as_their_commands_and_hidden_in_the_help() {
+fn former_command_names_are_hidden_aliases() {
     for (earlier, current) in [("replace", "apply"), ("duties", "leases"), ("journal", "events")] {
         let file = (earlier == "replace").then_some("file.json");
         let words = ["archlink-control-plane", earlier].into_iter().chain(file);
--- a/crates/control-plane/src/cli/client.rs
+++ b/crates/control-plane/src/cli/client.rs
@@ -2,7 +2,7 @@
 
 use crate::admin::calls::Call;
 use crate::error::failure;
-use crate::{ControlPlaneError, Outcome, read_settings};
+use crate::{ControlPlaneError, ControlPlaneResult, read_settings};
 use archlink_http::codec::{ClientCodec, HostResponse, OutgoingRequest};
 use clap::ArgMatches;
 use error_stack::ResultExt;
@@ -41,8 +41,8 @@
 
 impl Header {
     /// The header's text, where the reply has exactly one.
-    pub(super) fn of(self, reply: &HostResponse) -> Option<&str> {
-        reply.fields.get(self as usize)?.once()
+    pub(super) fn value_in(self, response: &HostResponse) -> Option<&str> {
+        response.fields.get(self as usize)?.once()
     }
 }
 
@@ -97,20 +97,21 @@
 async fn call_following_redirects(
     mut to: SocketAddr,
     call: Call,
-    names: &str,
+    path_parameters: &str,
     body: &[u8],
 ) -> Result<HostResponse, CallError> {
-    let mut target = format!("{}{names}", call.path());
+    let mut target = format!("{}{path_parameters}", call.path());
     for _ in 0..=MAX_REDIRECTS {
-        let reply = request(to, call.method(), &target, body).await?;
-        let location =
-            Header::Location.of(&reply).and_then(|text| text.strip_prefix("http://")?.split_once('/'));
+        let response = request(to, call.method(), &target, body).await?;
+        let location = Header::Location
+            .value_in(&response)
+            .and_then(|text| text.strip_prefix("http://")?.split_once('/'));
         match location {
-            Some((host, path)) if reply.status == 307 => {
+            Some((host, path)) if response.status == 307 => {
                 to = host.parse().map_err(|_| CallError::InvalidRedirect)?;
                 target = format!("/{path}");
             }
-            _ => return Ok(reply),
+            _ => return Ok(response),
         }
     }
     Err(CallError::TooManyRedirects)
@@ -120,21 +121,22 @@
 pub(super) async fn call_one(
     to: SocketAddr,
     call: Call,
-    names: &str,
+    path_parameters: &str,
     body: &[u8],
 ) -> Result<HostResponse, CallError> {
-    let answered = timeout(CALL_TIMEOUT, call_following_redirects(to, call, names, body)).await;
-    answered.unwrap_or(Err(CallError::Timeout))
+    let surveyed_node =
+        timeout(CALL_TIMEOUT, call_following_redirects(to, call, path_parameters, body)).await;
+    surveyed_node.unwrap_or(Err(CallError::Timeout))
 }
 
 /// The address and port that an argument names.
-pub(super) fn parse_address(argument: &str, text: &str) -> Outcome<SocketAddr> {
+pub(super) fn parse_address(argument: &str, text: &str) -> ControlPlaneResult<SocketAddr> {
     let address = text.parse().change_context(ControlPlaneError::Call);
     address.attach_with(|| format!("{argument}: {text:?} is no address with a port, as 10.0.0.1:8200"))
 }
 
 /// The control nodes that `--to` names, else the seeds of the settings file.
-pub(super) fn target_addresses(arguments: &ArgMatches) -> Outcome<Vec<SocketAddr>> {
+pub(super) fn target_addresses(arguments: &ArgMatches) -> ControlPlaneResult<Vec<SocketAddr>> {
     match arguments.get_many::<String>("to") {
         Some(texts) => texts.map(|text| parse_address("--to", text)).collect(),
         None => Ok(read_settings()?.seeds.into_iter().map(SocketAddr::from).collect()),
@@ -143,8 +145,8 @@
 
 /// Why a request was rejected, for the operator.
 fn rejection_text(from: SocketAddr, body: &[u8]) -> String {
-    let answer: Value = serde_json::from_slice(body).unwrap_or_default();
-    let field = |name: &str| answer[name].as_str().unwrap_or("");
+    let response: Value = serde_json::from_slice(body).unwrap_or_default();
+    let field = |name: &str| response[name].as_str().unwrap_or("");
     let mut text = match field("Error") {
         "" => format!("{from} refuses: {}", String::from_utf8_lossy(body)),
         reason => format!("{from} refuses: {reason}"),
@@ -160,21 +162,21 @@
 pub(super) async fn call_any(
     targets: &[SocketAddr],
     call: Call,
-    names: &str,
+    path_parameters: &str,
     body: &[u8],
-) -> Outcome<HostResponse> {
+) -> ControlPlaneResult<HostResponse> {
     let mut last_failure = failure(ControlPlaneError::Call, "no control gateway is named".into());
     for &to in targets {
-        match call_one(to, call, names, body).await {
-            Ok(reply) if reply.status == 200 => return Ok(reply),
-            Ok(reply) if reply.status == 409 => {
-                return Err(failure(ControlPlaneError::Refused, rejection_text(to, &reply.body)));
+        match call_one(to, call, path_parameters, body).await {
+            Ok(response) if response.status == 200 => return Ok(response),
+            Ok(response) if response.status == 409 => {
+                return Err(failure(ControlPlaneError::Rejected, rejection_text(to, &response.body)));
             }
-            Ok(reply) => {
-                let text = String::from_utf8_lossy(&reply.body);
-                let reason = format!("{to} answered {}: {text}", reply.status);
+            Ok(response) => {
+                let text = String::from_utf8_lossy(&response.body);
+                let reason = format!("{to} answered {}: {text}", response.status);
                 last_failure = failure(ControlPlaneError::Call, reason);
-                if reply.status < 500 {
+                if response.status < 500 {
                     return Err(last_failure);
                 }
             }
--- a/crates/control-plane/src/cli/commands.rs
+++ b/crates/control-plane/src/cli/commands.rs
@@ -6,17 +6,17 @@
 use super::client::{Header, call_any, target_addresses};
 use super::force_new_generation;
 use crate::admin::calls::Call;
-use crate::admin::configuration::{check, digest, hex};
+use crate::admin::configuration::{digest, hex, validate};
 use crate::admin::voters::parse_node;
 use crate::error::failure;
-use crate::{ControlPlaneError, Outcome};
+use crate::{ControlPlaneError, ControlPlaneResult};
 use clap::ArgMatches;
 use error_stack::ResultExt;
 use std::io::{self, Write};
 use std::net::Ipv4Addr;
 
 /// Runs a command by its name.
-pub(super) async fn run(name: &str, arguments: &ArgMatches) -> Outcome<()> {
+pub(super) async fn run(name: &str, arguments: &ArgMatches) -> ControlPlaneResult<()> {
     match name {
         "check" => read_checked_file(arguments).map(drop),
         "apply" => {
@@ -34,41 +34,46 @@
     }
 }
 
-async fn call_and_print(arguments: &ArgMatches, call: Call, names: &str, body: &[u8]) -> Outcome<()> {
-    let reply = call_any(&target_addresses(arguments)?, call, names, body).await?;
-    println!("{}", String::from_utf8_lossy(&reply.body));
+async fn call_and_print(
+    arguments: &ArgMatches,
+    call: Call,
+    path_parameters: &str,
+    body: &[u8],
+) -> ControlPlaneResult<()> {
+    let response = call_any(&target_addresses(arguments)?, call, path_parameters, body).await?;
+    println!("{}", String::from_utf8_lossy(&response.body));
     Ok(())
 }
 
-async fn evacuate(arguments: &ArgMatches) -> Outcome<()> {
+async fn evacuate(arguments: &ArgMatches) -> ControlPlaneResult<()> {
     let (direction, arguments) = arguments.subcommand().unwrap_or(("", arguments));
     let call = if direction == "begin" { Call::BeginEvacuation } else { Call::FinishEvacuation };
     call_and_print(arguments, call, argument(arguments, "ZONE"), b"").await
 }
 
 /// Prints the configuration in force, once its digest is as announced.
-async fn read_configuration(arguments: &ArgMatches) -> Outcome<()> {
-    let reply = call_any(&target_addresses(arguments)?, Call::ReadConfiguration, "", b"").await?;
-    let field = |header: Header| header.of(&reply).unwrap_or("?");
+async fn read_configuration(arguments: &ArgMatches) -> ControlPlaneResult<()> {
+    let response = call_any(&target_addresses(arguments)?, Call::ReadConfiguration, "", b"").await?;
+    let field = |header: Header| header.value_in(&response).unwrap_or("?");
     let (version, announced) = (field(Header::ConfigVersion), field(Header::ConfigDigest));
     let age = field(Header::ConfirmedSecondsAgo);
-    let computed = hex(&digest(&reply.body));
+    let computed = hex(&digest(&response.body));
     if announced != computed {
         let reason = format!("the text that came has digest {computed}, told was {announced}");
         return Err(failure(ControlPlaneError::Call, reason));
     }
     eprintln!("version {version}, digest {computed}, confirmed by a majority {age} s ago");
     // Byte for byte: saved to a file it has the same digest.
-    io::stdout().write_all(&reply.body).change_context(ControlPlaneError::Call)
+    io::stdout().write_all(&response.body).change_context(ControlPlaneError::Call)
 }
 
 /// Reads `FILE`, checks it, and describes it to the operator.
-fn read_checked_file(arguments: &ArgMatches) -> Outcome<Vec<u8>> {
+fn read_checked_file(arguments: &ArgMatches) -> ControlPlaneResult<Vec<u8>> {
     let file = argument(arguments, "FILE");
     let text =
         std::fs::read(file).change_context(ControlPlaneError::File).attach_with(|| file.to_string())?;
     let configuration =
-        check(&text).map_err(|reason| failure(ControlPlaneError::File, format!("{file}: {reason}")))?;
+        validate(&text).map_err(|reason| failure(ControlPlaneError::File, format!("{file}: {reason}")))?;
     let (routes, services, tenants) =
         (configuration.routes.len(), configuration.services.len(), configuration.tenants.len());
     let (version, digest) = (configuration.version, hex(&digest(&text)));
@@ -78,11 +83,12 @@
     Ok(text)
 }
 
-async fn run_voters(arguments: &ArgMatches) -> Outcome<()> {
+async fn run_voters(arguments: &ArgMatches) -> ControlPlaneResult<()> {
     match arguments.subcommand() {
         Some(("replace", arguments)) => {
-            let names = [machine_address(arguments, "OLD")?, machine_address(arguments, "NEW")?].join("/");
-            call_and_print(arguments, Call::ReplaceVoter, &names, b"").await
+            let path_parameters =
+                [node_address(arguments, "OLD")?, node_address(arguments, "NEW")?].join("/");
+            call_and_print(arguments, Call::ReplaceVoter, &path_parameters, b"").await
         }
         Some((_, arguments)) => force_new_generation::run(arguments).await,
         None => call_and_print(arguments, Call::Voters, "", b"").await,
@@ -90,7 +96,7 @@
 }
 
 /// The address of a machine that an argument names, without its port.
-fn machine_address(arguments: &ArgMatches, name: &str) -> Outcome<String> {
+fn node_address(arguments: &ArgMatches, name: &str) -> ControlPlaneResult<String> {
     let text = argument(arguments, name);
     let reason = || format!("{name}: {text:?} is no address of a machine, as 10.0.0.1");
     let node = parse_node(text).ok_or_else(|| failure(ControlPlaneError::Call, reason()))?;
--- a/crates/control-plane/src/cli/disaster_recovery.rs
+++ b/crates/control-plane/src/cli/disaster_recovery.rs
@@ -101,7 +101,7 @@
 }
 
 /// One line about a node, and the node as a survivor where it votes.
-fn describe(address: &str, status: &Value, newest: &mut NewestValues) -> (String, Option<Survivor>) {
+fn describe_node(address: &str, status: &Value, newest: &mut NewestValues) -> (String, Option<Survivor>) {
     let accepted: Vec<AcceptedRegister> =
         status["Held"].as_array().into_iter().flatten().map(AcceptedRegister::read).collect();
     for value in &accepted {
@@ -138,7 +138,7 @@
             }
             Ok(status) => {
                 with_quorum.extend((status["Contact"] == true).then(|| address.clone()));
-                let (line, survivor) = describe(address, status, &mut newest);
+                let (line, survivor) = describe_node(address, status, &mut newest);
                 lines.push(line);
                 best = best.max(survivor);
             }
@@ -150,7 +150,7 @@
         return (lines.join("\n"), None);
     }
     let confirmation = match best {
-        Some(survivor) => advise(survivor, &newest, &unreachable, &mut lines),
+        Some(survivor) => describe_recovery(survivor, &newest, &unreachable, &mut lines),
         None => {
             lines.push("No voter was reached: bring one of them back first, with its disk.".to_string());
             None
@@ -160,7 +160,7 @@
 }
 
 /// What may be lost with that survivor, and the command that keeps its state.
-fn advise(
+fn describe_recovery(
     best: Survivor,
     newest: &NewestValues,
     unreachable: &[String],
--- a/crates/control-plane/src/cli/disaster_recovery/tests.rs
+++ b/crates/control-plane/src/cli/disaster_recovery/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use serde_json::json;
 
-fn answered(own_address: &str, epoch: u64, round: u64, contact: bool) -> SurveyedNode {
+fn surveyed_node(own_address: &str, epoch: u64, round: u64, contact: bool) -> SurveyedNode {
     let members: Vec<Value> = ["10.0.0.1", "10.0.0.2", "10.0.0.3"]
         .iter()
         .map(|address| json!({"Address": address, "Seat": true, "Here": *address == own_address}))
@@ -19,7 +19,7 @@
 #[test]
 fn newest_survivor_is_proposed_and_only_where_no_quorum_is_left() {
     let lost = SurveyedNode { address: "10.0.0.3:8200".to_string(), status: Err(CallError::Status(503)) };
-    let nodes = [answered("10.0.0.1", 4, 9, false), answered("10.0.0.2", 5, 7, false), lost];
+    let nodes = [surveyed_node("10.0.0.1", 4, 9, false), surveyed_node("10.0.0.2", 5, 7, false), lost];
     let (text, confirmation) = survey(&nodes);
     let expected = Confirmation { at: "10.0.0.2:8200".into(), epoch: "5".into(), lose: "10.0.0.3".into() };
     assert_eq!(confirmation, Some(expected));
@@ -28,7 +28,8 @@
             && text.contains("10.0.0.3:8200: not reached: answered 503"),
         "{text}"
     );
-    let (text, confirmation) = survey(&[answered("10.0.0.1", 4, 9, true), answered("10.0.0.2", 5, 7, false)]);
+    let (text, confirmation) =
+        survey(&[surveyed_node("10.0.0.1", 4, 9, true), surveyed_node("10.0.0.2", 5, 7, false)]);
     assert!(confirmation.is_none() && text.contains("nothing is lost"), "{text}");
-    assert!(survey(&[answered("10.0.0.9", 4, 9, false)]).1.is_none());
+    assert!(survey(&[surveyed_node("10.0.0.9", 4, 9, false)]).1.is_none());
 }
--- a/crates/control-plane/src/cli/force_new_generation.rs
+++ b/crates/control-plane/src/cli/force_new_generation.rs
@@ -8,7 +8,7 @@
 use super::disaster_recovery::{Confirmation, SurveyedNode, survey};
 use crate::admin::calls::Call;
 use crate::error::failure;
-use crate::{ControlPlaneError, Outcome};
+use crate::{ControlPlaneError, ControlPlaneResult};
 use clap::ArgMatches;
 use error_stack::ResultExt;
 use futures_util::future::join_all;
@@ -22,9 +22,9 @@
 const SURVEY_ROUNDS: usize = 3;
 
 async fn voters_status(address: SocketAddr) -> Result<Value, CallError> {
-    let reply = call_one(address, Call::Voters, "", b"").await?;
-    match reply.status {
-        200 => serde_json::from_slice(&reply.body).map_err(CallError::Body),
+    let response = call_one(address, Call::Voters, "", b"").await?;
+    match response.status {
+        200 => serde_json::from_slice(&response.body).map_err(CallError::Body),
         status => Err(CallError::Status(status)),
     }
 }
@@ -37,21 +37,21 @@
 
 /// The voters' status at all control nodes that are reached: those asked first, and those that answers name.
 async fn survey_nodes(first: Vec<SocketAddr>) -> Vec<SurveyedNode> {
-    let (mut answers, mut next) = (BTreeMap::new(), first);
+    let (mut responses, mut next) = (BTreeMap::new(), first);
     for _ in 0..SURVEY_ROUNDS {
-        next.retain(|address| !answers.contains_key(address));
-        next.truncate(MAX_SURVEYED.saturating_sub(answers.len()));
+        next.retain(|address| !responses.contains_key(address));
+        next.truncate(MAX_SURVEYED.saturating_sub(responses.len()));
         let statuses = join_all(next.iter().map(|&address| voters_status(address))).await;
         let named: Vec<SocketAddr> = statuses.iter().flatten().flat_map(named_members).collect();
-        answers.extend(next.into_iter().zip(statuses));
+        responses.extend(next.into_iter().zip(statuses));
         next = named;
     }
-    let surveyed = answers.into_iter();
+    let surveyed = responses.into_iter();
     surveyed.map(|(address, status)| SurveyedNode { address: address.to_string(), status }).collect()
 }
 
 /// Shows the survey; with all three options, compares them and sends the call.
-pub(super) async fn run(arguments: &ArgMatches) -> Outcome<()> {
+pub(super) async fn run(arguments: &ArgMatches) -> ControlPlaneResult<()> {
     let (text, confirmation) = survey(&survey_nodes(target_addresses(arguments)?).await);
     println!("{text}");
     let given = ["at", "epoch", "lose"].map(|name| argument(arguments, name));
@@ -60,7 +60,7 @@
     }
     let Some(Confirmation { at, epoch, lose }) = confirmation else {
         let reason = "there is nothing to found anew, as shown above".into();
-        return Err(failure(ControlPlaneError::Refused, reason));
+        return Err(failure(ControlPlaneError::Rejected, reason));
     };
     for ((option, given), shown) in ["--at", "--epoch", "--lose"].iter().zip(given).zip([&at, &epoch, &lose])
     {
@@ -72,7 +72,7 @@
     let number = epoch.parse::<u64>().change_context(ControlPlaneError::Call)?;
     let body = json!({"Epoch": number, "Lose": lose.split(',').collect::<Vec<_>>()}).to_string();
     let survivor = [parse_address("--at", &at)?];
-    let reply = call_any(&survivor, Call::ForceNewGeneration, "", body.as_bytes()).await?;
-    println!("{}", String::from_utf8_lossy(&reply.body));
+    let response = call_any(&survivor, Call::ForceNewGeneration, "", body.as_bytes()).await?;
+    println!("{}", String::from_utf8_lossy(&response.body));
     Ok(())
 }
--- a/crates/control-plane/src/cli/mod.rs
+++ b/crates/control-plane/src/cli/mod.rs
@@ -8,7 +8,7 @@
 mod disaster_recovery;
 mod force_new_generation;
 
-use crate::{ControlPlaneError, Outcome, read_settings, serve};
+use crate::{ControlPlaneError, ControlPlaneResult, read_settings, serve};
 use archlink_runtime::until_terminated;
 use clap::ArgMatches;
 use error_stack::ResultExt;
@@ -26,20 +26,20 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("archlink-control-plane: {}", archlink_runtime::report_line(&e));
-            let rejected = *e.current_context() == ControlPlaneError::Refused;
+            let rejected = *e.current_context() == ControlPlaneError::Rejected;
             ExitCode::from(if rejected { EXIT_REJECTED } else { EXIT_FAILED })
         }
     }
 }
 
-fn run_command(matches: &ArgMatches) -> Outcome<()> {
+fn run_command(matches: &ArgMatches) -> ControlPlaneResult<()> {
     match matches.subcommand() {
         None | Some(("run", _)) => run_server(),
         Some((name, arguments)) => on_runtime(commands::run(name, arguments)),
     }
 }
 
-fn run_server() -> Outcome<()> {
+fn run_server() -> ControlPlaneResult<()> {
     let settings = read_settings()?;
     let level = std::env::var("ARCHLINK_LOG").ok().and_then(|level| level.parse().ok());
     archlink_runtime::log_to_stderr(&settings.name, level.unwrap_or(log::LevelFilter::Info));
@@ -59,7 +59,7 @@
     }
 }
 
-fn on_runtime<T>(work: impl Future<Output = Outcome<T>>) -> Outcome<T> {
+fn on_runtime<T>(work: impl Future<Output = ControlPlaneResult<T>>) -> ControlPlaneResult<T> {
     let mut builder = tokio::runtime::Builder::new_current_thread();
     let runtime =
         builder.enable_all().build_local(LocalOptions::default()).change_context(ControlPlaneError::Start)?;
--- a/crates/control-plane/src/error.rs
+++ b/crates/control-plane/src/error.rs
@@ -17,7 +17,7 @@
     /// No control node was reached, or none gave a final answer.
     Call,
     /// A request was rejected: it conflicts with what is in force.
-    Refused,
+    Rejected,
 }
 
 impl fmt::Display for ControlPlaneError {
@@ -28,7 +28,7 @@
             ControlPlaneError::Start => "the control gateway can't start",
             ControlPlaneError::File => "the file can't be used",
             ControlPlaneError::Call => "the call did not come through",
-            ControlPlaneError::Refused => "the order is refused",
+            ControlPlaneError::Rejected => "the order is refused",
         })
     }
 }
@@ -36,7 +36,7 @@
 impl std::error::Error for ControlPlaneError {}
 
 /// A result whose error names its causes.
-pub type Outcome<T> = Result<T, Report<ControlPlaneError>>;
+pub type ControlPlaneResult<T> = Result<T, Report<ControlPlaneError>>;
 
 /// An error with its reason attached.
 pub(crate) fn failure(kind: ControlPlaneError, reason: String) -> Report<ControlPlaneError> {
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -13,6 +13,6 @@
 #[cfg(test)]
 mod tests;
 
-pub use error::{ControlPlaneError, Outcome};
+pub use error::{ControlPlaneError, ControlPlaneResult};
 pub use serve::serve;
 pub use settings::read_settings;
--- a/crates/control-plane/src/serve.rs
+++ b/crates/control-plane/src/serve.rs
@@ -4,7 +4,7 @@
 use crate::server::node::Node;
 use crate::server::write_queue::StateWriter;
 use crate::server::{host_discovery, peer_links, startup};
-use crate::{ControlPlaneError, Outcome};
+use crate::{ControlPlaneError, ControlPlaneResult};
 use archlink_config::Settings;
 use archlink_control_node::node::ControlNodeState;
 use archlink_runtime::Clock;
@@ -22,11 +22,11 @@
 /// After SIGTERM: time for successors to be named and for answers to leave.
 const DRAIN_TIME: Duration = Duration::from_millis(500);
 /// A voter that shuts down waits for its seat to be handed over, for this part of `Grace` at most.
-const HANDOVER_PART_OF_GRACE: f64 = 0.85;
+const HANDOVER_FRACTION_OF_GRACE: f64 = 0.85;
 /// The longest wait for the handover in seconds, also where the operators name no `Grace`.
 const MAX_HANDOVER: f64 = 5.0;
 
-async fn bind(address: Option<SocketAddr>, key: &'static str) -> Outcome<TcpListener> {
+async fn bind(address: Option<SocketAddr>, key: &'static str) -> ControlPlaneResult<TcpListener> {
     let address =
         address.ok_or_else(|| Report::new(ControlPlaneError::Settings).attach(format!("{key}: missing")))?;
     TcpListener::bind(address)
@@ -39,7 +39,7 @@
 ///
 /// # Errors
 /// Where the settings, the data folder or an address can't be used.
-pub async fn serve(settings: Settings, shutdown: impl Future<Output = ()>) -> Outcome<()> {
+pub async fn serve(settings: Settings, shutdown: impl Future<Output = ()>) -> ControlPlaneResult<()> {
     let clock = Clock::start();
     let (state, storage) = startup::load(&settings, clock)?;
     let (durable, mut durable_messages) = mpsc::unbounded_channel();
@@ -86,7 +86,7 @@
     node.draining.set(true);
     node.step(|state, now| state.begin_shutdown(now));
     sleep(DRAIN_TIME).await;
-    let limit = (HANDOVER_PART_OF_GRACE * node.settings.timing_bounds.grace).min(MAX_HANDOVER);
+    let limit = (HANDOVER_FRACTION_OF_GRACE * node.settings.timing_bounds.grace).min(MAX_HANDOVER);
     let deadline = node.clock.now() + limit;
     while !node.with_state(ControlNodeState::may_shut_down) {
         if node.clock.now() >= deadline {
--- a/crates/control-plane/src/server/host_discovery.rs
+++ b/crates/control-plane/src/server/host_discovery.rs
@@ -44,7 +44,7 @@
         };
         let listed = timeout(LIST_TIMEOUT, platform.list_instances()).await;
         match listed.unwrap_or(Err(PlatformError::Timeout)) {
-            Ok(instances) => take_list(&node, lease.term, &mut published, instances),
+            Ok(instances) => publish_list(&node, lease.term, &mut published, instances),
             Err(e) => log::warn!(error:% = e; "host list request failed"),
         }
         sleep(POLL_INTERVAL).await;
@@ -52,7 +52,7 @@
 }
 
 /// Publishes a list that differs from the published one.
-fn take_list(node: &Node, term: u64, published: &mut Vec<HostInstance>, instances: Vec<HostInstance>) {
+fn publish_list(node: &Node, term: u64, published: &mut Vec<HostInstance>, instances: Vec<HostInstance>) {
     if is_unchanged(published, &instances) {
         let pairs = published.iter_mut().zip(instances);
         pairs.for_each(|(known, listed)| known.warm_up_seconds = listed.warm_up_seconds);
--- a/crates/control-plane/src/server/host_discovery/platform.rs
+++ b/crates/control-plane/src/server/host_discovery/platform.rs
@@ -134,14 +134,14 @@
         let request =
             OutgoingRequest { method: "GET", target: &target, host: &host, header_lines: b"", body: b"" };
         connection.send(request).await?;
-        let reply = connection.next().await.unwrap_or(Err(io::ErrorKind::UnexpectedEof.into()))?;
+        let response = connection.next().await.unwrap_or(Err(io::ErrorKind::UnexpectedEof.into()))?;
         match idle_state(&connection) {
             IdleState::UnexpectedBytes => return Err(PlatformError::UnsolicitedBytes),
-            IdleState::Quiet if reply.reusable => self.connection = Some(connection),
+            IdleState::Quiet if response.reusable => self.connection = Some(connection),
             _ => {}
         }
-        match reply.status {
-            200 => serde_json::from_slice(&reply.body).map_err(PlatformError::Body),
+        match response.status {
+            200 => serde_json::from_slice(&response.body).map_err(PlatformError::Body),
             status => Err(PlatformError::Status(status)),
         }
     }
--- a/crates/control-plane/src/server/host_discovery/tests.rs
+++ b/crates/control-plane/src/server/host_discovery/tests.rs
@@ -14,20 +14,20 @@
 
 /// A platform that gives the next of these answers to each request, whichever connection it comes on; an empty one closes
 /// the exchange.
-async fn platform(answers: Vec<String>) -> SocketAddr {
+async fn platform(responses: Vec<String>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     tokio::task::spawn(async move {
-        let mut answers = answers.into_iter();
+        let mut responses = responses.into_iter();
         let mut open = Vec::new();
         while let Ok((mut stream, _)) = listener.accept().await {
             let mut request = [0; 4096];
             while stream.read(&mut request).await.is_ok_and(|read| read > 0) {
-                let Some(answer) = answers.next() else { break };
-                if answer.is_empty() {
+                let Some(response) = responses.next() else { break };
+                if response.is_empty() {
                     break;
                 }
-                stream.write_all(answer.as_bytes()).await.unwrap();
+                stream.write_all(response.as_bytes()).await.unwrap();
             }
             // Whoever asks on another connection got no answer on this one: it stays open.
             open.push(stream);
@@ -48,15 +48,15 @@
 /// An answer that is sent twice does not answer the next request: each list would be one older than it seems for as long as
 /// the connection lasts, and a page of one list would end another.
 #[test]
-fn duplicate_answer_is_not_taken_for_the_next_requests() {
+fn duplicate_response_is_not_matched_to_the_next_request() {
     run(async {
         let duplicate = format!("{}{}", page("old", None), page("old", None));
         let mut client = PlatformClient::new(platform(vec![duplicate, page("new", None)]).await);
         assert_eq!(listed_ids(&mut client).await, None);
         assert_eq!(listed_ids(&mut client).await.as_deref(), Some("new"));
         let duplicate = format!("{}{}", page("a", Some("2")), page("z", None));
-        let answers = vec![duplicate, page("a", Some("2")), page("b", None)];
-        let mut client = PlatformClient::new(platform(answers).await);
+        let responses = vec![duplicate, page("a", Some("2")), page("b", None)];
+        let mut client = PlatformClient::new(platform(responses).await);
         assert_eq!(listed_ids(&mut client).await, None);
         assert_eq!(listed_ids(&mut client).await.as_deref(), Some("a b"));
     });
@@ -65,15 +65,15 @@
 #[test]
 fn instance_on_two_pages_is_listed_once() {
     run(async {
-        let answers = vec![page("a", Some("2")), page("a", None)];
-        let mut client = PlatformClient::new(platform(answers).await);
+        let responses = vec![page("a", Some("2")), page("a", None)];
+        let mut client = PlatformClient::new(platform(responses).await);
         assert_eq!(listed_ids(&mut client).await.as_deref(), Some("a"));
     });
 }
 
 /// A request that is given up for the platform's silence takes its connection along, and a list without end is no list.
 #[test]
-fn abandoned_or_endless_list_leaves_no_result_and_no_connection_behind() {
+fn abandoned_or_endless_list_yields_no_result_and_keeps_no_connection() {
     run(async {
         let mut client = PlatformClient::new(platform(vec![String::new(), page("new", None)]).await);
         tokio::select! {
--- a/crates/control-plane/src/server/mod.rs
+++ b/crates/control-plane/src/server/mod.rs
@@ -7,5 +7,5 @@
 pub mod peer_links;
 pub mod seeds;
 pub mod startup;
-pub mod state_change_log;
+pub mod transition_log;
 pub mod write_queue;
--- a/crates/control-plane/src/server/node.rs
+++ b/crates/control-plane/src/server/node.rs
@@ -15,7 +15,7 @@
 pub use quorum_contact::CLIENT_TIMEOUT;
 
 use super::seeds::seed_nodes;
-use super::state_change_log::{Observation, StateChangeLog};
+use super::transition_log::{Observation, TransitionLog};
 use super::write_queue::{BlockedMessages, StateWriter, WriteQueue};
 use archlink_config::{Configuration, Settings};
 use archlink_consensus::Effect;
@@ -56,7 +56,7 @@
     /// The configuration in force, parsed.
     configuration: RefCell<Option<Rc<Configuration>>>,
     update_delivery: RefCell<UpdateDelivery>,
-    state_change_log: RefCell<StateChangeLog>,
+    transition_log: RefCell<TransitionLog>,
     /// Seconds on `clock` at which this process started, and of its last tick.
     started_at: f64,
     ticked_at: Cell<f64>,
@@ -89,7 +89,7 @@
             pending: PendingProposals::default(),
             configuration: RefCell::default(),
             update_delivery: RefCell::default(),
-            state_change_log: RefCell::default(),
+            transition_log: RefCell::default(),
             started_at: clock.now(),
             ticked_at: Cell::new(clock.now()),
             draining: Cell::new(false),
@@ -119,10 +119,10 @@
         self.ticked_at.set(self.clock.now());
         self.step(|state, now| state.tick(now));
         self.write_queue.borrow_mut().retry();
-        self.log_state_changes();
+        self.log_transitions();
     }
 
-    fn log_state_changes(&self) {
+    fn log_transitions(&self) {
         let contact_age = self.contact_age();
         let events = self.with_state(|state, now| {
             let held_term = |role| state.leases.held_lease(now, role).map(|lease| lease.term);
@@ -131,9 +131,9 @@
                 voter_set: state.voter_set(),
                 held_terms: SINGLETON_ROLES.map(|role| (role, held_term(role))),
             };
-            self.state_change_log.borrow_mut().observe(now, &observation)
+            self.transition_log.borrow_mut().observe(now, &observation)
         });
-        events.iter().for_each(super::state_change_log::StateChangeEvent::log);
+        events.iter().for_each(super::transition_log::TransitionEvent::log);
     }
 
     /// After a stall the state is stale: time passes first, and what arrived meanwhile, closed connections among it, is
--- a/crates/control-plane/src/server/peer_links/incoming.rs
+++ b/crates/control-plane/src/server/peer_links/incoming.rs
@@ -54,15 +54,15 @@
 /// Accepts connections for ever.
 pub async fn listen(node: Rc<Node>, listener: TcpListener) {
     // Each connection holds a clone: the count is the number of open ones, and one.
-    let open = Rc::new(());
+    let open_connections = Rc::new(());
     let connections = Rc::new(RefCell::new(ConnectionTable::default()));
     loop {
         match listener.accept().await {
-            Ok((stream, from)) if Rc::strong_count(&open) <= MAX_CONNECTIONS => {
+            Ok((stream, from)) if Rc::strong_count(&open_connections) <= MAX_CONNECTIONS => {
                 let peer = IncomingPeer::new(&mut connections.borrow_mut());
                 let connection =
                     Connection { node: node.clone(), connections: connections.clone(), peer, from };
-                spawn_local(connection.serve(stream, open.clone()));
+                spawn_local(connection.serve(stream, open_connections.clone()));
             }
             Ok(_) => log::warn!(limit = MAX_CONNECTIONS; "peer connection rejected: limit reached"),
             Err(e) => {
@@ -82,7 +82,7 @@
 
 impl Connection {
     /// Processes messages until the connection closes or sends what it may not.
-    async fn serve(mut self, stream: TcpStream, _open: Rc<()>) {
+    async fn serve(mut self, stream: TcpStream, _connection_guard: Rc<()>) {
         archlink_runtime::configure_stream(&stream);
         let (sender, mut messages) =
             split_connection(Framed::new(stream, MessageCodec::default()), MAX_QUEUED_MESSAGES);
@@ -117,10 +117,10 @@
                 Ok(())
             }
             (Message::CounterAdds { serial, term, cluster_clock: clock, adds }, _) => {
-                self.answer_counter_adds(sender, serial, term, clock, &adds)
+                self.handle_counter_adds(sender, serial, term, clock, &adds)
             }
             (Message::UpdateRequest(versions), Some(PeerIdentity::DataNode(_))) => {
-                self.answer_update_request(sender, &versions);
+                self.handle_update_request(sender, &versions);
                 Ok(())
             }
             (message, Some(PeerIdentity::ControlNode(peer))) => {
@@ -149,7 +149,7 @@
         sender.try_send(self.node.with_state(|state, now| state.heartbeat(now, serial))).ok();
     }
 
-    fn answer_counter_adds(
+    fn handle_counter_adds(
         &self,
         sender: &MessageSender,
         serial: u64,
@@ -163,11 +163,11 @@
         });
         let totals = self.node.count(term, adds);
         let clock = self.node.with_state(|state, now| state.cluster_clock(now));
-        let answer = Message::CounterTotals { serial, cluster_clock: clock, totals };
-        sender.try_send(answer).map_err(|_| ConnectionError::TotalsNotRead)
+        let reply = Message::CounterTotals { serial, cluster_clock: clock, totals };
+        sender.try_send(reply).map_err(|_| ConnectionError::TotalsNotRead)
     }
 
-    fn answer_update_request(&self, sender: &MessageSender, versions: &VersionVector) {
+    fn handle_update_request(&self, sender: &MessageSender, versions: &VersionVector) {
         let updates = self.node.missing_updates(versions);
         if !updates.is_empty() {
             sender.try_send(Message::StateUpdates(updates)).ok();
--- a/crates/control-plane/src/server/peer_links/outgoing.rs
+++ b/crates/control-plane/src/server/peer_links/outgoing.rs
@@ -65,7 +65,7 @@
     let address = archlink_runtime::node_address(peer, node.settings.internal_port);
     while known_peers(&node).contains(&peer) {
         if let Ok(framed) = archlink_runtime::connect(address).await
-            && forward(&node, framed, &mut messages).await == Forwarded::QueueClosed
+            && forward(&node, framed, &mut messages).await == CloseReason::QueueClosed
         {
             return;
         }
@@ -76,7 +76,7 @@
 
 /// Why forwarding on one connection ended.
 #[derive(PartialEq, Eq)]
-enum Forwarded {
+enum CloseReason {
     /// The connection closed.
     Disconnected,
     /// No more messages will come: the node is gone.
@@ -88,7 +88,7 @@
     node: &Node,
     framed: Framed<TcpStream, MessageCodec>,
     messages: &mut mpsc::Receiver<Message>,
-) -> Forwarded {
+) -> CloseReason {
     let (sender, mut source) = split_connection(framed, MAX_QUEUED_MESSAGES);
     // What was queued while the link was down is outdated.
     while messages.try_recv().is_ok() {}
@@ -98,12 +98,12 @@
         tokio::select! {
             message = messages.recv() => match message {
                 Some(message) => open = sender.send(message).await.is_ok(),
-                None => return Forwarded::QueueClosed,
+                None => return CloseReason::QueueClosed,
             },
             // The peer sends nothing on this connection: whatever arrives is its end.
             _ = source.next() => open = false,
             _ = sender.closed() => open = false,
         }
     }
-    Forwarded::Disconnected
+    CloseReason::Disconnected
 }
--- a/crates/control-plane/src/server/startup.rs
+++ b/crates/control-plane/src/server/startup.rs
@@ -1,6 +1,6 @@
 //! The state that a control node starts with: what its disk has, or the seeds at the very first start.
 
-use crate::{ControlPlaneError, Outcome};
+use crate::{ControlPlaneError, ControlPlaneResult};
 use archlink_config::Settings;
 use archlink_control_node::node::{ControlNodeState, InitialState};
 use archlink_messages::{ControlNode, VoterSet};
@@ -19,7 +19,7 @@
 
 /// Opens the data folder. A disk that is full or hangs at the moment of a start is retried, since to exit would only be to
 /// start again; damaged data is an error at once.
-fn open_with_retries(folder: &Path) -> Outcome<(Storage, DurableState)> {
+fn open_with_retries(folder: &Path) -> ControlPlaneResult<(Storage, DurableState)> {
     for _ in 1..OPEN_ATTEMPTS {
         match Storage::open(folder) {
             Err(e) if *e.current_context() == StorageError::Disk => {
@@ -34,7 +34,7 @@
 
 /// The seeds as the voters of the very first start: the same three everywhere, and only then. They are on disk before any
 /// message is sent: a first start that dies halfway continues where it was.
-fn bootstrap_voters(settings: &Settings, storage: Option<&Storage>) -> Outcome<VoterSet> {
+fn bootstrap_voters(settings: &Settings, storage: Option<&Storage>) -> ControlPlaneResult<VoterSet> {
     let mut seeds = super::seeds::seed_nodes(settings);
     seeds.sort_unstable();
     let voter_set = VoterSet::initial(&seeds);
@@ -48,7 +48,7 @@
 }
 
 /// The core as the disk remembers it, and the disk, if the settings name a data folder.
-pub fn load(settings: &Settings, clock: Clock) -> Outcome<(ControlNodeState, Option<Storage>)> {
+pub fn load(settings: &Settings, clock: Clock) -> ControlPlaneResult<(ControlNodeState, Option<Storage>)> {
     let operator_address = settings
         .operator_address
         .ok_or_else(|| Report::new(ControlPlaneError::Settings).attach("Listen.Control: missing"))?;
--- a/crates/control-plane/src/server/state_change_log.rs
+++ b/crates/control-plane/src/server/transition_log.rs
@@ -4,7 +4,7 @@
 
 mod event;
 
-pub use event::StateChangeEvent;
+pub use event::TransitionEvent;
 
 use super::contact_limits::{MAX_CONTACT_AGE, STARTUP_GRACE};
 use archlink_messages::{SINGLETON_ROLES, SingletonRole, VoterSet};
@@ -28,16 +28,16 @@
 
 /// What was logged last.
 #[derive(Default)]
-pub struct StateChangeLog {
+pub struct TransitionLog {
     /// Not known before the first answer, or the end of the grace period at the start.
     contact: Option<Contact>,
     voter_set: VoterSet,
     held_terms: [Option<u64>; SINGLETON_ROLES.len()],
 }
 
-impl StateChangeLog {
+impl TransitionLog {
     /// The events since the last observation.
-    pub fn observe(&mut self, now: f64, observation: &Observation) -> Vec<StateChangeEvent> {
+    pub fn observe(&mut self, now: f64, observation: &Observation) -> Vec<TransitionEvent> {
         let mut events = Vec::new();
         events.extend(self.observe_contact(now, observation.contact_age));
         if *observation.voter_set != self.voter_set {
@@ -51,20 +51,20 @@
         events
     }
 
-    fn observe_contact(&mut self, now: f64, contact_age: Option<f64>) -> Option<StateChangeEvent> {
-        let answers = contact_age.is_some_and(|age| age <= MAX_CONTACT_AGE);
+    fn observe_contact(&mut self, now: f64, contact_age: Option<f64>) -> Option<TransitionEvent> {
+        let has_contact = contact_age.is_some_and(|age| age <= MAX_CONTACT_AGE);
         let (contact, event) = match self.contact {
-            None if answers => {
-                (Contact::Established { since: now }, StateChangeEvent::ContactEstablished { after: now })
+            None if has_contact => {
+                (Contact::Established { since: now }, TransitionEvent::ContactEstablished { after: now })
             }
-            None if now > STARTUP_GRACE => (Contact::Lost { since: 0.0 }, StateChangeEvent::NoContact),
-            Some(Contact::Established { since }) if !answers => {
+            None if now > STARTUP_GRACE => (Contact::Lost { since: 0.0 }, TransitionEvent::NoContact),
+            Some(Contact::Established { since }) if !has_contact => {
                 let silence = contact_age.unwrap_or(now);
-                let event = StateChangeEvent::ContactLost { silence, after: now - since };
+                let event = TransitionEvent::ContactLost { silence, after: now - since };
                 (Contact::Lost { since: now - silence }, event)
             }
-            Some(Contact::Lost { since }) if answers => {
-                let event = StateChangeEvent::ContactRegained { after: now - since };
+            Some(Contact::Lost { since }) if has_contact => {
+                let event = TransitionEvent::ContactRegained { after: now - since };
                 (Contact::Established { since: now }, event)
             }
             _ => return None,
@@ -73,12 +73,12 @@
         Some(event)
     }
 
-    fn observe_voter_set(&self, after: &VoterSet) -> Vec<StateChangeEvent> {
+    fn observe_voter_set(&self, after: &VoterSet) -> Vec<TransitionEvent> {
         let before = &self.voter_set;
         let (epoch, voters) = (after.epoch, after.voters.clone());
         let incoming = after.is_joint().then(|| after.incoming.clone());
         let mut events =
-            vec![StateChangeEvent::VoterSet { epoch, voters: voters.clone(), incoming: incoming.clone() }];
+            vec![TransitionEvent::VoterSet { epoch, voters: voters.clone(), incoming: incoming.clone() }];
         // A joint epoch may have passed between two observations: then the voters tell how it ended.
         let is_committed =
             if before.is_joint() { before.incoming == after.voters } else { before.voters != after.voters };
@@ -86,22 +86,22 @@
             return events;
         }
         events.push(if after.first_round() != before.first_round() {
-            StateChangeEvent::NewGeneration { epoch, voters }
+            TransitionEvent::NewGeneration { epoch, voters }
         } else if let Some(incoming) = incoming {
-            StateChangeEvent::MembershipChangeStarted { epoch, voters, incoming }
+            TransitionEvent::MembershipChangeStarted { epoch, voters, incoming }
         } else if is_committed {
-            StateChangeEvent::MembershipChangeCommitted { epoch, voters }
+            TransitionEvent::MembershipChangeCommitted { epoch, voters }
         } else {
-            StateChangeEvent::MembershipChangeRolledBack { epoch, voters }
+            TransitionEvent::MembershipChangeRolledBack { epoch, voters }
         });
         events
     }
 }
 
-fn lease_event(role: SingletonRole, before: Option<u64>, after: Option<u64>) -> Option<StateChangeEvent> {
+fn lease_event(role: SingletonRole, before: Option<u64>, after: Option<u64>) -> Option<TransitionEvent> {
     match (before, after) {
-        (before, Some(term)) if before != Some(term) => Some(StateChangeEvent::LeaseGranted { role, term }),
-        (Some(term), None) => Some(StateChangeEvent::LeaseLost { role, term }),
+        (before, Some(term)) if before != Some(term) => Some(TransitionEvent::LeaseGranted { role, term }),
+        (Some(term), None) => Some(TransitionEvent::LeaseLost { role, term }),
         _ => None,
     }
 }
--- a/crates/control-plane/src/server/state_change_log/event.rs
+++ b/crates/control-plane/src/server/transition_log/event.rs
@@ -5,7 +5,7 @@
 
 /// Something that changed between two ticks. Times are in seconds.
 #[derive(Clone, Debug, PartialEq)]
-pub enum StateChangeEvent {
+pub enum TransitionEvent {
     /// A quorum answered for the first time, so long after the start.
     ContactEstablished {
         /// Since the start.
@@ -89,10 +89,10 @@
     format!("{seconds:.1}")
 }
 
-impl StateChangeEvent {
+impl TransitionEvent {
     /// Writes the event's line.
     pub fn log(&self) {
-        use StateChangeEvent as Event;
+        use TransitionEvent as Event;
         match self {
             Event::ContactEstablished { after } => {
                 log::info!(after_s:% = tenths(*after); "quorum contact established");
--- a/crates/control-plane/src/server/state_change_log/tests.rs
+++ b/crates/control-plane/src/server/transition_log/tests.rs
@@ -8,7 +8,7 @@
 
 /// The lines of one observation.
 fn observe(
-    log: &mut StateChangeLog,
+    log: &mut TransitionLog,
     now: f64,
     contact_age: Option<f64>,
     voter_set: &VoterSet,
@@ -16,13 +16,13 @@
 ) -> Vec<String> {
     let held_terms = [(SingletonRole::HostDiscovery, None), (SingletonRole::QuotaCounter, counter_term)];
     let events = log.observe(now, &Observation { contact_age, voter_set, held_terms });
-    logged_by(|| events.iter().for_each(StateChangeEvent::log))
+    logged_by(|| events.iter().for_each(TransitionEvent::log))
 }
 
 /// Each line comes once, when what it is about changes; a committed change differs from one that is rolled back.
 #[test]
-fn each_state_change_is_logged_once() {
-    let mut log = StateChangeLog::default();
+fn each_transition_is_logged_once() {
+    let mut log = TransitionLog::default();
     let mut observe =
         |now, contact_age, voter_set: &VoterSet, term| observe(&mut log, now, contact_age, voter_set, term);
     let first = VoterSet::initial(&[1, 2, 3]);
@@ -63,7 +63,7 @@
 fn committed_membership_change_is_logged_with_the_new_voters() {
     let first = VoterSet::initial(&[1, 2, 3]);
     let joint = first.enter_joint(vec![1, 2, 4]);
-    let mut log = StateChangeLog { voter_set: joint.clone(), ..StateChangeLog::default() };
+    let mut log = TransitionLog { voter_set: joint.clone(), ..TransitionLog::default() };
     let committed = joint.leave_joint(&joint.incoming);
     assert_eq!(
         observe(&mut log, 1.0, None, &committed, None),
@@ -79,7 +79,7 @@
 fn membership_change_between_two_observations_is_logged_as_committed() {
     let first = VoterSet::initial(&[1, 2, 3]);
     let joint = first.enter_joint(vec![1, 2, 4]);
-    let mut log = StateChangeLog { voter_set: first, ..StateChangeLog::default() };
+    let mut log = TransitionLog { voter_set: first, ..TransitionLog::default() };
     let events = log.observe(
         1.0,
         &Observation {
@@ -92,15 +92,15 @@
     assert_eq!(
         events,
         [
-            StateChangeEvent::VoterSet { epoch: 3, voters: voters.clone(), incoming: None },
-            StateChangeEvent::MembershipChangeCommitted { epoch: 3, voters },
+            TransitionEvent::VoterSet { epoch: 3, voters: voters.clone(), incoming: None },
+            TransitionEvent::MembershipChangeCommitted { epoch: 3, voters },
         ]
     );
 }
 
 #[test]
 fn silence_since_the_start_is_logged_once_after_the_grace_period() {
-    let (mut log, unknown) = (StateChangeLog::default(), VoterSet::default());
+    let (mut log, unknown) = (TransitionLog::default(), VoterSet::default());
     assert!(observe(&mut log, STARTUP_GRACE, None, &unknown, None).is_empty());
     assert_eq!(observe(&mut log, 5.1, None, &unknown, None), ["no quorum contact since start"]);
     assert!(observe(&mut log, 5.2, None, &unknown, None).is_empty());
@@ -110,11 +110,11 @@
 /// A lease in a later term is another lease; each role is logged by its name.
 #[test]
 fn each_lease_is_logged_with_its_role_and_term() {
-    let (voter_set, mut log) = (VoterSet::default(), StateChangeLog::default());
+    let (voter_set, mut log) = (VoterSet::default(), TransitionLog::default());
     let mut lines = |term: Option<u64>| {
         let held_terms = SINGLETON_ROLES.map(|role| (role, term));
         let events = log.observe(0.0, &Observation { contact_age: None, voter_set: &voter_set, held_terms });
-        logged_by(|| events.iter().for_each(StateChangeEvent::log))
+        logged_by(|| events.iter().for_each(TransitionEvent::log))
     };
     let both = |event: &str, term: u64| {
         ["HostDiscovery", "QuotaCounter"].map(|role| format!("{event} role={role} term={term}"))
--- a/crates/control-plane/src/settings.rs
+++ b/crates/control-plane/src/settings.rs
@@ -1,6 +1,6 @@
 //! The settings file of this process.
 
-use crate::{ControlPlaneError, Outcome};
+use crate::{ControlPlaneError, ControlPlaneResult};
 use archlink_config::Settings;
 use error_stack::ResultExt;
 
@@ -8,7 +8,7 @@
 ///
 /// # Errors
 /// Where the file can't be read, or a key is wrong: the error names the key, what was found and what is allowed.
-pub fn read_settings() -> Outcome<Settings> {
+pub fn read_settings() -> ControlPlaneResult<Settings> {
     let text = archlink_runtime::settings_text().change_context(ControlPlaneError::Settings)?;
     Settings::read(&text).change_context(ControlPlaneError::Settings)
 }
--- a/crates/control-plane/src/tests/callers.rs
+++ b/crates/control-plane/src/tests/callers.rs
@@ -44,19 +44,20 @@
         let read = b"GET /archlink/Configuration.Read HTTP/1.1\r\n\r\n";
         let (took, _) = serve_caller(read, true, 3).await;
         assert!(took < 0.1, "{took} s");
-        let (_, answers) = serve_caller(read, false, 3).await;
-        assert!(answers.starts_with("HTTP/1.1 503"), "{answers}");
+        let (_, responses) = serve_caller(read, false, 3).await;
+        assert!(responses.starts_with("HTTP/1.1 503"), "{responses}");
     });
 }
 
 /// A caller that sends its next request early gets both answers. It was taken for one that had disconnected.
 #[test]
-fn pipelined_request_is_answered() {
+fn pipelined_request_gets_a_response() {
     run(async {
         let requests =
             b"POST /archlink/Evacuation.Begin/east HTTP/1.1\r\n\r\nGET /archlink/members HTTP/1.1\r\n\r\n";
-        let (_, answers) = serve_caller(requests, false, 15).await;
-        let statuses: Vec<&str> = answers.split("HTTP/1.1 ").skip(1).map(|answer| &answer[..3]).collect();
-        assert_eq!(statuses, ["503", "200"], "{answers}");
+        let (_, responses) = serve_caller(requests, false, 15).await;
+        let statuses: Vec<&str> =
+            responses.split("HTTP/1.1 ").skip(1).map(|response| &response[..3]).collect();
+        assert_eq!(statuses, ["503", "200"], "{responses}");
     });
 }
--- a/crates/control-plane/src/tests/mod.rs
+++ b/crates/control-plane/src/tests/mod.rs
@@ -1,10 +1,10 @@
 //! Tests of the control node's drivers and of its HTTP interface, on a simulated cluster.
 
-mod answers;
 mod callers;
 mod durability;
 pub mod log_capture;
 mod partitions;
+mod responses;
 mod simulated_cluster;
 mod versions;
 
@@ -39,7 +39,7 @@
     let started_at = node.clock.now();
     let serving = server::serve(node.clone(), stream, Default::default(), Default::default());
     tokio::time::timeout(Duration::from_secs(seconds), serving).await.ok();
-    let mut answers = String::new();
-    staying.map(|mut caller| caller.read_to_string(&mut answers).unwrap());
-    (node.clock.now() - started_at, answers)
+    let mut responses = String::new();
+    staying.map(|mut caller| caller.read_to_string(&mut responses).unwrap());
+    (node.clock.now() - started_at, responses)
 }
--- a/crates/control-plane/src/tests/partitions.rs
+++ b/crates/control-plane/src/tests/partitions.rs
@@ -4,7 +4,7 @@
 use super::simulated_cluster::{
     NODES, SimulatedCluster, SimulatedDisk, advance, configuration, run, send_call, stalled_node,
 };
-use crate::admin::calls::{Basis, Call};
+use crate::admin::calls::{Call, Consistency};
 use archlink_control_node::event_log::Event;
 use archlink_http::codec::Response;
 use serde_json::Value;
@@ -28,27 +28,27 @@
 }
 
 /// The answer of a node that has been partitioned for longer than anybody waits, after `took` seconds.
-fn assert_partitioned_answer(call: Call, answer: &Response, fields: &Value, took: f64) {
-    let retry_after = String::from_utf8_lossy(&answer.header_lines).contains("Retry-After");
-    match call.basis() {
-        Basis::QuorumContact => {
-            let status = answer.status;
+fn assert_partitioned_response(call: Call, response: &Response, fields: &Value, took: f64) {
+    let retry_after = String::from_utf8_lossy(&response.header_lines).contains("Retry-After");
+    match call.consistency() {
+        Consistency::QuorumContact => {
+            let status = response.status;
             assert!(status == 503 && retry_after && took < 0.3, "{call:?}: {status} after {took} s");
             let reason = fields["Error"].as_str();
             assert!(reason.is_some_and(|reason| reason.contains("not begun")), "{fields}");
         }
-        Basis::ConfirmedRead => {
-            assert!(answer.status == 503 && retry_after && took < 1.0, "{call:?}: {took} s")
+        Consistency::LinearizableRead => {
+            assert!(response.status == 503 && retry_after && took < 1.0, "{call:?}: {took} s")
         }
-        Basis::Sessions => assert!(answer.status == 503 && retry_after, "{call:?}: {fields}"),
-        Basis::LocalState => {
-            assert!(answer.status == 200 && fields["Contact"] == false, "{call:?}: {fields}");
+        Consistency::Sessions => assert!(response.status == 503 && retry_after, "{call:?}: {fields}"),
+        Consistency::LocalState => {
+            assert!(response.status == 200 && fields["Contact"] == false, "{call:?}: {fields}");
             let age = fields["ConfirmedSecondsAgo"].as_f64();
             assert!(age.is_some_and(|age| age > 5.0), "{call:?}: {fields}");
         }
         // One of the two that it does not hear is named, and not the other.
-        Basis::OperatorDecision => {
-            assert!(answer.status == 409 && fields.to_string().contains("10.0.0.3"), "{fields}")
+        Consistency::OperatorOverride => {
+            assert!(response.status == 409 && fields.to_string().contains("10.0.0.3"), "{fields}")
         }
     }
 }
@@ -61,26 +61,26 @@
     let renewed = Event::SessionRenewed(data_node());
     cluster.nodes[1].step(|state, now| state.record_event(now, renewed));
     advance(1.0).await;
-    let (names, body) = valid_arguments(call);
-    let before = cluster.call(0, call, names, &body).await;
-    let is_local = call.basis() == Basis::LocalState;
+    let (path_parameters, body) = valid_arguments(call);
+    let before = cluster.call(0, call, path_parameters, &body).await;
+    let is_local = call.consistency() == Consistency::LocalState;
     assert_eq!(before.1["Contact"] == true, is_local, "{call:?}: {}", before.1);
     advance(4.0).await;
     cluster.partition(0, true);
     advance(6.0).await;
     let rounds = [0, 1].map(|index| promised_rounds(&cluster, index));
     let called_at = cluster.nodes[0].clock.now();
-    let (answer, fields) = cluster.call(0, call, names, &body).await;
+    let (response, fields) = cluster.call(0, call, path_parameters, &body).await;
     let took = cluster.nodes[0].clock.now() - called_at;
-    assert_partitioned_answer(call, &answer, &fields, took);
-    if call.basis() == Basis::QuorumContact {
+    assert_partitioned_response(call, &response, &fields, took);
+    if call.consistency() == Consistency::QuorumContact {
         let rounds_after = [0, 1].map(|index| promised_rounds(&cluster, index));
         assert_eq!(rounds_after, rounds, "{call:?} was started");
     }
     // The first request after the partition is accepted: the answer of a quorum is not waited for.
     cluster.partition(0, false);
     if call == Call::BeginEvacuation {
-        assert_eq!(cluster.call(0, call, names, &body).await.0.status, 200);
+        assert_eq!(cluster.call(0, call, path_parameters, &body).await.0.status, 200);
     }
 }
 
@@ -89,7 +89,7 @@
 /// age; sessions that nobody renews have expired. It guards against a request that waits for its whole time in a minority,
 /// and against a partitioned node's state that passes for the cluster's.
 #[test]
-fn partitioned_node_answers_each_call_by_its_basis() {
+fn partitioned_node_responds_to_each_call_by_its_consistency() {
     for call in Call::iter() {
         run(check_call_in_a_partition(call));
     }
@@ -109,9 +109,9 @@
         };
         let text = configuration(1, 5);
         let request = cluster.call(0, Call::ReplaceConfiguration, "", &text);
-        let ((answer, fields), ()) = tokio::join!(request, heal);
+        let ((response, fields), ()) = tokio::join!(request, heal);
         let version = &fields["InForce"]["ConfigVersion"];
-        assert_eq!((answer.status, version), (200, &"00000001".into()), "{fields}");
+        assert_eq!((response.status, version), (200, &"00000001".into()), "{fields}");
     });
 }
 
@@ -135,21 +135,21 @@
     run(async {
         let cluster = SimulatedCluster::new();
         advance(2.0).await;
-        let replace = async |names| cluster.call(0, Call::ReplaceVoter, names, "").await;
+        let replace = async |path_parameters| cluster.call(0, Call::ReplaceVoter, path_parameters, "").await;
         assert_eq!(replace("10.0.0.3").await.0.status, 400);
         assert_eq!(replace("10.0.0.3/control-4").await.0.status, 400);
-        for (names, reason) in [
+        for (path_parameters, reason) in [
             ("10.0.0.9/10.0.0.4", "NoSeat"),
             ("10.0.0.3/10.0.0.1", "Seated"),
             ("10.0.0.3/10.0.0.9", "Absent"),
         ] {
-            let (answer, fields) = replace(names).await;
-            assert_eq!((answer.status, &fields["Reason"]), (409, &reason.into()), "{fields}");
+            let (response, fields) = replace(path_parameters).await;
+            assert_eq!((response.status, &fields["Reason"]), (409, &reason.into()), "{fields}");
         }
         cluster.partition(2, true);
         for _ in 0..2 {
-            let (answer, fields) = replace("10.0.0.3/10.0.0.4").await;
-            assert_eq!((answer.status, fields["Epoch"].as_u64()), (200, Some(3)), "{fields}");
+            let (response, fields) = replace("10.0.0.3/10.0.0.4").await;
+            assert_eq!((response.status, fields["Epoch"].as_u64()), (200, Some(3)), "{fields}");
         }
         advance(1.0).await;
         assert_eq!(cluster.call(3, Call::Voters, "", "").await.1["Members"][3]["Seat"], true);
@@ -166,14 +166,14 @@
         let text = configuration(1, 5);
         assert_eq!(cluster.call(0, Call::ReplaceConfiguration, "", &text).await.0.status, 200);
         advance(5.0).await;
-        let force = async |names: &str| {
-            let body = format!(r#"{{"Epoch":1,"Lose":[{names}]}}"#);
+        let force = async |lose: &str| {
+            let body = format!(r#"{{"Epoch":1,"Lose":[{lose}]}}"#);
             cluster.call(0, Call::ForceNewGeneration, "", &body).await
         };
-        let assert_rejected = async |names, reason| {
-            let (answer, fields) = force(names).await;
+        let assert_rejected = async |lose, reason| {
+            let (response, fields) = force(lose).await;
             let error = fields["Error"].as_str().unwrap();
-            assert!(answer.status == 409 && error.contains(reason), "{fields}");
+            assert!(response.status == 409 && error.contains(reason), "{fields}");
         };
         assert_rejected(r#""10.0.0.2","10.0.0.3""#, "nothing is lost").await;
         cluster.partition(1, true);
@@ -185,9 +185,9 @@
         assert_eq!(force(r#""10.0.0.2","control-3""#).await.0.status, 400);
         let next = configuration(2, 5);
         assert_eq!(cluster.call(0, Call::ReplaceConfiguration, "", &next).await.0.status, 503);
-        let (answer, fields) = force(r#""10.0.0.2","10.0.0.3""#).await;
+        let (response, fields) = force(r#""10.0.0.2","10.0.0.3""#).await;
         let is_beyond_counted_epochs = fields["Epoch"].as_u64() > Some(1 << 32);
-        assert!(answer.status == 200 && is_beyond_counted_epochs, "{} {fields}", answer.status);
+        assert!(response.status == 200 && is_beyond_counted_epochs, "{} {fields}", response.status);
         let (read, _) = cluster.call(0, Call::ReadConfiguration, "", "").await;
         assert_eq!(String::from_utf8_lossy(&read.body), text);
         assert_eq!(cluster.call(0, Call::ReplaceConfiguration, "", &next).await.0.status, 200);
--- a/crates/control-plane/src/tests/answers.rs
+++ b/crates/control-plane/src/tests/responses.rs
@@ -11,7 +11,7 @@
 use super::{data_node, serve_caller};
 use crate::admin::calls::Call;
 use crate::admin::configuration::{digest, hex};
-use crate::admin::{answer_names, answers};
+use crate::admin::{response_names, responses};
 use crate::server::node::NotStarted;
 use archlink_consensus::{MembershipError, Outcome};
 use archlink_control_node::event_log::Event;
@@ -24,12 +24,12 @@
 const JSON: &str = "Content-Type: application/json\r\n";
 const JSON_AND_RETRY_AFTER: &str = "Content-Type: application/json\r\nRetry-After: 0.3\r\n";
 
-fn header_lines(answer: &Response) -> String {
-    String::from_utf8_lossy(&answer.header_lines).into_owned()
+fn header_lines(response: &Response) -> String {
+    String::from_utf8_lossy(&response.header_lines).into_owned()
 }
 
-fn body(answer: &Response) -> Value {
-    serde_json::from_slice(&answer.body).unwrap()
+fn body(response: &Response) -> Value {
+    serde_json::from_slice(&response.body).unwrap()
 }
 
 /// Replaces what differs from one run to another by the name of its form; a value of another form stays.
@@ -43,7 +43,9 @@
                     {
                         json!("seconds")
                     }
-                    ("Ballot", Value::Array(of)) if of.len() == 3 && of.iter().all(Value::is_u64) => {
+                    ("Ballot", Value::Array(parts))
+                        if parts.len() == 3 && parts.iter().all(Value::is_u64) =>
+                    {
                         json!("three numbers")
                     }
                     ("Holder", Value::String(text))
@@ -88,10 +90,10 @@
 }
 
 /// The answer of an operator's call, with status 200.
-async fn call_ok(cluster: &SimulatedCluster, call: Call, names: &str, text: &str) -> Value {
-    let (answer, _) = cluster.call(0, call, names, text).await;
-    assert_eq!((answer.status, header_lines(&answer).as_str()), (200, JSON), "{call:?}");
-    normalized(body(&answer))
+async fn call_ok(cluster: &SimulatedCluster, call: Call, path_parameters: &str, text: &str) -> Value {
+    let (response, _) = cluster.call(0, call, path_parameters, text).await;
+    assert_eq!((response.status, header_lines(&response).as_str()), (200, JSON), "{call:?}");
+    normalized(body(&response))
 }
 
 #[test]
@@ -121,8 +123,9 @@
     run(async {
         for call in Call::iter() {
             let wrong = if call.method() == "GET" { "POST" } else { "GET" };
-            let names = if call.path().ends_with('/') { "east" } else { "" };
-            let request = format!("{wrong} {}{names} HTTP/1.1\r\nConnection: close\r\n\r\n", call.path());
+            let path_parameters = if call.path().ends_with('/') { "east" } else { "" };
+            let request =
+                format!("{wrong} {}{path_parameters} HTTP/1.1\r\nConnection: close\r\n\r\n", call.path());
             let (_, response) = serve_caller(request.as_bytes(), false, 3).await;
             let expected = format!(r#"{{"Error":"{} is the method of this call"}}"#, call.method());
             assert!(response.starts_with("HTTP/1.1 405 "), "{response}");
@@ -145,7 +148,7 @@
 
 /// A request that was not started, or has no outcome yet, is answered so, with when to retry.
 #[test]
-fn request_without_outcome_is_answered_503_with_its_text() {
+fn request_without_outcome_gets_503_with_its_text() {
     for (ended, error) in [
         (
             Ok(Outcome::Unknown),
@@ -164,17 +167,17 @@
             "not begun: too many orders wait; nothing was altered, nor will be",
         ),
     ] {
-        let answer = answers::outcome_or_unavailable(ended).unwrap_err();
-        assert_eq!((answer.status, header_lines(&answer).as_str()), (503, JSON_AND_RETRY_AFTER));
-        assert_eq!(body(&answer), json!({"Error": error}));
+        let response = responses::outcome_or_unavailable(ended).unwrap_err();
+        assert_eq!((response.status, header_lines(&response).as_str()), (503, JSON_AND_RETRY_AFTER));
+        assert_eq!(body(&response), json!({"Error": error}));
     }
 }
 
 /// Registers and roles have these names in answers; scripts compare them.
 #[test]
-fn roles_and_registers_have_fixed_names_in_answers() {
+fn roles_and_registers_have_fixed_names_in_responses() {
     let roles = [SingletonRole::HostDiscovery, SingletonRole::QuotaCounter];
-    assert_eq!(roles.map(answer_names::role), ["Lookout", "Tally"]);
+    assert_eq!(roles.map(response_names::role), ["Lookout", "Tally"]);
     let registers = [Register::Configuration, Register::Evacuations, Register::VoterSet];
-    assert_eq!(registers.map(answer_names::register), ["Chart", "Evacuations", "Muster"]);
+    assert_eq!(registers.map(response_names::register), ["Chart", "Evacuations", "Muster"]);
 }
--- a/crates/control-plane/src/tests/answers/configurations.rs
+++ b/crates/control-plane/src/tests/responses/configurations.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn replaced_configuration_is_answered_with_its_digest_and_the_one_in_force() {
+fn replace_response_has_the_digest_and_the_configuration_in_force() {
     run(async {
         let cluster = running_cluster().await;
         let (older, newer) = (configuration(10, 5), configuration(11, 6));
@@ -20,11 +20,11 @@
         assert_eq!(fields, expected);
 
         let other = configuration(11, 7);
-        let (answer, fields) = cluster.call(0, Call::ReplaceConfiguration, "", &other).await;
+        let (response, fields) = cluster.call(0, Call::ReplaceConfiguration, "", &other).await;
         let error = "another text stands under this number: read it, and send yours under a higher one";
         let expected = json!({"Error": error, "ConfigVersion": "0000000b", "Digest": digest(&newer),
             "YourDigest": digest(&other)});
-        assert_eq!((answer.status, header_lines(&answer).as_str(), fields), (409, JSON, expected));
+        assert_eq!((response.status, header_lines(&response).as_str(), fields), (409, JSON, expected));
 
         for (text, error) in [
             (
@@ -36,9 +36,9 @@
                 "ConfigVersion: found ffffffffff, allowed is fffffffffe at most",
             ),
         ] {
-            let (answer, fields) = cluster.call(0, Call::ReplaceConfiguration, "", &text).await;
+            let (response, fields) = cluster.call(0, Call::ReplaceConfiguration, "", &text).await;
             assert_eq!(
-                (answer.status, header_lines(&answer).as_str(), fields),
+                (response.status, header_lines(&response).as_str(), fields),
                 (400, JSON, json!({"Error": error}))
             );
         }
@@ -46,18 +46,18 @@
 }
 
 #[test]
-fn configuration_in_force_is_read_byte_for_byte_with_three_headers() {
+fn configuration_is_read_byte_for_byte_with_three_headers() {
     run(async {
         let cluster = SimulatedCluster::new();
         advance(1.0).await;
-        let (answer, fields) = cluster.call(0, Call::ReadConfiguration, "", "").await;
+        let (response, fields) = cluster.call(0, Call::ReadConfiguration, "", "").await;
         let expected = json!({"Error": "no configuration was ever taken"});
-        assert_eq!((answer.status, header_lines(&answer).as_str(), fields), (404, JSON, expected));
+        assert_eq!((response.status, header_lines(&response).as_str(), fields), (404, JSON, expected));
         let text = configuration(10, 5);
         cluster.call(0, Call::ReplaceConfiguration, "", &text).await;
-        let (answer, _) = cluster.call(0, Call::ReadConfiguration, "", "").await;
-        assert_eq!((answer.status, &answer.body[..]), (200, text.as_bytes()));
-        let header_lines = header_lines(&answer);
+        let (response, _) = cluster.call(0, Call::ReadConfiguration, "", "").await;
+        assert_eq!((response.status, &response.body[..]), (200, text.as_bytes()));
+        let header_lines = header_lines(&response);
         let digest = hex(&digest(text.as_bytes()));
         let (before, ago) = header_lines.split_once("Confirmed-Seconds-Ago: ").unwrap();
         assert_eq!(before, format!("{JSON}Config-Version: 0000000a\r\nConfig-Digest: {digest}\r\n"));
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn evacuation_is_answered_with_its_zone() {
+fn evacuation_response_has_its_zone() {
     run(async {
         let cluster = running_cluster().await;
         let fields = call_ok(&cluster, Call::BeginEvacuation, "east", "").await;
@@ -75,9 +75,9 @@
         let fields = call_ok(&cluster, Call::FinishEvacuation, "east", "").await;
         assert_eq!(fields, json!({"Zone": "east", "Evacuated": false}));
         for call in [Call::BeginEvacuation, Call::FinishEvacuation] {
-            let (answer, fields) = cluster.call(0, call, "north", "").await;
+            let (response, fields) = cluster.call(0, call, "north", "").await;
             let expected = json!({"Error": "\"north\" is no zone of this deployment"});
-            assert_eq!((answer.status, header_lines(&answer).as_str(), fields), (404, JSON, expected));
+            assert_eq!((response.status, header_lines(&response).as_str(), fields), (404, JSON, expected));
         }
     });
 }
--- a/crates/control-plane/src/tests/answers/queries.rs
+++ b/crates/control-plane/src/tests/responses/queries.rs
@@ -3,24 +3,24 @@
 use super::*;
 
 #[test]
-fn resolution_names_addresses_and_their_ttl() {
+fn resolution_response_has_addresses_and_ttl() {
     run(async {
         let cluster = running_cluster().await;
         let expected = json!({"Addresses": ["10.0.1.1:8206"], "Ttl": "2000ms"});
         assert_eq!(call_ok(&cluster, Call::Resolve, "", "").await, expected);
         assert_eq!(call_ok(&cluster, Call::Resolve, "?Zone=west&Region=coast", "").await, expected);
         advance(20.0).await;
-        let (answer, fields) = cluster.call(0, Call::Resolve, "", "").await;
+        let (response, fields) = cluster.call(0, Call::Resolve, "", "").await;
         let expected = json!({"Error": "no data gateway is ready"});
         assert_eq!(
-            (answer.status, header_lines(&answer).as_str(), fields),
+            (response.status, header_lines(&response).as_str(), fields),
             (503, JSON_AND_RETRY_AFTER, expected)
         );
     });
 }
 
 #[test]
-fn members_answer_has_these_fields() {
+fn members_response_has_its_fields() {
     run(async {
         let cluster = running_cluster().await;
         let fields = call_ok(&cluster, Call::Members, "", "").await;
@@ -36,13 +36,13 @@
 }
 
 #[test]
-fn hosts_answer_has_these_fields() {
+fn hosts_response_has_its_fields() {
     run(async {
         let cluster = running_cluster().await;
         call_ok(&cluster, Call::BeginEvacuation, "east", "").await;
-        let (answer, fields) = cluster.call(0, Call::Hosts, "", "").await;
+        let (response, fields) = cluster.call(0, Call::Hosts, "", "").await;
         assert_eq!(
-            (answer.status, header_lines(&answer).as_str(), &fields["Term"]),
+            (response.status, header_lines(&response).as_str(), &fields["Term"]),
             (200, JSON, &json!(1000))
         );
         let host = |id: &str, draining: bool, warm_up_seconds: f64| {
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn leases_answer_has_these_names() {
+fn leases_response_has_its_names() {
     run(async {
         let cluster = running_cluster().await;
         let fields = call_ok(&cluster, Call::Leases, "", "").await;
@@ -70,14 +70,14 @@
 }
 
 #[test]
-fn quota_answer_has_these_fields() {
+fn quota_response_has_its_fields() {
     run(async {
         let cluster = running_cluster().await;
         advance(1.0).await;
         let mut lease_holders = 0;
         for n in 0..3 {
-            let (answer, fields) = cluster.call(n, Call::Quota, "", "").await;
-            assert_eq!((answer.status, header_lines(&answer).as_str()), (200, JSON));
+            let (response, fields) = cluster.call(n, Call::Quota, "", "").await;
+            assert_eq!((response.status, header_lines(&response).as_str()), (200, JSON));
             lease_holders += u32::from(fields["CounterTerm"].is_u64());
             let term = if fields["CounterTerm"].is_null() { Value::Null } else { json!("a number") };
             let expected = json!({
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn events_answer_has_these_texts() {
+fn events_response_has_its_texts() {
     let control_node = ControlNode {
         node: NODES[1],
         zone: "east".into(),
@@ -123,8 +123,8 @@
         ] {
             node.step(|state, now| state.record_event(now, event));
         }
-        let (answer, fields) = send_call(&node, Call::Events, "", "").await;
-        assert_eq!((answer.status, header_lines(&answer).as_str()), (200, JSON));
+        let (response, fields) = send_call(&node, Call::Events, "", "").await;
+        assert_eq!((response.status, header_lines(&response).as_str()), (200, JSON));
         let event = |what: &str| json!({"SecondsAgo": "seconds", "What": what});
         let expected = json!({
             "Events": [
--- a/crates/control-plane/src/tests/answers/voters.rs
+++ b/crates/control-plane/src/tests/responses/voters.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn voters_answer_has_these_fields() {
+fn voters_response_has_its_fields() {
     run(async {
         let cluster = running_cluster().await;
         advance(1.0).await;
@@ -81,19 +81,19 @@
             "the epoch that was named is not the one that stands: see `voters`, and name that",
         ),
     ] {
-        let answer = answers::rejected(membership_error);
-        assert_eq!((answer.status, header_lines(&answer).as_str()), (409, JSON));
-        assert_eq!(body(&answer), json!({"Error": error, "Reason": reason}));
+        let response = responses::rejected(membership_error);
+        assert_eq!((response.status, header_lines(&response).as_str()), (409, JSON));
+        assert_eq!(body(&response), json!({"Error": error, "Reason": reason}));
     }
 }
 
 #[test]
-fn invalid_request_about_voters_is_answered_with_its_text() {
+fn invalid_voters_request_gets_its_error_text() {
     run(async {
         let cluster = SimulatedCluster::new();
         advance(1.0).await;
         let force_body = r#"{"Epoch":1,"Lose":["10.0.0.2"]}"#;
-        for (call, names, text, status, error) in [
+        for (call, path_parameters, text, status, error) in [
             (Call::ReplaceVoter, "10.0.0.3", "", 400, "two addresses are needed: OLD/NEW"),
             (
                 Call::ReplaceVoter,
@@ -131,17 +131,17 @@
                 "this gateway has only started and may not have reached the others: order again in 5 s",
             ),
         ] {
-            let (answer, fields) = cluster.call(0, call, names, text).await;
+            let (response, fields) = cluster.call(0, call, path_parameters, text).await;
             assert_eq!(
-                (answer.status, header_lines(&answer).as_str(), fields),
+                (response.status, header_lines(&response).as_str(), fields),
                 (status, JSON, json!({"Error": error}))
             );
         }
         advance(6.0).await;
         let assert_rejected = async |error: &str| {
-            let (answer, fields) = cluster.call(0, Call::ForceNewGeneration, "", force_body).await;
+            let (response, fields) = cluster.call(0, Call::ForceNewGeneration, "", force_body).await;
             assert_eq!(
-                (answer.status, header_lines(&answer).as_str(), fields),
+                (response.status, header_lines(&response).as_str(), fields),
                 (409, JSON, json!({"Error": error}))
             );
         };
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn forced_new_generation_is_answered_with_the_voters_fields() {
+fn forced_new_generation_response_has_the_voters_fields() {
     run(async {
         let cluster = running_cluster().await;
         cluster.partition(1, true);
--- a/crates/control-plane/src/tests/simulated_cluster.rs
+++ b/crates/control-plane/src/tests/simulated_cluster.rs
@@ -162,8 +162,14 @@
     }
 
     /// Sends a call to a node; its answer, and the answer's body where that is JSON.
-    pub async fn call(&self, index: usize, call: Call, names: &str, body: &str) -> (Response, Value) {
-        send_call(&self.nodes[index], call, names, body).await
+    pub async fn call(
+        &self,
+        index: usize,
+        call: Call,
+        path_parameters: &str,
+        body: &str,
+    ) -> (Response, Value) {
+        send_call(&self.nodes[index], call, path_parameters, body).await
     }
 }
 
@@ -183,10 +189,10 @@
 }
 
 /// Sends a call to one node; its answer, and the answer's body where that is JSON.
-pub async fn send_call(node: &Node, call: Call, names: &str, body: &str) -> (Response, Value) {
+pub async fn send_call(node: &Node, call: Call, path_parameters: &str, body: &str) -> (Response, Value) {
     let request = Request {
         method: call.method().to_string(),
-        target: format!("{}{names}", call.path()),
+        target: format!("{}{path_parameters}", call.path()),
         host: HeaderValue::Absent,
         fields: Vec::new(),
         forwarded: Vec::new(),
@@ -194,9 +200,9 @@
         close: false,
         reserved: None,
     };
-    let answer = respond(node, call, &request).await;
-    let body = serde_json::from_slice(&answer.body).unwrap_or_default();
-    (answer, body)
+    let response = respond(node, call, &request).await;
+    let body = serde_json::from_slice(&response.body).unwrap_or_default();
+    (response, body)
 }
 
 /// A configuration whose texts differ with `rate`.
--- a/crates/control-plane/src/tests/versions.rs
+++ b/crates/control-plane/src/tests/versions.rs
@@ -15,14 +15,14 @@
         let replace =
             async |index, text: &str| cluster.call(index, Call::ReplaceConfiguration, "", text).await;
         // A version that can't be counted beyond ended the process, or was taken for the lowest.
-        let (answer, fields) = replace(0, &configuration(u64::MAX, 5)).await;
+        let (response, fields) = replace(0, &configuration(u64::MAX, 5)).await;
         let names_the_version = fields["Error"].to_string().contains("ConfigVersion: found ffff");
-        assert!(answer.status == 400 && names_the_version, "{fields}");
+        assert!(response.status == 400 && names_the_version, "{fields}");
         let (first, second) = (configuration(4, 5), configuration(5, 5));
         let (_, accepted) = replace(0, &first).await;
         for index in 0..3 {
-            let (answer, repeated) = replace(index, &first).await;
-            assert_eq!((answer.status, &repeated["Digest"]), (200, &accepted["Digest"]));
+            let (response, repeated) = replace(index, &first).await;
+            assert_eq!((response.status, &repeated["Digest"]), (200, &accepted["Digest"]));
         }
         let other = configuration(4, 6);
         let (_, rejection) = replace(2, &other).await;
@@ -40,10 +40,10 @@
         assert_eq!(String::from_utf8_lossy(&read.body), second);
         assert!(String::from_utf8_lossy(&read.header_lines).contains(newer["Digest"].as_str().unwrap()));
         for index in 0..3 {
-            let (answer, repeated) = replace(index, &other).await;
-            assert_eq!((answer.status, &repeated), (409, &rejection));
+            let (response, repeated) = replace(index, &other).await;
+            assert_eq!((response.status, &repeated), (409, &rejection));
         }
-        let (answer, late) = send_call(&cluster.nodes[2], Call::ReplaceConfiguration, "", &first).await;
-        assert_eq!((answer.status, &late["InForce"]), (200, &newer["InForce"]), "{late}");
+        let (response, late) = send_call(&cluster.nodes[2], Call::ReplaceConfiguration, "", &first).await;
+        assert_eq!((response.status, &late["InForce"]), (200, &newer["InForce"]), "{late}");
     });
 }
--- a/crates/control-plane/tests/command_line.rs
+++ b/crates/control-plane/tests/command_line.rs
@@ -15,22 +15,22 @@
 
 /// Answers one connection after another, and reports each request as `METHOD path body`.
 fn fake_control_node(
-    answer: impl Fn(&str) -> (u16, String) + Send + 'static,
+    response: impl Fn(&str) -> (u16, String) + Send + 'static,
 ) -> (SocketAddr, Receiver<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = listener.local_addr().unwrap();
+    let address = listener.local_addr().unwrap();
     let (reports, requests) = channel();
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            answer_connection(stream, &answer, &reports);
+            serve_connection(stream, &response, &reports);
         }
     });
-    (at, requests)
+    (address, requests)
 }
 
-fn answer_connection(
+fn serve_connection(
     stream: TcpStream,
-    answer: impl Fn(&str) -> (u16, String),
+    response: impl Fn(&str) -> (u16, String),
     reports: &Sender<String>,
 ) -> Option<()> {
     let mut from = BufReader::new(stream.try_clone().ok()?);
@@ -48,15 +48,15 @@
     from.read_exact(&mut body).ok()?;
     let request = lines[0].trim_end_matches(" HTTP/1.1").to_string();
     reports.send(format!("{request} {}", String::from_utf8_lossy(&body)).trim().to_string()).ok();
-    let (status, text) = answer(&request);
+    let (status, text) = response(&request);
     let head = format!("HTTP/1.1 {status} X\r\nConfig-Version: 00000001\r\nConfirmed-Seconds-Ago: 0.010\r\n");
     write!(&stream, "{head}Config-Digest: {DIGEST_IN_FORCE}\r\nContent-Length: {}\r\n\r\n{text}", text.len())
         .ok()
 }
 
-fn run_with(at: SocketAddr, arguments: &[&str]) -> (Option<i32>, String) {
+fn run_with(address: SocketAddr, arguments: &[&str]) -> (Option<i32>, String) {
     let program = env!("CARGO_BIN_EXE_archlink-control-plane");
-    let to = at.to_string();
+    let to = address.to_string();
     let Output { status, stdout, stderr } =
         Command::new(program).args(["--to", to.as_str()]).args(arguments).output().unwrap();
     let output = [stdout, stderr].map(|output| String::from_utf8_lossy(&output).into_owned());
@@ -68,13 +68,13 @@
 #[test]
 fn rejection_exits_with_3_and_names_the_accepted_text() {
     let damaged = Arc::new(AtomicBool::new(false));
-    let answers_damaged = damaged.clone();
-    let (at, _requests) = fake_control_node(move |request| match request.starts_with("GET") {
-        true => (200, if answers_damaged.load(Ordering::Relaxed) { "{ }" } else { "{}" }.to_string()),
+    let responds_damaged = damaged.clone();
+    let (address, _requests) = fake_control_node(move |request| match request.starts_with("GET") {
+        true => (200, if responds_damaged.load(Ordering::Relaxed) { "{ }" } else { "{}" }.to_string()),
         false => {
-            let answer_fields = json!({"Error": "another text stands under this number", "ConfigVersion": "00000001",
+            let response_fields = json!({"Error": "another text stands under this number", "ConfigVersion": "00000001",
                 "Digest": DIGEST_IN_FORCE, "YourDigest": "22"});
-            (409, answer_fields.to_string())
+            (409, response_fields.to_string())
         }
     });
     let file = std::env::temp_dir().join(format!("archlink-command-line-{}", std::process::id()));
@@ -82,18 +82,18 @@
     let text = json!({"ConfigVersion": "00000001", "RouteTable": table(&["Designation"]),
         "ServiceTable": table(&["Designation"])});
     std::fs::write(&file, text.to_string()).unwrap();
-    let (code, output) = run_with(at, &["replace", file.to_str().unwrap()]);
+    let (code, output) = run_with(address, &["replace", file.to_str().unwrap()]);
     std::fs::remove_file(&file).unwrap();
     assert!(
         code == Some(3) && output.contains(DIGEST_IN_FORCE) && output.contains("yours is of 22"),
         "{code:?} {output}"
     );
-    let (code, output) = run_with(at, &["read"]);
+    let (code, output) = run_with(address, &["read"]);
     let expected =
         format!("{{}}version 00000001, digest {DIGEST_IN_FORCE}, confirmed by a majority 0.010 s ago\n");
     assert_eq!((code, output), (Some(0), expected));
     damaged.store(true, Ordering::Relaxed);
-    let (code, output) = run_with(at, &["read"]);
+    let (code, output) = run_with(address, &["read"]);
     assert!(code == Some(2) && output.contains("the text that came has digest"), "{code:?} {output}");
 }
 
@@ -104,13 +104,14 @@
     let status = json!({"Here": "10.0.0.1", "Epoch": 7, "DiskWhole": true, "Contact": false,
         "Members": [{"Address": "10.0.0.1", "Here": true, "Seat": true}], "Lost": ["10.0.0.2", "10.0.0.3"],
         "Held": [{"Register": "Chart", "Stamp": 5, "ConfigVersion": "00000004", "Ballot": [9, 1, 1]}]});
-    let (at, requests) = fake_control_node(move |_| (200, status.to_string()));
-    let to = at.to_string();
+    let (address, requests) = fake_control_node(move |_| (200, status.to_string()));
+    let to = address.to_string();
     for command in ["force-new", "found-anew"] {
-        let force =
-            |epoch, lose| run_with(at, &["voters", command, "--at", &to, "--epoch", epoch, "--lose", lose]);
-        let (code, output) = run_with(at, &["voters", command]);
-        let shown = format!("voters found-anew --at {at} --epoch 7 --lose 10.0.0.2,10.0.0.3");
+        let force = |epoch, lose| {
+            run_with(address, &["voters", command, "--at", &to, "--epoch", epoch, "--lose", lose])
+        };
+        let (code, output) = run_with(address, &["voters", command]);
+        let shown = format!("voters found-anew --at {address} --epoch 7 --lose 10.0.0.2,10.0.0.3");
         assert!(code == Some(0) && output.contains(&shown), "{output}");
         assert!(output.contains("newest Chart: 00000004"), "{output}");
         let (code, output) = force("6", "10.0.0.2,10.0.0.3");
@@ -122,16 +123,16 @@
         let request = r#"POST /archlink/Voters.Refound {"Epoch":7,"Lose":["10.0.0.2","10.0.0.3"]}"#;
         assert_eq!(requests.try_iter().last().as_deref(), Some(request));
     }
-    let (code, output) = run_with(at, &["voters", "replace", "10.0.0.2", "control-4"]);
+    let (code, output) = run_with(address, &["voters", "replace", "10.0.0.2", "control-4"]);
     assert!(code == Some(2) && output.contains("NEW: \"control-4\" is no address"), "{output}");
 }
 
 /// The deprecated name starts the same program.
 #[test]
 fn former_program_name_runs_the_same_commands() {
-    let (at, requests) = fake_control_node(|_| (200, r#"{"Answer":1}"#.to_string()));
+    let (address, requests) = fake_control_node(|_| (200, r#"{"Answer":1}"#.to_string()));
     let mut command = Command::new(env!("CARGO_BIN_EXE_archlink-harbourmaster"));
-    let output = command.args(["--to", &at.to_string(), "duties"]).output().unwrap();
+    let output = command.args(["--to", &address.to_string(), "duties"]).output().unwrap();
     assert_eq!((output.status.code(), output.stdout), (Some(0), b"{\"Answer\":1}\n".to_vec()));
     assert_eq!(requests.try_iter().collect::<Vec<_>>(), ["GET /archlink/duties"]);
 }
@@ -139,8 +140,8 @@
 /// Each command as an operator types it, in its earlier spelling too, and the one call that it sends; the answer is printed,
 /// and the exit status is 0.
 #[test]
-fn each_command_sends_its_call_and_prints_the_answer() {
-    let (at, requests) = fake_control_node(|_| (200, r#"{"Answer":1}"#.to_string()));
+fn each_command_sends_its_call_and_prints_the_response() {
+    let (address, requests) = fake_control_node(|_| (200, r#"{"Answer":1}"#.to_string()));
     for (arguments, call) in [
         (&["evacuate", "begin", "east"][..], "POST /archlink/Evacuation.Begin/east"),
         (&["evacuate", "finish", "east"], "POST /archlink/Evacuation.Finish/east"),
@@ -157,16 +158,16 @@
             "POST /archlink/Voters.Replace/10.0.0.3/10.0.0.4",
         ),
     ] {
-        let (code, output) = run_with(at, arguments);
+        let (code, output) = run_with(address, arguments);
         assert_eq!((code, output.as_str()), (Some(0), "{\"Answer\":1}\n"), "{arguments:?}");
         assert_eq!(requests.try_iter().collect::<Vec<_>>(), [call]);
     }
     // Where one control node answers 503 the next one that is named is asked.
     let (busy, _requests) = fake_control_node(|_| (503, String::new()));
-    let (code, output) = run_with(busy, &["--to", &at.to_string(), "duties"]);
+    let (code, output) = run_with(busy, &["--to", &address.to_string(), "duties"]);
     assert_eq!((code, output.as_str()), (Some(0), "{\"Answer\":1}\n"));
     // The address may also follow the command.
-    let (code, output) = run_without_address(&["duties", "--to", &at.to_string()]);
+    let (code, output) = run_without_address(&["duties", "--to", &address.to_string()]);
     assert_eq!((code, output.as_str()), (Some(0), "{\"Answer\":1}\n"));
 }
 
@@ -183,7 +184,7 @@
 /// file byte for byte, and print the answer.
 #[test]
 fn checked_file_is_described_and_applied_one_is_sent_byte_for_byte() {
-    let (at, requests) = fake_control_node(|_| (200, r#"{"Answer":1}"#.to_string()));
+    let (address, requests) = fake_control_node(|_| (200, r#"{"Answer":1}"#.to_string()));
     let file = std::env::temp_dir().join(format!("archlink-command-line-check-{}", std::process::id()));
     let path = file.to_str().unwrap();
     let text = concat!(
@@ -191,47 +192,47 @@
         r#" "ServiceTable": {"ColumnNames": ["Designation"], "Records": [["reports"]]}}"#
     );
     std::fs::write(&file, text).unwrap();
-    let (code, checked) = run_with(at, &["check", path]);
+    let (code, checked) = run_with(address, &["check", path]);
     let described =
         "version 00000001, digest 0ed6d08a2ca6dd69d812128c394ca2e0: 0 routes, 1 services, 0 tenants\n";
     assert_eq!((code, checked.as_str()), (Some(0), described));
     assert_eq!(requests.try_iter().count(), 0);
     for command in ["apply", "replace"] {
-        let (code, output) = run_with(at, &[command, path]);
+        let (code, output) = run_with(address, &[command, path]);
         assert_eq!((code, output), (Some(0), format!("{{\"Answer\":1}}\n{described}")));
         let sent = format!("POST /archlink/Configuration.Replace {text}");
         assert_eq!(requests.try_iter().collect::<Vec<_>>(), [sent]);
     }
     std::fs::write(&file, "{}").unwrap();
     for command in ["check", "apply", "replace"] {
-        let (code, output) = run_with(at, &[command, path]);
+        let (code, output) = run_with(address, &[command, path]);
         let why = format!("archlink-control-plane: the file can't be used; {path}: ConfigVersion");
         assert!(code == Some(2) && output.starts_with(&why), "{code:?} {output}");
     }
     std::fs::remove_file(&file).unwrap();
-    assert_eq!(run_with(at, &["check", path]).0, Some(2));
+    assert_eq!(run_with(address, &["check", path]).0, Some(2));
     assert_eq!(requests.try_iter().count(), 0);
 }
 
 /// The exit status is 3 for what is rejected, and 2 for every other failure.
 #[test]
 fn failed_command_exits_with_its_status_and_reason() {
-    for (status, answer, code, output) in [
+    for (status, response, code, output) in [
         (409, r#"{"Error":"no","Reason":"NoSeat"}"#, 3, "the order is refused; AT refuses: no"),
         (409, "plain", 3, "the order is refused; AT refuses: plain"),
         (404, r#"{"Error":"x"}"#, 2, r#"the call did not come through; AT answered 404: {"Error":"x"}"#),
         (503, r#"{"Error":"x"}"#, 2, r#"the call did not come through; AT answered 503: {"Error":"x"}"#),
     ] {
-        let (at, _requests) = fake_control_node(move |_| (status, answer.to_string()));
-        let expected = format!("archlink-control-plane: {}\n", output.replace("AT", &at.to_string()));
-        assert_eq!(run_with(at, &["evacuate", "begin", "east"]), (Some(code), expected));
+        let (address, _requests) = fake_control_node(move |_| (status, response.to_string()));
+        let expected = format!("archlink-control-plane: {}\n", output.replace("AT", &address.to_string()));
+        assert_eq!(run_with(address, &["evacuate", "begin", "east"]), (Some(code), expected));
     }
     // No new generation where a quorum answers.
-    let answer_fields =
+    let response_fields =
         json!({"Here": "10.0.0.1", "Epoch": 7, "Contact": true, "Members": [], "Lost": [], "Held": []});
-    let (at, _requests) = fake_control_node(move |_| (200, answer_fields.to_string()));
+    let (address, _requests) = fake_control_node(move |_| (200, response_fields.to_string()));
     let arguments = ["voters", "found-anew", "--at", "10.0.0.1:8200", "--epoch", "7", "--lose", "10.0.0.2"];
-    let (code, output) = run_with(at, &arguments);
+    let (code, output) = run_with(address, &arguments);
     let why =
         "archlink-control-plane: the order is refused; there is nothing to found anew, as shown above\n";
     assert!(code == Some(3) && output.ends_with(why), "{code:?} {output}");
@@ -243,7 +244,7 @@
         &["check"],
         &["voters", "replace", "10.0.0.1"],
     ] {
-        assert_eq!(run_with(at, arguments).0, Some(2), "{arguments:?}");
+        assert_eq!(run_with(address, arguments).0, Some(2), "{arguments:?}");
     }
     for arguments in [&[][..], &["run"], &["members"]] {
         let (code, output) = run_without_address(arguments);
