--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,7 +1,7 @@
-//! The control plane: the server of one control node ([`serve`]), and the operators' command line ([`cli`]).
+//! The control plane: the server of a control node ([`serve`]) and the operators' command line ([`cli`]).
 //!
-//! `server` connects the core (`archlink_control_node`) with sockets, disk and clock; `admin` is its HTTP interface for
-//! operators and clients; `cli` sends that interface's calls. No decision of the protocol is made in this package.
+//! `server` connects the sans-I/O core (`archlink_control_node`) to sockets, disk and clock. `admin` is the HTTP interface for
+//! operators and clients, and `cli` is a client of that interface. All protocol decisions are made in the core.
 #![forbid(unsafe_code)]
 
 mod admin;
--- a/crates/control-plane/src/serve.rs
+++ b/crates/control-plane/src/serve.rs
@@ -1,4 +1,4 @@
-//! Starts and ends a control node: its listeners, its tasks, and its graceful shutdown.
+//! Starts a control node's listeners and tasks, and shuts the node down gracefully.
 
 use crate::admin;
 use crate::server::node::Node;
@@ -17,14 +17,14 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// Time between two ticks of the core: far shorter than anything it waits for.
+/// Interval between two ticks of the core, far shorter than any of its timeouts.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// After SIGTERM: time for successors to be named and for answers to leave.
+/// Wait after SIGTERM in which leases are passed on to successors and pending responses are sent.
 const DRAIN_TIME: Duration = Duration::from_millis(500);
-/// A voter that shuts down waits for its seat to be handed over, for this part of `Grace` at most.
-const HANDOVER_FRACTION_OF_GRACE: f64 = 0.85;
-/// The longest wait for the handover in seconds, also where the operators name no `Grace`.
-const MAX_HANDOVER: f64 = 5.0;
+/// Maximum fraction of `Grace` for which a voter that shuts down waits to be replaced by another node.
+const REPLACEMENT_FRACTION_OF_GRACE: f64 = 0.85;
+/// Maximum wait for the replacement in seconds, which also applies if the operators set no `Grace`.
+const MAX_REPLACEMENT_WAIT: f64 = 5.0;
 
 async fn bind(address: Option<SocketAddr>, key: &'static str) -> ControlPlaneResult<TcpListener> {
     let address =
@@ -35,10 +35,12 @@
         .attach_with(|| format!("{key}: {address}"))
 }
 
-/// Serves as a control node on the runtime of this thread until `shutdown` completes; then hands its roles and its seat over.
+/// Serves as a control node on this thread's runtime until `shutdown` completes, then hands over its leases and waits to be
+/// replaced as a voter.
 ///
 /// # Errors
-/// Where the settings, the data folder or an address can't be used.
+///
+/// If the settings or the data folder cannot be used, or a listener cannot be bound.
 pub async fn serve(settings: Settings, shutdown: impl Future<Output = ()>) -> ControlPlaneResult<()> {
     let clock = Clock::start();
     let (state, storage) = startup::load(&settings, clock)?;
@@ -86,15 +88,15 @@
     node.draining.set(true);
     node.step(|state, now| state.begin_shutdown(now));
     sleep(DRAIN_TIME).await;
-    let limit = (HANDOVER_FRACTION_OF_GRACE * node.settings.timing_bounds.grace).min(MAX_HANDOVER);
+    let limit = (REPLACEMENT_FRACTION_OF_GRACE * node.settings.timing_bounds.grace).min(MAX_REPLACEMENT_WAIT);
     let deadline = node.clock.now() + limit;
     while !node.with_state(ControlNodeState::may_shut_down) {
         if node.clock.now() >= deadline {
-            log::warn!("shutting down as a voter: seat not handed over in time");
+            log::warn!("shutting down as a voter: not replaced in time");
             return;
         }
         sleep(TICK_INTERVAL).await;
     }
-    // The last messages are still to be sent.
+    // Lets the connection tasks send the last messages.
     sleep(TICK_INTERVAL).await;
 }
--- a/crates/control-plane/src/server/host_discovery.rs
+++ b/crates/control-plane/src/server/host_discovery.rs
@@ -1,6 +1,6 @@
-//! The host discovery role: lists the platform's hosts while this node holds the lease, and gives changes to the core.
+//! The host discovery role: polls the platform's host list while this node holds the lease, and publishes changes to the core.
 //!
-//! Invariant: the platform is not asked while another node holds the lease, nor more often than [`POLL_INTERVAL`].
+//! Invariant: the platform is not polled without the lease, nor more often than once per [`POLL_INTERVAL`].
 
 mod platform;
 
@@ -11,25 +11,26 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// Pause between two lists: a few fit into the time in which a drain has to be known.
+/// Pause between two polls. A draining host has to be known within a time that allows several polls.
 const POLL_INTERVAL: Duration = Duration::from_millis(550);
-/// Limit for one list with all its pages.
+/// Time limit for one list with all its pages.
 const LIST_TIMEOUT: Duration = Duration::from_millis(1200);
-/// Pause between two checks whether this node holds the lease.
+/// Pause between two checks of the lease while another node holds it.
 const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The same hosts, and none of them warming up anew: a warm-up time that runs down is counted down by those that know it.
+/// Whether the lists have the same hosts and none has started a new warm-up. A warm-up time that merely decreases is no change,
+/// because the receivers of the list count it down themselves.
 fn is_unchanged(before: &[HostInstance], after: &[HostInstance]) -> bool {
-    let same = |a: &HostInstance, b: &HostInstance| {
-        a.id == b.id
-            && a.address == b.address
-            && a.draining == b.draining
-            && b.warm_up_seconds <= a.warm_up_seconds
+    let same = |before: &HostInstance, after: &HostInstance| {
+        before.id == after.id
+            && before.address == after.address
+            && before.draining == after.draining
+            && after.warm_up_seconds <= before.warm_up_seconds
     };
-    before.len() == after.len() && before.iter().zip(after).all(|(a, b)| same(a, b))
+    before.len() == after.len() && before.iter().zip(after).all(|(before, after)| same(before, after))
 }
 
-/// Polls the platform for as long as this node holds the lease; does nothing where the settings name no platform.
+/// Polls the platform while this node holds the lease. Does nothing if the settings name no platform.
 pub async fn run(node: Rc<Node>) {
     let Some(address) = node.settings.platform else { return };
     let mut platform = PlatformClient::new(address);
@@ -51,7 +52,7 @@
     }
 }
 
-/// Publishes a list that differs from the published one.
+/// Publishes a list if it differs from the published one; otherwise updates the remaining warm-up times.
 fn publish_list(node: &Node, term: u64, published: &mut Vec<HostInstance>, instances: Vec<HostInstance>) {
     if is_unchanged(published, &instances) {
         let pairs = published.iter_mut().zip(instances);
--- a/crates/control-plane/src/server/host_discovery/platform.rs
+++ b/crates/control-plane/src/server/host_discovery/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's protocol: pages of instances as JSON over HTTP.
+//! Client of the platform's API: a paginated list of instances as JSON over HTTP.
 
 use archlink_config::parse_seconds;
 use archlink_http::codec::{ClientCodec, OutgoingRequest};
@@ -13,25 +13,25 @@
 use tokio::net::TcpStream;
 use tokio_util::codec::Framed;
 
-/// Bytes of one page.
+/// Maximum size of one page in bytes.
 const MAX_BODY: usize = 4 << 20;
-/// Pages of one list, so that a list without end is given up; the platform has fifty instances a page.
+/// Maximum number of pages of one list, so that an endless list is abandoned. The platform returns 50 instances per page.
 pub(super) const MAX_PAGES: usize = 200;
 
-/// Why there is no list.
+/// Why a list could not be fetched.
 #[derive(Debug)]
 pub(super) enum PlatformError {
-    /// The platform can't be reached, or the connection failed.
+    /// The platform cannot be reached, or the connection failed.
     Connection(io::Error),
-    /// No complete list came in time.
+    /// The list was not complete in time.
     Timeout,
-    /// More bytes came than were asked for: the answer may be an earlier request's.
+    /// The platform sent more bytes than the response, which may therefore belong to an earlier request.
     UnsolicitedBytes,
-    /// The platform's HTTP status, other than 200.
+    /// The HTTP status of the response, if it is not 200.
     Status(u16),
-    /// The body is not a page of instances.
+    /// The body is not a valid page of instances.
     Body(serde_json::Error),
-    /// More pages than [`MAX_PAGES`].
+    /// The list has more than [`MAX_PAGES`] pages.
     TooManyPages,
 }
 
@@ -40,8 +40,8 @@
         match self {
             PlatformError::Connection(e) => e.fmt(f),
             PlatformError::Timeout => f.write_str("timed out"),
-            PlatformError::UnsolicitedBytes => f.write_str("the platform sent more than was asked for"),
-            PlatformError::Status(status) => write!(f, "the platform answered {status}"),
+            PlatformError::UnsolicitedBytes => f.write_str("the platform sent unsolicited bytes"),
+            PlatformError::Status(status) => write!(f, "the platform responded with status {status}"),
             PlatformError::Body(e) => e.fmt(f),
             PlatformError::TooManyPages => write!(f, "the list has more than {MAX_PAGES} pages"),
         }
@@ -72,7 +72,7 @@
     zone: String,
     capacity: Option<f64>,
     operating_state: String,
-    /// What is left of the warm-up period, as `1500ms`.
+    /// The rest of the warm-up period, for example `1500ms`.
     cold_left: Option<String>,
 }
 
@@ -92,14 +92,14 @@
 
 type Connection = Framed<TcpStream, ClientCodec>;
 
-/// Asks the platform, on one connection that is kept while it is in order.
+/// Client of the platform, which keeps one connection open between requests.
 pub(super) struct PlatformClient {
     address: SocketAddr,
     connection: Option<Connection>,
 }
 
 impl PlatformClient {
-    /// A client without a connection.
+    /// Creates a client, which connects on its first request.
     pub(super) fn new(address: SocketAddr) -> PlatformClient {
         PlatformClient { address, connection: None }
     }
@@ -120,12 +120,12 @@
         Ok(Framed::new(stream, ClientCodec::new(&[], MAX_BODY, Rc::new(Cell::new(MAX_BODY)))))
     }
 
-    /// Requests one page. Nothing but their order ties an answer to its request: a connection that closed or sent anything
-    /// unasked is not used again, and an answer that more bytes follow may itself be an earlier request's. A caller that
-    /// stops waiting drops the connection with the request.
+    /// Requests one page. Responses are matched to requests by their order alone. A connection that was closed or received
+    /// unsolicited bytes is therefore not reused, and a response that more bytes follow is rejected, because it may belong to
+    /// an earlier request. Dropping this future drops the connection with the request.
     async fn page(&mut self, token: Option<&str>) -> Result<Page, PlatformError> {
-        let kept = self.connection.take().filter(|connection| idle_state(connection) == IdleState::Quiet);
-        let mut connection = match kept {
+        let reusable = self.connection.take().filter(|connection| idle_state(connection) == IdleState::Quiet);
+        let mut connection = match reusable {
             Some(connection) => connection,
             None => self.connect().await?,
         };
@@ -146,7 +146,7 @@
         }
     }
 
-    /// All instances, sorted by their ids.
+    /// All instances, sorted by ID.
     pub(super) async fn list_instances(&mut self) -> Result<Vec<HostInstance>, PlatformError> {
         let (mut instances, mut token) = (Vec::new(), None);
         for _ in 0..MAX_PAGES {
@@ -161,10 +161,11 @@
     }
 }
 
-/// An instance that moved from page to page during the listing is there twice: as the later page has it.
+/// Sorts instances by ID and removes duplicates. An instance that moved between pages during the listing is kept as the later
+/// page has it.
 fn latest_by_id(mut instances: Vec<HostInstance>) -> Vec<HostInstance> {
     instances.reverse();
-    instances.sort_by(|a, b| a.id.cmp(&b.id));
-    instances.dedup_by(|a, b| a.id == b.id);
+    instances.sort_by(|left, right| left.id.cmp(&right.id));
+    instances.dedup_by(|duplicate, kept| duplicate.id == kept.id);
     instances
 }
--- a/crates/control-plane/src/server/host_discovery/tests.rs
+++ b/crates/control-plane/src/server/host_discovery/tests.rs
@@ -1,4 +1,4 @@
-//! The platform's client against a platform that answers wrongly.
+//! Tests the platform client against a faulty platform.
 
 use super::platform::{MAX_PAGES, PlatformClient};
 use std::net::SocketAddr;
@@ -12,8 +12,8 @@
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// A platform that gives the next of these answers to each request, whichever connection it comes on; an empty one closes
-/// the exchange.
+/// A fake platform that sends the next of these responses for each request, on whichever connection it arrives. At an empty
+/// one it stops reading from that connection without responding.
 async fn platform(responses: Vec<String>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -29,7 +29,7 @@
                 }
                 stream.write_all(response.as_bytes()).await.unwrap();
             }
-            // Whoever asks on another connection got no answer on this one: it stays open.
+            // The connection is kept open, so that a request without a response has to time out.
             open.push(stream);
         }
     });
@@ -45,8 +45,8 @@
     Some(instances.into_iter().map(|instance| instance.id).collect::<Vec<_>>().join(" "))
 }
 
-/// An answer that is sent twice does not answer the next request: each list would be one older than it seems for as long as
-/// the connection lasts, and a page of one list would end another.
+/// A response that the platform sends twice is not matched to the next request. Otherwise every list would be one poll out of
+/// date for as long as the connection lasts, and a page of one list could end another.
 #[test]
 fn duplicate_response_is_not_matched_to_the_next_request() {
     run(async {
@@ -71,14 +71,14 @@
     });
 }
 
-/// A request that is given up for the platform's silence takes its connection along, and a list without end is no list.
+/// An abandoned request closes its connection, and a list without end is an error.
 #[test]
 fn abandoned_or_endless_list_yields_no_result_and_keeps_no_connection() {
     run(async {
         let mut client = PlatformClient::new(platform(vec![String::new(), page("new", None)]).await);
         tokio::select! {
             biased;
-            _ = client.list_instances() => panic!("nobody answered"),
+            _ = client.list_instances() => panic!("there was no response"),
             _ = async { for _ in 0..100 { tokio::task::yield_now().await } } => {}
         }
         assert!(!client.is_connected());
--- a/crates/control-plane/src/server/mod.rs
+++ b/crates/control-plane/src/server/mod.rs
@@ -1,4 +1,4 @@
-//! The control node's drivers: what connects the core (`archlink_control_node`) with sockets, disk and clock.
+//! The control node's drivers, which connect the core (`archlink_control_node`) to sockets, disk and clock.
 
 pub mod contact_limits;
 pub mod host_discovery;
--- a/crates/control-plane/src/server/node.rs
+++ b/crates/control-plane/src/server/node.rs
@@ -1,9 +1,9 @@
-//! The runtime of one control node: gives time, messages and requests to the core (`archlink_control_node`) and performs
-//! the effects that come back.
+//! The runtime of one control node: passes time, messages and requests to the core (`archlink_control_node`) and performs the
+//! effects that the core returns.
 //!
-//! One job a submodule: `effects` (I/O), `operator_requests` (proposals of operators), `quorum_contact` (waiting for a
-//! quorum), `counter` (quota counter), `sessions` (data nodes). Invariant: no decision is made here, and no message that
-//! depends on a write leaves before that write is durable.
+//! The submodules are `effects` (I/O), `operator_requests` (proposals of operators), `quorum_contact` (waiting for a quorum),
+//! `counter` (quota counter) and `sessions` (data nodes). Invariant: no protocol decision is made here, and no message that
+//! depends on a write is sent before that write is durable.
 
 mod counter;
 mod effects;
@@ -32,43 +32,44 @@
 use tokio::sync::{Notify, mpsc};
 use tokio::task::yield_now;
 
-/// Seconds without a tick after which this process counts as stalled: several ticks are due in that time.
+/// Seconds without a tick after which this process counts as stalled. Several ticks are due in that time.
 const STALL_THRESHOLD: f64 = 0.25;
 
-/// One control node: its core, its connections, its disk and the requests that wait for an outcome.
+/// A control node: its core, connections, write queue and pending operator requests.
 pub struct Node {
-    /// The settings as of the start.
+    /// The settings file as read at the start.
     pub settings: Settings,
-    /// Monotonic time of this process.
+    /// The monotonic clock of this process.
     pub clock: Clock,
-    /// This node.
+    /// The ID of this node.
     pub id: NodeId,
     state: RefCell<ControlNodeState>,
     counter: RefCell<Counter>,
     write_queue: RefCell<WriteQueue>,
-    /// Control nodes that the settings file names; read again while no quorum answers.
+    /// The seed nodes of the settings file, reloaded while there is no quorum contact.
     pub seeds: RefCell<Vec<NodeId>>,
-    /// Outgoing links, one a peer.
+    /// Send queues of the outgoing links, one for each peer.
     pub links: RefCell<HashMap<NodeId, MessageSender>>,
-    /// Connections of data nodes.
+    /// Connections of data nodes in session.
     pub sessions: Sessions,
     pending: PendingProposals,
-    /// The configuration in force, parsed.
+    /// The parsed configuration in force.
     configuration: RefCell<Option<Rc<Configuration>>>,
     update_delivery: RefCell<UpdateDelivery>,
     transition_log: RefCell<TransitionLog>,
-    /// Seconds on `clock` at which this process started, and of its last tick.
+    /// Time on `clock` at which this process started, in seconds.
     started_at: f64,
+    /// Time on `clock` of the last tick, in seconds.
     ticked_at: Cell<f64>,
-    /// Set once the node shuts down: answers then close their connections.
+    /// Set once the node shuts down; every response then closes its connection.
     pub draining: Cell<bool>,
-    /// Notified after each step: something may have been learned or confirmed.
+    /// Notified after each step of the core, which may have learned or confirmed a value.
     pub progress: Notify,
 }
 
 impl Node {
-    /// A node over `state`. What waits for the disk comes back on `durable` and belongs to [`Node::on_durable`]; without
-    /// `storage` everything counts as durable at once.
+    /// Creates a node with this core. Messages that wait for a write are sent on `durable` once it is durable, and have to be
+    /// passed to [`Node::on_durable`]. Without `storage` every write counts as durable at once.
     pub fn new(
         settings: Settings,
         clock: Clock,
@@ -102,19 +103,19 @@
         read(&self.state.borrow(), self.clock.now())
     }
 
-    /// One step of the core, and the effects that follow from it.
+    /// Runs one step of the core and performs the effects that it returns.
     pub fn step(&self, step: impl FnOnce(&mut ControlNodeState, f64) -> Vec<Effect>) {
         let now = self.clock.now();
         let effects = step(&mut self.state.borrow_mut(), now);
         self.perform(now, effects);
     }
 
-    /// Takes a message of a peer.
+    /// Passes a peer's message to the core.
     pub fn receive(&self, from: NodeId, message: Message) {
         self.step(|state, now| state.step(now, from, message));
     }
 
-    /// Time passes: leases and timers expire, queued writes are retried, and state changes are logged.
+    /// Advances the core's time, so that leases and timers expire; retries queued writes and logs transitions.
     pub fn tick(&self) {
         self.ticked_at.set(self.clock.now());
         self.step(|state, now| state.tick(now));
@@ -136,8 +137,8 @@
         events.iter().for_each(super::transition_log::TransitionEvent::log);
     }
 
-    /// After a stall the state is stale: time passes first, and what arrived meanwhile, closed connections among it, is
-    /// processed before anything is answered or started.
+    /// Brings the state up to date after a stall of this process: advances time, and then yields so that whatever arrived
+    /// meanwhile, closed connections included, is processed before a request is answered or started.
     pub async fn catch_up_after_stall(&self) {
         let since_tick = self.clock.now() - self.ticked_at.get();
         if self.clock.now() > self.ticked_at.get() + STALL_THRESHOLD {
@@ -147,17 +148,17 @@
         yield_now().await;
     }
 
-    /// The configuration in force as far as this node has learned, parsed.
+    /// The parsed configuration in force, as far as this node has learned it.
     pub fn configuration(&self) -> Option<Rc<Configuration>> {
         self.configuration.borrow().clone()
     }
 
-    /// The state updates that a data node with these versions lacks.
+    /// The state updates that a data node with these versions is missing.
     pub fn missing_updates(&self, versions: &VersionVector) -> Vec<StateUpdate> {
         self.with_state(|state, now| self.update_delivery.borrow_mut().updates_for(now, state, versions))
     }
 
-    /// Tells all data nodes in session the current versions, so that they request what they lack.
+    /// Sends the current versions to all data nodes in session, so that they request the updates that they are missing.
     pub fn notify_sessions(&self) {
         let heartbeat = self.with_state(|state, now| state.heartbeat(now, 0));
         self.sessions.broadcast(&heartbeat);
--- a/crates/control-plane/src/server/node/effects.rs
+++ b/crates/control-plane/src/server/node/effects.rs
@@ -1,4 +1,5 @@
-//! Performs the core's effects: messages to peers, writes to disk, outcomes to operators, learned values to readers.
+//! Performs the core's effects: sends messages to peers, writes to disk, resolves operators' proposals and applies learned
+//! values.
 
 use super::Node;
 use crate::server::write_queue::BlockedMessages;
@@ -10,7 +11,7 @@
 use std::rc::Rc;
 
 impl Node {
-    /// Performs effects in their order; those that follow from a message to this node itself come last.
+    /// Performs effects in order. Effects that result from a message to this node itself are appended.
     pub(super) fn perform(&self, now: f64, effects: Vec<Effect>) {
         let mut effects = VecDeque::from(effects);
         while let Some(effect) = effects.pop_front() {
@@ -33,7 +34,7 @@
         self.progress.notify_waiters();
     }
 
-    /// A write is durable: the messages that waited for it are sent.
+    /// Sends the messages that were blocked on a write which is now durable.
     pub fn on_durable(&self, messages: BlockedMessages) {
         self.write_queue.borrow_mut().on_durable();
         for (to, message) in messages {
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Sends to a peer. A link that is full or down loses the message: every part of the protocol retries.
+    /// Sends to a peer. The message is dropped if the link is full or down, because every part of the protocol retries.
     pub fn send(&self, to: NodeId, message: Message) {
         if let Some(link) = self.links.borrow().get(&to) {
             link.try_send(message).ok();
@@ -59,18 +60,18 @@
         self.notify_sessions();
     }
 
-    /// Parses and keeps the committed configuration; false where it can't be decompressed and there is nothing to deliver.
+    /// Parses and stores the committed configuration. False if it cannot be decompressed, so that there is nothing to deliver.
     fn apply_configuration(&self, accepted: &AcceptedValue) -> bool {
         let text = match patch::decompress(&accepted.value, b"") {
             Ok(text) => text,
             Err(e) => {
-                log::error!(error:% = e; "committed configuration can't be decompressed");
+                log::error!(error:% = e; "committed configuration cannot be decompressed");
                 return false;
             }
         };
         match Configuration::read(&text) {
             Ok(configuration) => *self.configuration.borrow_mut() = Some(Rc::new(configuration)),
-            Err(e) => log::error!(error:% = e; "committed configuration can't be parsed"),
+            Err(e) => log::error!(error:% = e; "committed configuration cannot be parsed"),
         }
         self.update_delivery.borrow_mut().configuration_learned(accepted.ordering_key(), text);
         true
--- a/crates/control-plane/src/server/node/operator_requests.rs
+++ b/crates/control-plane/src/server/node/operator_requests.rs
@@ -1,4 +1,4 @@
-//! Operators' proposals: each waits for its outcome, and is withdrawn when its caller disconnects.
+//! Operators' proposals. Each waits for its outcome, and is withdrawn when the client disconnects.
 
 use super::{CLIENT_TIMEOUT, Node};
 use archlink_consensus::proposer::Change;
@@ -10,33 +10,34 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-/// Requests that wait for an outcome at once; fewer than the core has room for on each register.
+/// Maximum number of requests that wait for an outcome, below the core's limit of proposals for each register.
 const MAX_PENDING_REQUESTS: usize = 48;
-/// Wait for a change's outcome: the core gives up after 0.9 s.
+/// Wait for the outcome of a change. The core gives up after 0.9 s.
 const CHANGE_TIMEOUT: Duration = Duration::from_millis(950);
-/// Wait for a membership change, which a person is willing to wait for: the core gives up after 2.5 s.
+/// Wait for the outcome of a membership change, which takes longer and for which an operator waits. The core gives up after
+/// 2.5 s.
 const MEMBERSHIP_CHANGE_TIMEOUT: Duration = Duration::from_millis(2700);
 
-/// What an operator may ask of the core.
+/// An operator's request to the core.
 pub enum OperatorRequest {
-    /// A new value of a register.
+    /// Change the value of a register.
     Change(Change),
-    /// Another set of voters.
+    /// Change the voter set.
     Membership(MembershipChange),
 }
 
-/// Why a request was not started: it never will be, and the same one may be sent again.
+/// Why a request was not started. It never will be, so the same request may be sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotStarted {
-    /// No quorum answers this node.
+    /// This node has no quorum contact.
     NoQuorum,
-    /// Too many requests wait.
+    /// Too many requests are pending.
     TooManyPending,
-    /// The very first start has not collected as many voters as are required.
+    /// The first start of the cluster has not found the required number of voters yet.
     NotBootstrapped,
 }
 
-/// Proposals without an outcome yet, by token.
+/// Pending proposals by token.
 #[derive(Default)]
 pub(super) struct PendingProposals {
     outcomes: RefCell<HashMap<u64, oneshot::Sender<Outcome>>>,
@@ -56,7 +57,7 @@
         (token, outcome)
     }
 
-    /// Hands the outcome to whoever waits for it.
+    /// Passes the outcome to the waiting request.
     pub(super) fn resolve(&self, token: u64, outcome: Outcome) {
         if let Some(waiter) = self.outcomes.borrow_mut().remove(&token) {
             waiter.send(outcome).ok();
@@ -64,7 +65,7 @@
     }
 }
 
-/// Withdraws a proposal that has no outcome when its caller stops waiting.
+/// Withdraws a proposal that has no outcome yet when the request that waits for it is dropped.
 struct WithdrawOnDrop<'a> {
     node: &'a Node,
     token: u64,
@@ -79,12 +80,12 @@
 }
 
 impl Node {
-    /// Proposes and waits for the outcome; `Unknown` where none comes in time.
+    /// Submits a proposal and waits for the outcome, which is `Unknown` if there is none in time.
     pub async fn submit(&self, request: OperatorRequest) -> Result<Outcome, NotStarted> {
         if self.pending.is_full() {
             return Err(NotStarted::TooManyPending);
         }
-        // During the very first start a request waits for the voters as it does for a quorum.
+        // During the first start a request waits for the voters, as it waits for a quorum later.
         let bootstrapped =
             |state: &ControlNodeState, now| state.voter_set_status(now).established.then_some(());
         if self.wait_for(CLIENT_TIMEOUT, bootstrapped).await.is_none() {
--- a/crates/control-plane/src/server/node/sessions.rs
+++ b/crates/control-plane/src/server/node/sessions.rs
@@ -5,22 +5,22 @@
 use std::cell::RefCell;
 use std::collections::HashMap;
 
-/// The newest connection of each data node.
+/// The latest connection of each data node.
 #[derive(Default)]
 pub struct Sessions(RefCell<HashMap<NodeId, MessageSender>>);
 
 impl Sessions {
-    /// A data node's session is served on this connection from now on.
+    /// Registers the connection of a data node's session, in place of an earlier one.
     pub fn insert(&self, node: NodeId, sender: MessageSender) {
         self.0.borrow_mut().insert(node, sender);
     }
 
-    /// The session ended.
+    /// Removes a session that has ended.
     pub fn remove(&self, node: NodeId) {
         self.0.borrow_mut().remove(&node);
     }
 
-    /// Sends to all; a full connection loses the message, its data node asks again with its next heartbeat.
+    /// Sends a message to all sessions. It is dropped where the queue is full; the data node recovers with its next heartbeat.
     pub fn broadcast(&self, message: &Message) {
         self.0.borrow().values().for_each(|session| drop(session.try_send(message.clone())));
     }
--- a/crates/control-plane/src/server/peer_identity.rs
+++ b/crates/control-plane/src/server/peer_identity.rs
@@ -1,11 +1,11 @@
-//! Which node is at the other end of an incoming connection.
+//! Identifies the sender of an incoming connection.
 //!
-//! Invariants: the first message that names a sender binds the connection for life; of several connections in one name only
-//! the newest is accepted; no message is accepted in a name that its connection is not bound to.
+//! Invariants: the first message that identifies a sender binds the connection to it permanently; of several connections of
+//! one sender only the latest is accepted; no message is accepted from a sender to which its connection is not bound.
 //!
-//! A name is what the sender says of itself: its source address depends on its routes and proves nothing. That only the
-//! system's own processes reach the ports between them is the operators' to ensure; this module ensures that messages of
-//! one incarnation, or of one connection, are not taken for another's.
+//! The identity is not authenticated: it is what the sender claims, and the source address depends on routing and proves
+//! nothing. Operators have to ensure that only the system's own processes can reach the internal ports. This module ensures
+//! that messages of one incarnation or connection are not attributed to another.
 
 use archlink_messages::{Message, NodeId};
 use std::collections::HashMap;
@@ -18,29 +18,29 @@
     ControlNode(NodeId),
     /// A data node's session.
     DataNode(NodeId),
-    /// Adds to quota counters, which needs no name: totals go back on the same connection.
+    /// A client of the quota counter. It needs no ID, because totals are returned on the same connection.
     CounterClient,
 }
 
-/// Why a message is rejected and its connection closed.
+/// Why a message is rejected and its connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdentityError {
-    /// The serial number is not above the previous one on this connection.
+    /// The serial number is not higher than the previous one on this connection.
     ReusedSerial,
-    /// A message that needs a sender came before any that names one.
+    /// The connection is not bound to a sender yet, and the message does not identify one.
     Unidentified,
-    /// The connection is bound to another name.
+    /// The connection is bound to another sender.
     ChangedIdentity,
-    /// A newer connection is bound to the same name.
+    /// A newer connection is bound to the same sender.
     Superseded,
 }
 
 impl fmt::Display for IdentityError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            IdentityError::ReusedSerial => "its serial number was used before on this connection",
+            IdentityError::ReusedSerial => "the serial number was already used on this connection",
             IdentityError::Unidentified => "the sender has not identified itself",
-            IdentityError::ChangedIdentity => "the sender names itself differently than before",
+            IdentityError::ChangedIdentity => "the sender has changed its identity",
             IdentityError::Superseded => "a newer connection has the same sender",
         })
     }
@@ -48,7 +48,8 @@
 
 impl std::error::Error for IdentityError {}
 
-/// The newest connection of each sender, by number. No more entries than connections: each removes its own.
+/// The latest connection of each sender, by connection number. Every connection removes its own entry when it closes, so there
+/// are no more entries than connections.
 #[derive(Default)]
 pub struct ConnectionTable {
     last_number: u64,
@@ -57,15 +58,15 @@
 
 /// One incoming connection.
 pub struct IncomingPeer {
-    /// Grows with each connection: of two with one sender, the lower one's messages are old.
+    /// Increases with each connection. Of two connections of one sender, the one with the lower number is superseded.
     number: u64,
     /// The sender, once it is known.
     pub identity: Option<PeerIdentity>,
-    /// Of the last heartbeat or counter request on this connection.
+    /// Serial number of the last heartbeat or counter request on this connection.
     last_serial: u64,
 }
 
-/// The sender that a message names, and its serial number if it has one.
+/// The sender that a message claims and its serial number, if it has them.
 fn claimed_identity(message: &Message) -> (Option<PeerIdentity>, Option<u64>) {
     match message {
         Message::PeerHello { control_node, .. } => (Some(PeerIdentity::ControlNode(control_node.node)), None),
@@ -78,13 +79,13 @@
 }
 
 impl IncomingPeer {
-    /// A connection that was just accepted.
+    /// Registers a connection that was just accepted.
     pub fn new(connections: &mut ConnectionTable) -> IncomingPeer {
         connections.last_number += 1;
         IncomingPeer { number: connections.last_number, identity: None, last_serial: 0 }
     }
 
-    /// May this connection send this message? An error closes it.
+    /// Checks whether this connection may send this message. The caller closes the connection on an error.
     pub fn verify(
         &mut self,
         connections: &mut ConnectionTable,
@@ -119,7 +120,7 @@
         if *newest == self.number { Ok(()) } else { Err(IdentityError::Superseded) }
     }
 
-    /// The connection closed; was it the newest of its sender?
+    /// Removes the connection after it has closed. True if it was the latest of its sender.
     pub fn close(&self, connections: &mut ConnectionTable) -> bool {
         let was_newest =
             self.identity.is_some_and(|identity| connections.newest.get(&identity) == Some(&self.number));
--- a/crates/control-plane/src/server/peer_identity/tests.rs
+++ b/crates/control-plane/src/server/peer_identity/tests.rs
@@ -1,4 +1,4 @@
-//! Which messages a connection may send.
+//! Tests which messages a connection may send.
 
 use super::*;
 use archlink_messages::{ConsensusMessage, ControlNode, DataNode, VersionVector, VoterSet};
@@ -28,7 +28,7 @@
     Message::CounterAdds { serial, term: 1, cluster_clock: 0.0, adds: vec![] }
 }
 
-/// A connection is bound by its first message: what comes in another name, or in none, closes it.
+/// A connection is bound to a sender by its first message. A message of another sender, or of none, is rejected.
 #[test]
 fn connection_is_bound_to_its_first_sender() {
     use IdentityError::{ChangedIdentity, ReusedSerial, Unidentified};
@@ -56,8 +56,8 @@
     }
 }
 
-/// A data node's later connection takes its session over: what still arrives on the earlier one, its end included, changes
-/// nothing.
+/// A data node's later connection takes over its session: messages that still arrive on the earlier one are rejected, and its
+/// close does not end the session.
 #[test]
 fn superseded_connection_is_rejected_and_does_not_end_the_session() {
     let mut connections = ConnectionTable::default();
--- a/crates/control-plane/src/server/peer_links.rs
+++ b/crates/control-plane/src/server/peer_links.rs
@@ -1,8 +1,8 @@
-//! Connections between the system's own processes: `outgoing` to each other control node, `incoming` from control nodes,
-//! data nodes and counter clients. Who may send what on an incoming one is decided by [`super::peer_identity`].
+//! Connections between the system's own processes: `outgoing` to the other control nodes, `incoming` from control nodes, data
+//! nodes and counter clients. [`super::peer_identity`] decides who may send which message on an incoming connection.
 
 pub mod incoming;
 pub mod outgoing;
 
-/// Messages queued on one connection; a peer that lets more queue up does not read.
+/// Maximum number of messages queued on one connection. A peer with a longer queue is not reading.
 const MAX_QUEUED_MESSAGES: usize = 256;
--- a/crates/control-plane/src/server/peer_links/incoming.rs
+++ b/crates/control-plane/src/server/peer_links/incoming.rs
@@ -1,4 +1,4 @@
-//! Incoming connections of control nodes, of data nodes' sessions and of counter clients.
+//! Incoming connections of control nodes, data nodes and counter clients.
 
 use super::MAX_QUEUED_MESSAGES;
 use crate::server::node::Node;
@@ -18,23 +18,23 @@
 use tokio::time::{sleep, timeout};
 use tokio_util::codec::Framed;
 
-/// The first message on an incoming connection is due by then.
+/// Time limit for the first message on an incoming connection.
 const FIRST_MESSAGE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Incoming connections at once; further ones are closed. Part of the process's file descriptors.
+/// Maximum number of incoming connections; further ones are closed. They use a part of the process's file descriptors.
 const MAX_CONNECTIONS: usize = 2048;
-/// Pause after a failed `accept`: without descriptors the next one fails as well.
+/// Pause after a failed `accept`. When the process is out of file descriptors the next one would fail as well.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(20);
 
 /// Why an incoming connection is closed.
 #[derive(Debug)]
 enum ConnectionError {
-    /// The bytes are no message, or the socket failed.
+    /// The bytes are not a valid message, or the socket failed.
     Read(io::Error),
-    /// The sender may not send this.
+    /// The sender may not send this message.
     Identity(IdentityError),
-    /// The sender's queue of totals is full.
+    /// The send queue to a counter client is full, because it does not read its totals.
     TotalsNotRead,
-    /// The message is not for a control node, or not from such a sender.
+    /// The message is not meant for a control node, or not valid from this kind of sender.
     UnexpectedMessage,
 }
 
@@ -44,16 +44,18 @@
             ConnectionError::Read(e) => e.fmt(f),
             ConnectionError::Identity(e) => e.fmt(f),
             ConnectionError::TotalsNotRead => f.write_str("the sender does not read its totals"),
-            ConnectionError::UnexpectedMessage => f.write_str("a message that this sender may not send"),
+            ConnectionError::UnexpectedMessage => {
+                f.write_str("this kind of sender may not send such a message")
+            }
         }
     }
 }
 
 impl std::error::Error for ConnectionError {}
 
-/// Accepts connections for ever.
+/// Accepts connections until the process ends.
 pub async fn listen(node: Rc<Node>, listener: TcpListener) {
-    // Each connection holds a clone: the count is the number of open ones, and one.
+    // Each connection holds a clone, so the strong count is the number of open connections plus one.
     let open_connections = Rc::new(());
     let connections = Rc::new(RefCell::new(ConnectionTable::default()));
     loop {
@@ -81,7 +83,7 @@
 }
 
 impl Connection {
-    /// Processes messages until the connection closes or sends what it may not.
+    /// Processes messages until the connection closes or sends a message that is rejected.
     async fn serve(mut self, stream: TcpStream, _connection_guard: Rc<()>) {
         archlink_runtime::configure_stream(&stream);
         let (sender, mut messages) =
@@ -109,7 +111,7 @@
         self.dispatch(sender, message)
     }
 
-    /// Processes a message that this sender may send.
+    /// Processes a message whose sender has been verified.
     fn dispatch(&self, sender: &MessageSender, message: Message) -> Result<(), ConnectionError> {
         match (message, self.peer.identity) {
             (Message::SessionHeartbeat { serial, data_node, cluster_clock: clock, leases }, _) => {
@@ -145,7 +147,7 @@
             leases.iter().for_each(|&grant| state.leases.learn_holder(now, 0, grant));
             state.record_event(now, Event::SessionRenewed(data_node))
         });
-        // An answer that is lost is asked for again by the next heartbeat, with another serial number.
+        // A lost reply is made up for by the next heartbeat, which has another serial number.
         sender.try_send(self.node.with_state(|state, now| state.heartbeat(now, serial))).ok();
     }
 
@@ -174,7 +176,7 @@
         }
     }
 
-    /// Ends a data node's session, unless a newer connection serves it.
+    /// Ends a data node's session, unless a newer connection has taken it over.
     fn close(&self) {
         let was_newest = self.peer.close(&mut self.connections.borrow_mut());
         if let (Some(PeerIdentity::DataNode(data_node)), true) = (self.peer.identity, was_newest) {
--- a/crates/control-plane/src/server/peer_links/outgoing.rs
+++ b/crates/control-plane/src/server/peer_links/outgoing.rs
@@ -1,4 +1,4 @@
-//! One outgoing link to each known control node, reconnected for as long as the node is known.
+//! Outgoing links, one to each known control node. A link reconnects for as long as its peer is known.
 
 use super::MAX_QUEUED_MESSAGES;
 use crate::read_settings;
@@ -15,12 +15,12 @@
 use tokio::time::sleep;
 use tokio_util::codec::Framed;
 
-/// Pause between two connection attempts to a control node that isn't reached, and between two looks for new ones.
+/// Pause between two connection attempts to a control node, and between two checks for new control nodes.
 const RECONNECT_INTERVAL: Duration = Duration::from_millis(250);
-/// Pause between two reads of the seeds in the settings file while no quorum answers.
+/// Pause between two reads of the seeds in the settings file while there is no quorum contact.
 const SEED_RELOAD_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The control nodes of the registry, and the seeds.
+/// The control nodes in the registry, and the seeds.
 fn known_peers(node: &Node) -> Vec<NodeId> {
     let mut known: Vec<NodeId> = node.with_state(|state, _| {
         state.event_log.registry.control_nodes().iter().map(|control_node| control_node.node).collect()
@@ -29,7 +29,7 @@
     known
 }
 
-/// Keeps a link to each known peer.
+/// Maintains a link to each known peer.
 pub async fn maintain(node: Rc<Node>) {
     loop {
         for peer in known_peers(&node) {
@@ -43,8 +43,8 @@
     }
 }
 
-/// Reads the seeds in the settings file again while no quorum answers: all nodes that this one knew may have been replaced
-/// while it was partitioned.
+/// Reloads the seeds from the settings file while there is no quorum contact, because all nodes that this one knew may have
+/// been replaced while it was partitioned.
 pub async fn reload_seeds(node: Rc<Node>) {
     loop {
         sleep(SEED_RELOAD_INTERVAL).await;
@@ -60,7 +60,7 @@
     }
 }
 
-/// The link to one peer, reconnected for as long as the peer is known.
+/// Runs the link to one peer, and reconnects it for as long as the peer is known.
 async fn run_link(node: Rc<Node>, peer: NodeId, mut messages: mpsc::Receiver<Message>) {
     let address = archlink_runtime::node_address(peer, node.settings.internal_port);
     while known_peers(&node).contains(&peer) {
@@ -74,23 +74,23 @@
     node.links.borrow_mut().remove(&peer);
 }
 
-/// Why forwarding on one connection ended.
+/// Why a connection of a link was closed.
 #[derive(PartialEq, Eq)]
 enum CloseReason {
-    /// The connection closed.
+    /// The peer closed the connection, or it failed.
     Disconnected,
-    /// No more messages will come: the node is gone.
+    /// The queue of messages was closed, because the node was dropped.
     QueueClosed,
 }
 
-/// Sends queued messages on one connection until either side ends.
+/// Sends queued messages on one connection until it closes or the queue does.
 async fn forward(
     node: &Node,
     framed: Framed<TcpStream, MessageCodec>,
     messages: &mut mpsc::Receiver<Message>,
 ) -> CloseReason {
     let (sender, mut source) = split_connection(framed, MAX_QUEUED_MESSAGES);
-    // What was queued while the link was down is outdated.
+    // Messages that were queued while the link was down are outdated.
     while messages.try_recv().is_ok() {}
     let hello = node.with_state(|state, _| state.peer_hello());
     let mut open = sender.try_send(hello).is_ok();
@@ -100,7 +100,7 @@
                 Some(message) => open = sender.send(message).await.is_ok(),
                 None => return CloseReason::QueueClosed,
             },
-            // The peer sends nothing on this connection: whatever arrives is its end.
+            // The peer never sends on this connection, so anything that arrives, its end included, closes it.
             _ = source.next() => open = false,
             _ = sender.closed() => open = false,
         }
--- a/crates/control-plane/src/server/startup.rs
+++ b/crates/control-plane/src/server/startup.rs
@@ -1,4 +1,4 @@
-//! The state that a control node starts with: what its disk has, or the seeds at the very first start.
+//! The state that a control node starts with: the state on its disk, or at the first start of a cluster the seeds as voters.
 
 use crate::{ControlPlaneError, ControlPlaneResult};
 use archlink_config::Settings;
@@ -11,19 +11,20 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// `CatchUp` in seconds where the operators name none: a lost machine's seat is given away after a third of it.
+/// Maximum of `CatchUp` in seconds, and its value if the operators set none. A lost voter is replaced after a third of it.
 const MAX_CATCH_UP: f64 = 60.0;
-/// Attempts to open a data folder on a disk that is full or hangs, and the pause between them: 15 s together.
+/// Attempts to open a data folder on a disk that is full or hangs. With the pauses in between they take 15 s.
 const OPEN_ATTEMPTS: u32 = 60;
+/// Pause between two attempts to open the data folder.
 const OPEN_RETRY_PAUSE: Duration = Duration::from_millis(250);
 
-/// Opens the data folder. A disk that is full or hangs at the moment of a start is retried, since to exit would only be to
-/// start again; damaged data is an error at once.
+/// Opens the data folder. A disk that is full or hangs is retried, because exiting would only cause a restart; corrupted data
+/// is an error at once.
 fn open_with_retries(folder: &Path) -> ControlPlaneResult<(Storage, DurableState)> {
     for _ in 1..OPEN_ATTEMPTS {
         match Storage::open(folder) {
             Err(e) if *e.current_context() == StorageError::Disk => {
-                log::warn!(error:% = format!("{e:#}"); "data folder can't be opened; retrying");
+                log::warn!(error:% = format!("{e:#}"); "data folder cannot be opened; retrying");
             }
             opened => return opened.change_context(ControlPlaneError::Disk),
         }
@@ -32,8 +33,8 @@
     Storage::open(folder).change_context(ControlPlaneError::Disk)
 }
 
-/// The seeds as the voters of the very first start: the same three everywhere, and only then. They are on disk before any
-/// message is sent: a first start that dies halfway continues where it was.
+/// The initial voter set at the first start of a cluster: the seeds, which are the same three on every node. It is durable
+/// before any message is sent, so that a first start that crashes halfway resumes with the same voters.
 fn bootstrap_voters(settings: &Settings, storage: Option<&Storage>) -> ControlPlaneResult<VoterSet> {
     let mut seeds = super::seeds::seed_nodes(settings);
     seeds.sort_unstable();
@@ -47,7 +48,7 @@
     Ok(voter_set)
 }
 
-/// The core as the disk remembers it, and the disk, if the settings name a data folder.
+/// Restores the core from the data folder, if the settings name one, and returns it with the opened storage.
 pub fn load(settings: &Settings, clock: Clock) -> ControlPlaneResult<(ControlNodeState, Option<Storage>)> {
     let operator_address = settings
         .operator_address
@@ -71,7 +72,7 @@
         },
         acceptors: voter_set.is_known().then_some(durable.acceptors),
         voter_set,
-        // A majority of these is left when as many as `Tolerance` names are lost at once.
+        // A majority of these remains when as many nodes as `Tolerance` allows are lost at once.
         required_voters: 2 * settings.tolerated_losses as usize + 1,
         catch_up: settings.timing_bounds.catch_up.min(MAX_CATCH_UP),
         grants: durable.grants.into_values().collect(),
--- a/crates/control-plane/src/server/transition_log.rs
+++ b/crates/control-plane/src/server/transition_log.rs
@@ -1,6 +1,6 @@
-//! What operators find in the log about quorum contact, voters and leases: one line for each change.
+//! Logs transitions of quorum contact, of the voter set and of this node's leases, one line for each.
 //!
-//! Invariant: nothing acts on any of it.
+//! Invariant: this is for operators only; no other code depends on it.
 
 mod event;
 
@@ -9,34 +9,34 @@
 use super::contact_limits::{MAX_CONTACT_AGE, STARTUP_GRACE};
 use archlink_messages::{SINGLETON_ROLES, SingletonRole, VoterSet};
 
-/// What is observed at each tick.
+/// The state that is observed at each tick.
 pub struct Observation<'a> {
-    /// Seconds since the newest question was asked to which a quorum has answered.
+    /// Seconds since the start of the latest quorum read that a quorum has confirmed.
     pub contact_age: Option<f64>,
     /// The voter set that this node knows.
     pub voter_set: &'a VoterSet,
-    /// The term in which this node holds each role's lease.
+    /// For each role the term in which this node holds its lease.
     pub held_terms: [(SingletonRole, Option<u64>); SINGLETON_ROLES.len()],
 }
 
-/// Contact with a quorum, and since when in seconds of this process.
+/// State of the contact with a quorum, and since when, in seconds since the start of the process.
 #[derive(Clone, Copy)]
 enum Contact {
     Established { since: f64 },
     Lost { since: f64 },
 }
 
-/// What was logged last.
+/// The state that was logged last.
 #[derive(Default)]
 pub struct TransitionLog {
-    /// Not known before the first answer, or the end of the grace period at the start.
+    /// `None` until a quorum first replies or the grace period after the start ends.
     contact: Option<Contact>,
     voter_set: VoterSet,
     held_terms: [Option<u64>; SINGLETON_ROLES.len()],
 }
 
 impl TransitionLog {
-    /// The events since the last observation.
+    /// Compares the state with the last observation and returns the transitions in between.
     pub fn observe(&mut self, now: f64, observation: &Observation) -> Vec<TransitionEvent> {
         let mut events = Vec::new();
         events.extend(self.observe_contact(now, observation.contact_age));
@@ -79,7 +79,7 @@
         let incoming = after.is_joint().then(|| after.incoming.clone());
         let mut events =
             vec![TransitionEvent::VoterSet { epoch, voters: voters.clone(), incoming: incoming.clone() }];
-        // A joint epoch may have passed between two observations: then the voters tell how it ended.
+        // A joint epoch may have passed between two observations. Then the voters show whether it was committed.
         let is_committed =
             if before.is_joint() { before.incoming == after.voters } else { before.voters != after.voters };
         if !before.is_known() {
--- a/crates/control-plane/src/server/transition_log/event.rs
+++ b/crates/control-plane/src/server/transition_log/event.rs
@@ -1,47 +1,47 @@
-//! The events of the state change log, and their lines.
+//! The events of the transition log and their log lines.
 
 use archlink_messages::{NodeId, SingletonRole};
 use std::net::Ipv4Addr;
 
-/// Something that changed between two ticks. Times are in seconds.
+/// A transition between two ticks. Times are in seconds.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TransitionEvent {
-    /// A quorum answered for the first time, so long after the start.
+    /// A quorum replied for the first time.
     ContactEstablished {
-        /// Since the start.
+        /// Time since the start.
         after: f64,
     },
-    /// No quorum has answered since the start, and the grace period is over.
+    /// The grace period after the start is over without a reply from a quorum.
     NoContact,
-    /// The last answer of a quorum is too old.
+    /// The last reply of a quorum is too old.
     ContactLost {
-        /// Age of the last answer.
+        /// Age of the last reply.
         silence: f64,
-        /// For how long there was contact.
+        /// How long there was contact.
         after: f64,
     },
-    /// A quorum answers again.
+    /// A quorum replies again.
     ContactRegained {
-        /// For how long there was none.
+        /// How long there was no contact.
         after: f64,
     },
     /// This node learned of another voter set.
     VoterSet {
         /// Its epoch.
         epoch: u64,
-        /// Its voters; in a joint voter set the outgoing ones.
+        /// Its voters. In a joint voter set these are the outgoing ones.
         voters: Vec<NodeId>,
         /// The incoming voters of a joint voter set.
         incoming: Option<Vec<NodeId>>,
     },
-    /// An operator forced a new generation: what other disks hold is void.
+    /// An operator forced a new generation, which invalidates the state on other disks.
     NewGeneration {
         /// The new epoch.
         epoch: u64,
         /// The remaining voters.
         voters: Vec<NodeId>,
     },
-    /// A joint voter set was entered.
+    /// A joint voter set is in force.
     MembershipChangeStarted {
         /// The joint epoch.
         epoch: u64,
@@ -50,25 +50,25 @@
         /// The incoming voters.
         incoming: Vec<NodeId>,
     },
-    /// The incoming voters are the voters now.
+    /// The incoming voters have become the voters.
     MembershipChangeCommitted {
         /// The new epoch.
         epoch: u64,
         /// The new voters.
         voters: Vec<NodeId>,
     },
-    /// The voters are those from before the change.
+    /// The voters are the same as before the change.
     MembershipChangeRolledBack {
         /// The new epoch.
         epoch: u64,
-        /// The voters, as before.
+        /// The voters, which are unchanged.
         voters: Vec<NodeId>,
     },
-    /// This node holds the lease of a role.
+    /// This node acquired the lease of a role.
     LeaseGranted {
         /// The role.
         role: SingletonRole,
-        /// The lease's term, its fencing token.
+        /// The term of the lease, which is its fencing token.
         term: u64,
     },
     /// This node no longer holds the lease of a role.
@@ -84,13 +84,13 @@
     nodes.iter().map(|&node| Ipv4Addr::from(node).to_string()).collect::<Vec<_>>().join(",")
 }
 
-/// Seconds as the log has them, to a tenth.
+/// Formats seconds with one decimal place for the log.
 fn tenths(seconds: f64) -> String {
     format!("{seconds:.1}")
 }
 
 impl TransitionEvent {
-    /// Writes the event's line.
+    /// Logs the event.
     pub fn log(&self) {
         use TransitionEvent as Event;
         match self {
--- a/crates/control-plane/src/server/transition_log/tests.rs
+++ b/crates/control-plane/src/server/transition_log/tests.rs
@@ -1,4 +1,4 @@
-//! Each event is logged once, with its fields.
+//! Tests that each transition is logged once, with its fields.
 
 use super::*;
 use crate::tests::log_capture::logged_by;
@@ -6,7 +6,7 @@
 const NO_LEASES: [(SingletonRole, Option<u64>); 2] =
     [(SingletonRole::HostDiscovery, None), (SingletonRole::QuotaCounter, None)];
 
-/// The lines of one observation.
+/// The lines that one observation logs.
 fn observe(
     log: &mut TransitionLog,
     now: f64,
@@ -19,7 +19,7 @@
     logged_by(|| events.iter().for_each(TransitionEvent::log))
 }
 
-/// Each line comes once, when what it is about changes; a committed change differs from one that is rolled back.
+/// Each transition is logged once, and a membership change that is rolled back is not logged as committed.
 #[test]
 fn each_transition_is_logged_once() {
     let mut log = TransitionLog::default();
@@ -74,7 +74,7 @@
     );
 }
 
-/// A joint voter set that passed between two observations: the change is logged as committed all the same.
+/// A membership change is logged as committed even if its joint voter set began and ended between two observations.
 #[test]
 fn membership_change_between_two_observations_is_logged_as_committed() {
     let first = VoterSet::initial(&[1, 2, 3]);
@@ -107,7 +107,7 @@
     assert_eq!(observe(&mut log, 8.0, Some(0.1), &unknown, None), ["quorum contact regained after_s=8.0"]);
 }
 
-/// A lease in a later term is another lease; each role is logged by its name.
+/// A lease in a later term is logged as a new lease, and each role by its name.
 #[test]
 fn each_lease_is_logged_with_its_role_and_term() {
     let (voter_set, mut log) = (VoterSet::default(), TransitionLog::default());
--- a/crates/control-plane/src/server/write_queue.rs
+++ b/crates/control-plane/src/server/write_queue.rs
@@ -1,22 +1,24 @@
-//! Between the core and the disk: writes under way, and what the disk's queue had no room for.
+//! Queue between the core and the disk: writes in flight, and the backlog for which the disk's own queue had no room.
 //!
-//! Invariants: a change that was not accepted goes with the next one, so no message leaves ahead of what is on disk; no
-//! change is dropped: of each register, each role and the voter set the newest is kept, which is all that the disk keeps.
+//! Invariants: a change that the disk did not accept is merged into the next write, so that no message is sent before the state
+//! it depends on is durable. No change is lost: the backlog keeps the latest value for each register, each role and the voter
+//! set, which is all that the disk keeps.
 
 use archlink_messages::{Message, NodeId};
 use archlink_storage::{StateChange, Storage};
 use tokio::sync::mpsc;
 
-/// Writes given to the disk and not yet reported durable. More than the disk's own queue holds means that this thread does
-/// not get to process the reports.
+/// Maximum number of writes that are passed to the disk and not yet reported durable. It exceeds the capacity of the disk's own
+/// queue, so it is reached only if this thread does not get to process the reports.
 const MAX_WRITES_IN_FLIGHT: usize = 1024;
 
-/// Messages to this node itself or to peers that may leave once a write is durable.
+/// Messages to this node itself or to peers that may be sent once a write is durable.
 pub type BlockedMessages = Vec<(NodeId, Message)>;
 
-/// Where state changes are made durable.
+/// Makes state changes durable.
 pub trait StateWriter {
-    /// Enqueues a change; `on_durable` is called once it is synced, in the order of the calls. False where the queue is full.
+    /// Enqueues a change. `on_durable` is called once the change is synced, in the order of the calls. False if the queue is
+    /// full.
     fn enqueue(&self, change: StateChange, on_durable: Box<dyn FnOnce() + Send>) -> bool;
 }
 
@@ -26,17 +28,19 @@
     }
 }
 
-/// Writes in their order, and the change that waits for room.
+/// Passes writes to the disk in order, and keeps a backlog while the disk's queue is full.
 pub struct WriteQueue {
     storage: Option<Box<dyn StateWriter>>,
     durable: mpsc::UnboundedSender<BlockedMessages>,
     in_flight: usize,
-    /// What the core takes for written and no disk has: at most one acceptor a register, one grant a role and one voter set.
+    /// Changes that the core regards as written but the disk has not accepted yet: at most one acceptor for each register, one
+    /// grant for each role and one voter set.
     backlog: Option<StateChange>,
 }
 
 impl WriteQueue {
-    /// An empty queue to `storage`; messages come back on `durable`, at once where there is no storage.
+    /// Creates an empty queue. Blocked messages are sent on `durable` once their write is durable, or at once without
+    /// `storage`.
     pub fn new(
         storage: Option<Box<dyn StateWriter>>,
         durable: mpsc::UnboundedSender<BlockedMessages>,
@@ -44,8 +48,8 @@
         WriteQueue { storage, durable, in_flight: 0, backlog: None }
     }
 
-    /// Gives a change to the disk, with all that waits from before. Where it has to wait itself the messages that depend on
-    /// it are dropped: whoever asked retries.
+    /// Passes a change and the backlog to the disk. If the disk does not accept them, they become the backlog and the blocked
+    /// messages are dropped, because their receivers retry.
     pub fn write(&mut self, change: StateChange, blocked: BlockedMessages) {
         let Some(storage) = &self.storage else {
             self.durable.send(blocked).ok();
@@ -67,18 +71,18 @@
         }
         self.backlog = Some(change);
         if !had_backlog {
-            log::warn!("write queue full; messages held back");
+            log::warn!("write queue full; blocked messages dropped");
         }
     }
 
-    /// Gives the backlog to the disk again, also where nothing new is to be written.
+    /// Passes the backlog to the disk again without a new change.
     pub fn retry(&mut self) {
         if self.backlog.is_some() {
             self.write(StateChange::default(), BlockedMessages::new());
         }
     }
 
-    /// The disk has reported one write as durable.
+    /// Counts a write that the disk has reported as durable.
     pub fn on_durable(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
