--- a/crates/control-plane/src/admin/calls.rs
+++ b/crates/control-plane/src/admin/calls.rs
@@ -1,41 +1,41 @@
-//! The table of calls: method and path of each, and what its answer rests on while no quorum answers this node.
+//! The table of calls: the method, path and consistency of each. The consistency decides how a partitioned node responds.
 
 use strum::{EnumIter, IntoEnumIterator};
 
-/// What a call's answer rests on, and so what a partitioned node answers.
+/// What the response to a call is based on, and so how a node without a quorum responds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Consistency {
-    /// A quorum's answer after the call started; 503 where none comes.
+    /// A read that a quorum confirms after the call started; 503 if none does.
     LinearizableRead,
-    /// A quorum that answered recently: without one the call is not started, and says so at once.
+    /// Recent contact with a quorum. Without it the call is not started, and the response says so at once.
     QuorumContact,
-    /// An operator's decision, where no quorum is left.
+    /// An operator's decision to continue without a quorum.
     OperatorOverride,
-    /// Sessions and what peers reported of theirs: they expire by themselves (`archlink_control_node::registry`), the answer
-    /// by its `Ttl`.
+    /// This node's sessions and those that its peers report. Both expire by themselves (`archlink_control_node::registry`), and
+    /// the response expires by its `Ttl`.
     Sessions,
-    /// What this node knows, with its age.
+    /// This node's state, with the age of its last quorum contact.
     LocalState,
 }
 
-/// One call. The names are this program's; paths are the operators' interface.
+/// A call. The variants are internal names; the paths are the operators' interface.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, EnumIter)]
 pub enum Call {
     /// Put a configuration in force.
     ReplaceConfiguration,
     /// The configuration in force.
     ReadConfiguration,
-    /// Stop sending to a zone's hosts.
+    /// Stop sending requests to a zone's hosts.
     BeginEvacuation,
-    /// Send to a zone's hosts again.
+    /// Send requests to a zone's hosts again.
     FinishEvacuation,
-    /// Who votes, and what this node holds.
+    /// The voters, and what this node has accepted.
     Voters,
-    /// Give a voter's seat to another node.
+    /// Replace a voter by another node.
     ReplaceVoter,
     /// Continue without the lost voters.
     ForceNewGeneration,
-    /// Where a client should connect.
+    /// The data nodes that a client should connect to.
     Resolve,
     /// Control and data nodes.
     Members,
@@ -50,7 +50,7 @@
 }
 
 impl Call {
-    /// Method, path, and basis. A path that ends in a slash is followed by names.
+    /// Method, path and consistency. Path parameters follow a path that ends in a slash.
     fn endpoint(self) -> (&'static str, &'static str, Consistency) {
         match self {
             Call::ReplaceConfiguration => {
@@ -73,20 +73,23 @@
 
     /// The HTTP method.
     pub fn method(self) -> &'static str {
-        self.endpoint().0
+        let (method, _, _) = self.endpoint();
+        method
     }
 
-    /// The path, up to the names that follow it.
+    /// The path without its parameters.
     pub fn path(self) -> &'static str {
-        self.endpoint().1
+        let (_, path, _) = self.endpoint();
+        path
     }
 
-    /// What the answer rests on.
+    /// What the response is based on.
     pub fn consistency(self) -> Consistency {
-        self.endpoint().2
+        let (_, _, consistency) = self.endpoint();
+        consistency
     }
 
-    /// The call at a path, and the names that follow it.
+    /// The call at a path, and the path parameters.
     pub fn from_path(path: &str) -> Option<(Call, &str)> {
         Call::iter().find_map(|call| {
             let path_parameters = path.strip_prefix(call.path())?;
--- a/crates/control-plane/src/admin/calls/tests.rs
+++ b/crates/control-plane/src/admin/calls/tests.rs
@@ -1,4 +1,4 @@
-//! The table of calls against itself.
+//! Tests that the table of calls is consistent.
 
 use super::*;
 
--- a/crates/control-plane/src/admin/commands.rs
+++ b/crates/control-plane/src/admin/commands.rs
@@ -1,8 +1,8 @@
-//! Operators' commands about configurations and evacuations: what is checked before anything is proposed, and the answer to
-//! each outcome.
+//! Operators' commands that change the configuration or evacuations: the validation before anything is proposed, and the
+//! response to each outcome.
 //!
-//! Invariants: nothing is acknowledged that no quorum holds; a rejection would not change if the same text came again: it
-//! rests on the text alone, or on another text that has the same version for good.
+//! Invariants: only what a quorum holds is acknowledged. A rejection is permanent for the same text, because it depends on the
+//! text alone, or on another text that was accepted under the same version and keeps it.
 
 use super::calls::{Call, Consistency};
 use super::configuration::{digest, hex, validate};
@@ -15,10 +15,11 @@
 use bytes::Bytes;
 use serde_json::{Value, json};
 
-/// Bytes of a compressed configuration: it goes in one frame between control nodes, with the message around it.
+/// Maximum size of a compressed configuration in bytes. It has to fit into one frame between control nodes, with the rest of
+/// its message.
 const MAX_COMPRESSED: usize = 6 << 20;
 
-/// Submits a request, where the basis of its call lets it start.
+/// Submits a request, unless its call requires quorum contact and there is none.
 pub async fn submit(node: &Node, call: Call, request: OperatorRequest) -> Result<Outcome, NotStarted> {
     if call.consistency() == Consistency::QuorumContact
         && !node.recently_started()
@@ -41,7 +42,7 @@
     };
     let compressed: Bytes = match patch::compress(text, b"") {
         Ok(compressed) if compressed.len() <= MAX_COMPRESSED => compressed.into(),
-        Ok(_) => return error(413, "the configuration is too large to be sent between control gateways"),
+        Ok(_) => return error(413, "the configuration is too large to be sent between control nodes"),
         Err(e) => return error(413, e),
     };
     let sent = VersionDigest { version, digest: digest(text) };
@@ -59,8 +60,8 @@
     json!({"ConfigVersion": format!("{:08x}", version.version), "Digest": hex(&version.digest)})
 }
 
-/// The version in force, as far as this node knows. For a value from before versions were recorded beside it the digest is
-/// computed from the text.
+/// The version in force, as far as this node knows. A value that was stored before versions were recorded with it has no
+/// digest; it is computed from the text.
 fn version_in_force(node: &Node) -> Option<VersionDigest> {
     let accepted = node.with_state(|state, _| state.proposer.committed(Register::Configuration).cloned())?;
     let version = accepted.revision.saturating_sub(1);
@@ -71,23 +72,25 @@
     })
 }
 
-/// `InForce` names the configuration in force, which has a higher version where this one came too late.
+/// The response to an accepted configuration. `InForce` is the configuration in force, which has a higher version if this one
+/// came too late.
 fn acknowledged(node: &Node, sent: VersionDigest) -> Response {
     let mut body = version_fields(sent);
     body["InForce"] = version_fields(version_in_force(node).unwrap_or(sent));
     Response::json(200, body.to_string())
 }
 
-/// Another text has this version, for good.
+/// The response if another text was accepted under this version, which it keeps.
 fn version_conflict(sent: VersionDigest, accepted: VersionDigest) -> Response {
     let version = format!("{:08x}", sent.version);
-    let (theirs, yours) = (hex(&accepted.digest), hex(&sent.digest));
+    let (accepted_digest, sent_digest) = (hex(&accepted.digest), hex(&sent.digest));
     log::warn!(
-        version:% = version, accepted_digest:% = theirs, sent_digest:% = yours;
+        version:% = version, accepted_digest:% = accepted_digest, sent_digest:% = sent_digest;
         "configuration rejected: version conflict"
     );
-    let reason = "another text stands under this number: read it, and send yours under a higher one";
-    let body = json!({"Error": reason, "ConfigVersion": version, "Digest": theirs, "YourDigest": yours});
+    let reason =
+        "another configuration already has this version: read it, and send yours with a higher version";
+    let body = json!({"Error": reason, "ConfigVersion": version, "Digest": accepted_digest, "YourDigest": sent_digest});
     Response::json(409, body.to_string())
 }
 
@@ -95,7 +98,7 @@
 pub async fn evacuate(node: &Node, call: Call, zone: &str) -> Response {
     let on = call == Call::BeginEvacuation;
     if !node.settings.zones.contains_key(zone) {
-        return error(404, format_args!("{zone:?} is no zone of this deployment"));
+        return error(404, format_args!("{zone:?} is not a zone of this deployment"));
     }
     let change = Change::Evacuation { zone: zone.to_string(), on };
     let outcome = submit(node, call, OperatorRequest::Change(change)).await;
--- a/crates/control-plane/src/admin/configuration.rs
+++ b/crates/control-plane/src/admin/configuration.rs
@@ -1,19 +1,19 @@
-//! What is checked of a configuration before it is sent, and the digest by which operators compare texts.
+//! Validation of a configuration before it is proposed, and the digest by which operators compare texts.
 
 use archlink_config::{ConfigError, Configuration};
 use sha2::{Digest, Sha256};
 use std::fmt;
 
-/// The highest version: a configuration's version and the count of generations share 64 bits where nodes compare what they
-/// hold.
+/// The highest version. A configuration's version and the number of forced generations share the 64 bits of the key by which
+/// nodes compare values (`archlink_messages::AcceptedValue::ordering_key`).
 const MAX_VERSION: u64 = (1 << 40) - 2;
 
-/// Why a configuration is rejected. It rests on the text alone: the same text would be rejected again.
+/// Why a configuration is rejected. It depends on the text alone, so the same text would be rejected again.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConfigurationError {
-    /// A key is wrong: its name, what was found, what is allowed.
+    /// A key has a value that is not allowed.
     Invalid(ConfigError),
-    /// The version can't be counted beyond.
+    /// The version is higher than the highest one.
     VersionTooHigh(u64),
 }
 
@@ -30,7 +30,7 @@
 
 impl std::error::Error for ConfigurationError {}
 
-/// Parses a configuration that may be put in force.
+/// Parses a configuration and checks that it may be put in force.
 pub fn validate(text: &[u8]) -> Result<Configuration, ConfigurationError> {
     let configuration = Configuration::read(text)
         .map_err(|report| ConfigurationError::Invalid(report.current_context().clone()))?;
@@ -40,14 +40,14 @@
     }
 }
 
-/// The digest of a text, of its bytes as they were sent: the first half of SHA-256.
+/// The digest of a text: the first half of the SHA-256 of its bytes as they were sent.
 pub fn digest(text: &[u8]) -> [u8; 16] {
     let mut digest = [0; 16];
     digest.copy_from_slice(&Sha256::digest(text)[..16]);
     digest
 }
 
-/// A digest in hexadecimal digits, as operators see it.
+/// Formats a digest in hexadecimal, as operators see it.
 pub fn hex(digest: &[u8]) -> String {
     digest.iter().map(|byte| format!("{byte:02x}")).collect()
 }
--- a/crates/control-plane/src/admin/mod.rs
+++ b/crates/control-plane/src/admin/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' and clients' HTTP interface of a control node: calls, their answers, and what is checked before anything
+//! The HTTP interface of a control node for operators and clients: calls, their responses, and the validation before anything
 //! is proposed.
 
 pub mod calls;
--- a/crates/control-plane/src/admin/queries.rs
+++ b/crates/control-plane/src/admin/queries.rs
@@ -1,6 +1,7 @@
-//! Calls that change nothing, and the shape of their answers.
+//! Read-only calls and the fields of their responses.
 //!
-//! Invariant: what this node knows does not pass for what a quorum holds; each answer has the age of the last contact.
+//! Invariant: this node's local state is not presented as confirmed by a quorum. Each response that is based on it has the age
+//! of the last quorum contact.
 
 use super::configuration::{digest, hex};
 use super::response_names;
@@ -12,22 +13,22 @@
 use serde_json::{Value, json};
 use std::net::Ipv4Addr;
 
-/// Addresses in one answer to a client.
+/// Maximum number of addresses in one response to a client.
 const MAX_RESOLVED: usize = 64;
-/// Seconds for which a client may use an answer, where `ttl_max` allows no less.
+/// Seconds for which a client may use a response, unless `ttl_max` is lower.
 const RESOLUTION_TTL: f64 = 2.0;
 
-/// Seconds as answers have them, to a thousandth.
+/// Rounds seconds to milliseconds, the precision of responses.
 pub fn round_to_milliseconds(seconds: f64) -> f64 {
     (seconds * 1e3).round() / 1e3
 }
 
-/// The newest configuration, byte for byte as it was sent; a linearizable read.
+/// The configuration in force, byte for byte as it was sent. This is a linearizable read.
 pub async fn read_configuration(node: &Node) -> Response {
     let Some(committed) = node.read(Register::Configuration, CLIENT_TIMEOUT).await else {
-        return unavailable("no majority confirms what is held here");
+        return unavailable("no quorum has confirmed the read in time");
     };
-    let Some(accepted) = committed else { return error(404, "no configuration was ever taken") };
+    let Some(accepted) = committed else { return error(404, "no configuration has been put in force yet") };
     match patch::decompress(&accepted.value, b"") {
         Ok(text) => {
             let (version, digest) = (accepted.revision.saturating_sub(1), hex(&digest(&text)));
@@ -41,7 +42,7 @@
     }
 }
 
-/// Adds how long ago a quorum was known to answer this node, and whether that still counts.
+/// The response with this body, to which it adds the age of the last quorum contact and whether it is still recent enough.
 pub fn with_contact(node: &Node, mut body: Value) -> Response {
     let age = node.contact_age();
     body["ConfirmedSecondsAgo"] = json!(age.map(round_to_milliseconds));
@@ -49,18 +50,18 @@
     Response::json(200, body.to_string())
 }
 
-/// Where a client should connect; an answer counts for its `Ttl`. Also without a quorum: a data node is named for 1.6 s
-/// after its own last heartbeat here, 3 s after another control node's report, and calls itself ready only while a quorum
-/// has confirmed its configuration (`Revoke`).
+/// The data nodes that a client should connect to, valid for the `Ttl` of the response. It needs no quorum: a data node is
+/// returned for 1.6 s after its last heartbeat here, or for 3 s after the last heartbeat of a control node that reports it,
+/// and reports itself ready only while a quorum has recently confirmed its configuration (`Revoke`).
 pub fn resolve(node: &Node, query: &str) -> Response {
-    let field = |name| query.split('&').find_map(|pair| pair.split_once('=').filter(|(key, _)| *key == name));
-    let text = |name| field(name).map_or("", |(_, value)| value);
-    let turn = archlink_runtime::random_seed() as usize;
+    let pair = |name| query.split('&').find_map(|pair| pair.split_once('=').filter(|(key, _)| *key == name));
+    let parameter = |name| pair(name).map_or("", |(_, value)| value);
+    let rotation = archlink_runtime::random_seed() as usize;
     let data_nodes = node.with_state(|state, now| {
-        state.event_log.registry.resolve(now, text("Zone"), text("Region"), MAX_RESOLVED, turn)
+        state.event_log.registry.resolve(now, parameter("Zone"), parameter("Region"), MAX_RESOLVED, rotation)
     });
     if data_nodes.is_empty() {
-        return unavailable("no data gateway is ready");
+        return unavailable("no data node is ready");
     }
     let addresses: Vec<String> =
         data_nodes.iter().map(|data_node| data_node.client_address.to_string()).collect();
@@ -68,7 +69,7 @@
     Response::json(200, json!({"Addresses": addresses, "Ttl": ttl}).to_string())
 }
 
-/// The control and data nodes that are known.
+/// The known control nodes and data nodes.
 pub fn members(node: &Node) -> Value {
     node.with_state(|state, now| {
         let (voter_set, registry) = (state.voter_set(), &state.event_log.registry);
@@ -104,7 +105,7 @@
     })
 }
 
-/// The holders of the singleton roles' leases.
+/// The lease holders of the singleton roles.
 pub fn leases(node: &Node) -> Value {
     node.with_state(|state, now| {
         let grants: Vec<Value> = (state.leases.holders(now).iter())
@@ -117,7 +118,7 @@
     })
 }
 
-/// The tenants' quotas, and the counter where this node holds its lease.
+/// The tenants' quotas, and the term of the quota counter if this node holds its lease.
 pub fn quota(node: &Node) -> Value {
     let configuration = node.configuration();
     let tenants: Vec<Value> = (configuration.iter().flat_map(|configuration| &configuration.tenants))
@@ -127,7 +128,7 @@
     json!({"Tenants": tenants, "CounterTerm": term, "CounterNames": node.counter_key_count()})
 }
 
-/// The recent events, as this node saw them.
+/// The recent events that this node has seen.
 pub fn events(node: &Node) -> Value {
     node.with_state(|state, now| {
         let event = |(at, event): &(f64, Event)| json!({"SecondsAgo": now - at, "What": event.describe()});
--- a/crates/control-plane/src/admin/response_names.rs
+++ b/crates/control-plane/src/admin/response_names.rs
@@ -1,10 +1,10 @@
-//! Names that operators' answers carry for values of the core. They are part of the operators' interface: scripts compare
-//! them, so they stay as they are when a type of the core gets another name.
+//! Names of the core's values in responses to operators. They are part of the operators' interface: scripts compare them, so
+//! they stay the same when a type of the core is renamed.
 
 use archlink_consensus::MembershipError;
 use archlink_messages::{Register, SingletonRole};
 
-/// The name of a register in the answer to `voters`.
+/// The name of a register in the response to `voters`.
 pub fn register(register: Register) -> &'static str {
     match register {
         Register::Configuration => "Chart",
@@ -13,7 +13,7 @@
     }
 }
 
-/// The name of a singleton role in the answer to `duties`.
+/// The name of a singleton role in the response to `leases`.
 pub fn role(role: SingletonRole) -> &'static str {
     match role {
         SingletonRole::HostDiscovery => "Lookout",
--- a/crates/control-plane/src/admin/server.rs
+++ b/crates/control-plane/src/admin/server.rs
@@ -1,6 +1,6 @@
-//! Connections of operators, and of clients that ask where to connect.
+//! HTTP server for operators, and for clients that resolve data nodes.
 //!
-//! Invariant: no request is started whose caller is known to have disconnected.
+//! Invariant: a request is not started if its caller is known to have disconnected.
 
 use super::calls::Call;
 use super::responses::{error, unavailable};
@@ -17,22 +17,22 @@
 use tokio::time::{sleep, timeout};
 use tokio_util::codec::Framed;
 
-/// Bytes of one body: the largest configuration.
+/// Maximum size of a request body in bytes, which is the largest configuration.
 const MAX_BODY: usize = 16 << 20;
-/// All bodies at once, as a part of the memory that the settings name.
+/// Fraction of the memory limit in the settings that the bodies of all requests may use together.
 const BODY_MEMORY_FRACTION: f64 = 0.25;
-/// A connection without a request is closed after this.
+/// Time after which a connection without a request is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
-/// Bytes that are read ahead of a caller that sends its next request early: a head's worth.
+/// Bytes that are buffered of a pipelined request while the current one is processed: about the size of a request head.
 const READ_AHEAD: usize = 16 * 1024;
-/// Connections at once; further ones are closed. Part of the process's file descriptors.
+/// Maximum number of connections; further ones are closed. They use a part of the process's file descriptors.
 const MAX_CONNECTIONS: usize = 1500;
-/// Pause after a failed `accept`: without descriptors the next one fails as well.
+/// Pause after a failed `accept`. When the process is out of file descriptors the next one would fail as well.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(20);
 
-/// Accepts connections for ever.
+/// Accepts connections until the process ends.
 pub async fn listen(node: Rc<Node>, listener: TcpListener) {
-    // Each connection holds a clone: the count is the number of open ones, and one.
+    // Each connection holds a clone, so the strong count is the number of open connections plus one.
     let open_connections = Rc::new(());
     let body_memory = Rc::new(Cell::new((node.settings.memory_bytes * BODY_MEMORY_FRACTION) as usize));
     loop {
@@ -50,7 +50,7 @@
     }
 }
 
-/// Serves one connection until it closes; `body_memory` is the memory left for bodies of all connections.
+/// Serves one connection until it closes. `body_memory` is the memory left for the bodies of all connections.
 pub async fn serve(
     node: Rc<Node>,
     stream: TcpStream,
@@ -61,10 +61,12 @@
     while let Ok(Some(Ok(decoded))) = timeout(IDLE_TIMEOUT, framed.next()).await {
         let (mut response, close) = match decoded {
             Decoded::Rejected(status) => (bad_request(status, framed.codec().out_of_memory()), true),
-            Decoded::Request(request) => match response(&node, &mut framed, &request).await {
-                Some(response) => (response, request.close),
-                None => return,
-            },
+            Decoded::Request(request) => {
+                match respond_unless_disconnected(&node, &mut framed, &request).await {
+                    Some(response) => (response, request.close),
+                    None => return,
+                }
+            }
         };
         response.close = close || node.draining.get();
         let close = response.close;
@@ -74,8 +76,8 @@
     }
 }
 
-/// The answer to a request; none where its caller has disconnected.
-async fn response(
+/// The response to a request, or `None` if the caller has disconnected.
+async fn respond_unless_disconnected(
     node: &Node,
     framed: &mut Framed<TcpStream, ServerCodec>,
     request: &Request,
@@ -84,37 +86,41 @@
         Err(response) => Some(response),
         Ok(call) => tokio::select! {
             biased;
-            // Polled first, each time: the request of a caller that has disconnected is not started, and withdrawn where
-            // it was.
+            // The disconnect is polled first, so that the request of a caller that has disconnected is not started, or is
+            // withdrawn if it was.
             _ = wait_for_disconnect(framed, READ_AHEAD) => None,
             response = respond(node, call, request) => Some(response),
         },
     }
 }
 
-/// A body for which there is no memory now is no rejection: the same text may be accepted in a moment.
+/// The response to an invalid request. A body for which there is no memory is not final: the same request may succeed later.
 fn bad_request(status: u16, out_of_memory: bool) -> Response {
-    if out_of_memory { unavailable("too much is being sent at once") } else { Response::plain(status) }
+    if out_of_memory {
+        unavailable("not enough memory for the request body now")
+    } else {
+        Response::plain(status)
+    }
 }
 
 fn path_and_query(target: &str) -> (&str, &str) {
     target.split_once('?').unwrap_or((target, ""))
 }
 
-/// The call of a request; else the answer that there is none.
+/// The call of a request, or the error response if there is none.
 fn route(request: &Request) -> Result<Call, Response> {
     let (path, _) = path_and_query(&request.target);
-    let (call, _) = Call::from_path(path).ok_or_else(|| error(404, "no such call"))?;
+    let (call, _) = Call::from_path(path).ok_or_else(|| error(404, "unknown path"))?;
     let method = call.method();
     if method != request.method {
-        return Err(error(405, format_args!("{method} is the method of this call")));
+        return Err(error(405, format_args!("the method of this call is {method}")));
     }
     Ok(call)
 }
 
-/// The answer to a call.
+/// Performs a call and returns its response.
 pub async fn respond(node: &Node, call: Call, request: &Request) -> Response {
-    // What arrived during a stall is processed before anything is answered or started.
+    // Whatever arrived during a stall is processed before this request is answered or started.
     node.catch_up_after_stall().await;
     let (path, query) = path_and_query(&request.target);
     let path_parameters = path.strip_prefix(call.path()).unwrap_or("");
--- a/crates/control-plane/src/admin/voters.rs
+++ b/crates/control-plane/src/admin/voters.rs
@@ -1,6 +1,7 @@
-//! Operators' calls about the voters: their status as this node sees it, and changes of the voter set.
+//! Operators' calls about the voters: their status as this node sees it, and membership changes.
 //!
-//! Invariant: no new generation is forced where a quorum answers, and no voter is given up that is heard of or was not named.
+//! Invariant: a new generation is not forced while there is contact with a quorum, and only voters that are not heard from and
+//! were named by the operator are given up.
 
 use super::calls::Call;
 use super::commands::submit;
@@ -18,17 +19,17 @@
 use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// Seconds of silence after which a voter may be given up: heartbeats come three times a second, and links reconnect four
+/// Seconds of silence after which a voter may be given up. Heartbeats are sent three times a second, and links reconnect four
 /// times a second.
 const LOST_AFTER: f64 = 5.0;
 
-/// The node of an IPv4 address, also with a port behind it.
+/// The ID of the node at an IPv4 address, which may be followed by a port.
 pub fn parse_node(text: &str) -> Option<NodeId> {
     let with_port = text.parse::<SocketAddrV4>().map(|address| *address.ip()).ok();
     with_port.or_else(|| text.parse::<Ipv4Addr>().ok()).map(archlink_runtime::node_id)
 }
 
-/// Voters that this node has not heard of for [`LOST_AFTER`].
+/// Voters that this node has not heard from for [`LOST_AFTER`] seconds.
 fn lost_voters(node: &Node) -> BTreeSet<NodeId> {
     let members = node.with_state(|state, now| state.voter_set_status(now).members).into_iter();
     let timed_out = |member: &MemberStatus| member.last_message_age.is_none_or(|age| age > LOST_AFTER);
@@ -55,7 +56,7 @@
         "Ballot": [proposal.round, u64::from(proposal.node), u64::from(proposal.nonce)]})
 }
 
-/// The voters, what this node holds, and whom it hears.
+/// The voters, when this node last heard from each, and what it has accepted.
 pub fn status(node: &Node) -> Value {
     let lost: Vec<Ipv4Addr> = lost_voters(node).into_iter().map(Ipv4Addr::from).collect();
     let (status, control_nodes, recovered) = node.with_state(|state, now| {
@@ -75,13 +76,13 @@
 
 fn parse_node_or_error(text: &str) -> Result<NodeId, Response> {
     parse_node(text)
-        .ok_or_else(|| error(400, format_args!("{text:?} is no address of a machine, as 10.0.0.1")))
+        .ok_or_else(|| error(400, format_args!("{text:?} is not a node address such as 10.0.0.1")))
 }
 
-/// `OLD/NEW`: gives a voter's seat to another node.
+/// Replaces a voter by another node; the parameters are `OLD/NEW`.
 pub async fn replace(node: &Node, path_parameters: &str) -> Response {
     let Some((old, new)) = path_parameters.split_once('/') else {
-        return error(400, "two addresses are needed: OLD/NEW");
+        return error(400, "two node addresses are required: OLD/NEW");
     };
     let (old, new) = match (parse_node_or_error(old), parse_node_or_error(new)) {
         (Ok(old), Ok(new)) => (old, new),
@@ -99,7 +100,8 @@
     }
 }
 
-/// What an operator repeats for a forced new generation: the epoch that was shown, and the voters that are lost for good.
+/// What an operator has to confirm to force a new generation: the epoch that was shown, and the voters that are permanently
+/// lost.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase", deny_unknown_fields)]
 struct ForceNewGenerationBody {
@@ -107,11 +109,11 @@
     lose: Vec<String>,
 }
 
-/// Continues with the remaining voters, where a majority is lost for good and all lost ones are named.
+/// Continues with the remaining voters if a majority is permanently lost and the operator names exactly the lost ones.
 pub async fn force_new_generation(node: &Node, body: &[u8]) -> Response {
     let ForceNewGenerationBody { epoch, lose } = match serde_json::from_slice(body) {
         Ok(body) => body,
-        Err(e) => return error(400, format_args!("the body names Epoch and Lose: {e}")),
+        Err(e) => return error(400, format_args!("the body requires Epoch and Lose: {e}")),
     };
     let given_up = match lose.iter().map(|text| parse_node_or_error(text)).collect() {
         Ok(nodes) => nodes,
@@ -127,25 +129,25 @@
     change_membership(node, Call::ForceNewGeneration, change).await
 }
 
-/// An error answers why nothing may be forced: too early, a quorum answers, or other voters are lost than those named.
+/// Checks that a new generation may be forced. The error response says why not: this node has just started, there is contact
+/// with a quorum, or the lost voters are not those named.
 async fn check_quorum_is_lost(node: &Node, given_up: &BTreeSet<NodeId>) -> Result<(), Response> {
     if node.recently_started() {
         return Err(error(
             409,
-            "this gateway has only started and may not have reached the others: order again in 5 s",
+            "this control node has just started and may not have reached the others yet: retry in 5 s",
         ));
     }
     if node.probe_quorum().await {
         return Err(error(
             409,
-            "a majority answers here: nothing is lost; order `voters replace` for a machine that is gone",
+            "this control node has contact with a quorum: no new generation is needed; use `voters replace` for a lost node",
         ));
     }
     let lost = lost_voters(node);
     if *given_up != lost {
         let list: Vec<String> = lost.into_iter().map(|node| Ipv4Addr::from(node).to_string()).collect();
-        let reason =
-            format!("the seats that nothing is heard of here are {}: name exactly these", list.join(","));
+        let reason = format!("the voters not heard from here are {}: name exactly these", list.join(","));
         return Err(error(409, reason));
     }
     Ok(())
--- a/crates/control-plane/src/admin/voters/tests.rs
+++ b/crates/control-plane/src/admin/voters/tests.rs
@@ -1,4 +1,4 @@
-//! How operators name nodes.
+//! Tests how operators name nodes.
 
 use super::parse_node;
 
--- a/crates/control-plane/src/tests/partitions.rs
+++ b/crates/control-plane/src/tests/partitions.rs
@@ -1,4 +1,4 @@
-//! What a node answers while no quorum answers it, and how the cluster gets out of that.
+//! Responses of a partitioned node, and how the cluster recovers from partitions and lost voters.
 
 use super::data_node;
 use super::simulated_cluster::{
@@ -10,7 +10,7 @@
 use serde_json::Value;
 use strum::IntoEnumIterator;
 
-/// Valid names and body of a call.
+/// Valid path parameters and body for a call.
 fn valid_arguments(call: Call) -> (&'static str, String) {
     match call {
         Call::ReplaceConfiguration => ("", configuration(2, 7)),
@@ -21,13 +21,13 @@
     }
 }
 
-/// Sum of the rounds that a node's disk has promised: it grows with each proposal that reaches the node.
+/// Sum of the rounds that a node's disk has promised, which grows with each proposal that reaches the node.
 fn promised_rounds(cluster: &SimulatedCluster, index: usize) -> u64 {
     let acceptors = cluster.disks[index].state().acceptors;
     acceptors.values().map(|acceptor| acceptor.promised.round).sum()
 }
 
-/// The answer of a node that has been partitioned for longer than anybody waits, after `took` seconds.
+/// Checks the response, after `took` seconds, of a node that has been partitioned for longer than all timeouts.
 fn assert_partitioned_response(call: Call, response: &Response, fields: &Value, took: f64) {
     let retry_after = String::from_utf8_lossy(&response.header_lines).contains("Retry-After");
     match call.consistency() {
@@ -35,7 +35,7 @@
             let status = response.status;
             assert!(status == 503 && retry_after && took < 0.3, "{call:?}: {status} after {took} s");
             let reason = fields["Error"].as_str();
-            assert!(reason.is_some_and(|reason| reason.contains("not begun")), "{fields}");
+            assert!(reason.is_some_and(|reason| reason.contains("request not started")), "{fields}");
         }
         Consistency::LinearizableRead => {
             assert!(response.status == 503 && retry_after && took < 1.0, "{call:?}: {took} s")
@@ -46,7 +46,7 @@
             let age = fields["ConfirmedSecondsAgo"].as_f64();
             assert!(age.is_some_and(|age| age > 5.0), "{call:?}: {fields}");
         }
-        // One of the two that it does not hear is named, and not the other.
+        // The request names only one of the two voters that the node does not hear from.
         Consistency::OperatorOverride => {
             assert!(response.status == 409 && fields.to_string().contains("10.0.0.3"), "{fields}")
         }
@@ -77,17 +77,17 @@
         let rounds_after = [0, 1].map(|index| promised_rounds(&cluster, index));
         assert_eq!(rounds_after, rounds, "{call:?} was started");
     }
-    // The first request after the partition is accepted: the answer of a quorum is not waited for.
+    // The first request after the partition is accepted, because the node asks the quorum at once.
     cluster.partition(0, false);
     if call == Call::BeginEvacuation {
         assert_eq!(cluster.call(0, call, path_parameters, &body).await.0.status, 200);
     }
 }
 
-/// The table of calls, row by row, at a node that has been partitioned for longer than anybody waits: a request ends at once,
-/// was not started and says when to retry; a quorum's confirmation is not made up; what the node knows is answered with its
-/// age; sessions that nobody renews have expired. It guards against a request that waits for its whole time in a minority,
-/// and against a partitioned node's state that passes for the cluster's.
+/// Every call at a node that has been partitioned for longer than all timeouts. A request fails at once, is not started and
+/// says when to retry; a linearizable read fails; local state is returned with its age; sessions have expired. This guards
+/// against requests that wait for their whole timeout in a minority, and against a partitioned node that presents its state
+/// as the cluster's.
 #[test]
 fn partitioned_node_responds_to_each_call_by_its_consistency() {
     for call in Call::iter() {
@@ -95,8 +95,8 @@
     }
 }
 
-/// While the system starts, and in the first moments of a partition, a request is started and waits: it is accepted as soon
-/// as a quorum answers. To reject such requests at once would cost their senders a pause that grows.
+/// While the system starts, a request is started and waits, and is accepted as soon as there is a quorum. Rejecting it at once
+/// would make its sender retry with an increasing backoff.
 #[test]
 fn request_at_the_start_waits_for_its_quorum() {
     run(async {
@@ -115,8 +115,8 @@
     });
 }
 
-/// A process that stalled knows of sessions that have long expired. It answered with their data nodes: answers in the 50 ms
-/// before its next tick were from before the stall.
+/// A process that has stalled still knows sessions that expired meanwhile. The failure was that it returned their data nodes,
+/// because responses in the 50 ms before its next tick used the state from before the stall.
 #[test]
 fn stalled_node_resolves_no_expired_session() {
     run(async {
@@ -128,8 +128,8 @@
     });
 }
 
-/// A seat is given to another node by request; each rejection says what to do, and a request that is sent again is told that
-/// it was done.
+/// A voter is replaced by another node on request. Each rejection names its reason, and a repeated request is answered as
+/// done.
 #[test]
 fn voter_is_replaced_once_and_rejections_name_their_reason() {
     run(async {
@@ -156,8 +156,8 @@
     });
 }
 
-/// A new generation is rejected while a quorum answers, and where other voters are named than those that are not heard of;
-/// with these it is forced, on what the survivor holds, and requests are accepted again.
+/// A new generation is rejected while there is contact with a quorum, and if the voters named are not those that are lost.
+/// Otherwise it is forced with the survivor's state, and requests are accepted again.
 #[test]
 fn new_generation_is_forced_by_naming_lost_voters_and_only_without_a_quorum() {
     run(async {
@@ -175,7 +175,7 @@
             let error = fields["Error"].as_str().unwrap();
             assert!(response.status == 409 && error.contains(reason), "{fields}");
         };
-        assert_rejected(r#""10.0.0.2","10.0.0.3""#, "nothing is lost").await;
+        assert_rejected(r#""10.0.0.2","10.0.0.3""#, "no new generation is needed").await;
         cluster.partition(1, true);
         cluster.partition(2, true);
         advance(3.0).await;
@@ -186,8 +186,8 @@
         let next = configuration(2, 5);
         assert_eq!(cluster.call(0, Call::ReplaceConfiguration, "", &next).await.0.status, 503);
         let (response, fields) = force(r#""10.0.0.2","10.0.0.3""#).await;
-        let is_beyond_counted_epochs = fields["Epoch"].as_u64() > Some(1 << 32);
-        assert!(response.status == 200 && is_beyond_counted_epochs, "{} {fields}", response.status);
+        let is_epoch_of_new_generation = fields["Epoch"].as_u64() > Some(1 << 32);
+        assert!(response.status == 200 && is_epoch_of_new_generation, "{} {fields}", response.status);
         let (read, _) = cluster.call(0, Call::ReadConfiguration, "", "").await;
         assert_eq!(String::from_utf8_lossy(&read.body), text);
         assert_eq!(cluster.call(0, Call::ReplaceConfiguration, "", &next).await.0.status, 200);
--- a/crates/control-plane/src/tests/responses.rs
+++ b/crates/control-plane/src/tests/responses.rs
@@ -1,5 +1,5 @@
-//! The operators' calls as they are seen from outside: paths, statuses, header lines, field names and texts, all written
-//! out here. They stay as they are when types of the program are renamed.
+//! The operators' interface as seen from outside: paths, statuses, headers, field names and texts, all spelled out. They stay
+//! the same when types of the program are renamed.
 
 mod configurations;
 mod queries;
@@ -32,7 +32,7 @@
     serde_json::from_slice(&response.body).unwrap()
 }
 
-/// Replaces what differs from one run to another by the name of its form; a value of another form stays.
+/// Replaces values that differ between runs by the name of their type. A value of an unexpected type is kept.
 fn normalized(mut value: Value) -> Value {
     match &mut value {
         Value::Object(fields) => {
@@ -65,7 +65,8 @@
     value
 }
 
-/// Three voters and one node more: a configuration in force, a data node in session with the first one, two hosts.
+/// A cluster of three voters and one other node, with a configuration in force, a data node in session with the first node,
+/// and two hosts.
 async fn running_cluster() -> SimulatedCluster {
     let cluster = SimulatedCluster::new();
     advance(2.0).await;
@@ -89,7 +90,7 @@
     cluster
 }
 
-/// The answer of an operator's call, with status 200.
+/// The normalized body of a call's response, which must have status 200.
 async fn call_ok(cluster: &SimulatedCluster, call: Call, path_parameters: &str, text: &str) -> Value {
     let (response, _) = cluster.call(0, call, path_parameters, text).await;
     assert_eq!((response.status, header_lines(&response).as_str()), (200, JSON), "{call:?}");
@@ -117,7 +118,7 @@
     assert_eq!(table, expected);
 }
 
-/// On the wire: a path without a call is 404, a call by another method 405, and both say so.
+/// On the wire: a path without a call gets 404, a call with another method 405, each with its error text.
 #[test]
 fn unknown_path_is_404_and_wrong_method_405_with_their_texts() {
     run(async {
@@ -127,7 +128,7 @@
             let request =
                 format!("{wrong} {}{path_parameters} HTTP/1.1\r\nConnection: close\r\n\r\n", call.path());
             let (_, response) = serve_caller(request.as_bytes(), false, 3).await;
-            let expected = format!(r#"{{"Error":"{} is the method of this call"}}"#, call.method());
+            let expected = format!(r#"{{"Error":"the method of this call is {}"}}"#, call.method());
             assert!(response.starts_with("HTTP/1.1 405 "), "{response}");
             assert!(
                 response.contains(JSON) && response.ends_with(&format!("\r\n\r\n{expected}")),
@@ -139,41 +140,41 @@
             let (_, response) = serve_caller(request.as_bytes(), false, 3).await;
             assert!(response.starts_with("HTTP/1.1 404 "), "{response}");
             assert!(
-                response.contains(JSON) && response.ends_with("\r\n\r\n{\"Error\":\"no such call\"}"),
+                response.contains(JSON) && response.ends_with("\r\n\r\n{\"Error\":\"unknown path\"}"),
                 "{response}"
             );
         }
     });
 }
 
-/// A request that was not started, or has no outcome yet, is answered so, with when to retry.
+/// A request that was not started or has no outcome yet gets a response that says so and when to retry.
 #[test]
 fn request_without_outcome_gets_503_with_its_text() {
-    for (ended, error) in [
+    for (result, error) in [
         (
             Ok(Outcome::Unknown),
-            "no majority has taken it yet: it may or may not come to be; the same order sent again tells",
+            "no quorum has confirmed the request yet: it may or may not take effect; send the same request again to learn its outcome",
         ),
         (
             Err(NotStarted::NoQuorum),
-            "not begun: no majority answers this gateway; nothing was altered, nor will be",
+            "request not started: this control node has no contact with a quorum; nothing was or will be changed",
         ),
         (
             Err(NotStarted::NotBootstrapped),
-            "not begun: the first start has not taken in as many voters as are needed",
+            "request not started: the first start has not found the required number of voters yet",
         ),
         (
             Err(NotStarted::TooManyPending),
-            "not begun: too many orders wait; nothing was altered, nor will be",
+            "request not started: too many requests are pending; nothing was or will be changed",
         ),
     ] {
-        let response = responses::outcome_or_unavailable(ended).unwrap_err();
+        let response = responses::outcome_or_unavailable(result).unwrap_err();
         assert_eq!((response.status, header_lines(&response).as_str()), (503, JSON_AND_RETRY_AFTER));
         assert_eq!(body(&response), json!({"Error": error}));
     }
 }
 
-/// Registers and roles have these names in answers; scripts compare them.
+/// Scripts compare the names of registers and roles in responses.
 #[test]
 fn roles_and_registers_have_fixed_names_in_responses() {
     let roles = [SingletonRole::HostDiscovery, SingletonRole::QuotaCounter];
--- a/crates/control-plane/src/tests/responses/voters.rs
+++ b/crates/control-plane/src/tests/responses/voters.rs
@@ -1,4 +1,4 @@
-//! Answers to calls about the voters.
+//! Responses to calls about the voters.
 
 use super::*;
 
@@ -24,7 +24,7 @@
         });
         assert_eq!(fields, expected);
 
-        // A change of the voters is answered with the same fields, without the age of the quorum's confirmation.
+        // The response to a membership change has the same fields, without the age of the last quorum contact.
         let fields = call_ok(&cluster, Call::ReplaceVoter, "10.0.0.3/10.0.0.4", "").await;
         assert_eq!(
             (&fields["Epoch"], &fields["ConfirmedSecondsAgo"], &fields["Contact"]),
@@ -41,44 +41,40 @@
     });
 }
 
-/// Each rejection of a membership change, as its text reaches an operator.
+/// Each rejection of a membership change, with the code and text that an operator sees.
 #[test]
 fn each_membership_error_has_its_reason_and_text() {
     for (membership_error, reason, error) in [
         (
             MembershipError::Unknown,
             "Unknown",
-            "who votes is not known here yet: ask again once this gateway has reached another, or ask another",
+            "this control node does not know the voters yet: retry once it has reached another control node, or ask another one",
         ),
         (
             MembershipError::ChangeInProgress,
             "UnderWay",
-            "another change of the voters is under way: see `voters`, and order again once it has ended",
+            "another change of the voters is in progress: see `voters`, and retry once it has ended",
         ),
         (
             MembershipError::NotAVoter,
             "NoSeat",
-            "the one that is to go has no seat: see `voters` for those that have",
-        ),
-        (
-            MembershipError::AlreadyAVoter,
-            "Seated",
-            "the one that is to come has a seat already: see `voters`",
+            "the node to be removed is not a voter: see `voters` for the current voters",
         ),
+        (MembershipError::AlreadyAVoter, "Seated", "the node to be added is already a voter: see `voters`"),
         (
             MembershipError::Unreachable,
             "Absent",
-            "the one that is to come is not heard of: start it, and order again once `members` names it",
+            "the node to be added cannot be reached: start it, and retry once `members` lists it",
         ),
         (
             MembershipError::NotRecovered,
             "NotWhole",
-            "too many voters are not there or have not read back their disks: see `voters`, and bring those back first",
+            "too few voters are reachable and have recovered their state: see `voters`, and restore the others first",
         ),
         (
             MembershipError::WrongEpoch,
             "Epoch",
-            "the epoch that was named is not the one that stands: see `voters`, and name that",
+            "the epoch given is not the current one: see `voters` for the current epoch",
         ),
     ] {
         let response = responses::rejected(membership_error);
@@ -94,41 +90,41 @@
         advance(1.0).await;
         let force_body = r#"{"Epoch":1,"Lose":["10.0.0.2"]}"#;
         for (call, path_parameters, text, status, error) in [
-            (Call::ReplaceVoter, "10.0.0.3", "", 400, "two addresses are needed: OLD/NEW"),
+            (Call::ReplaceVoter, "10.0.0.3", "", 400, "two node addresses are required: OLD/NEW"),
             (
                 Call::ReplaceVoter,
                 "10.0.0.3/control-4",
                 "",
                 400,
-                "\"control-4\" is no address of a machine, as 10.0.0.1",
+                "\"control-4\" is not a node address such as 10.0.0.1",
             ),
             (
                 Call::ForceNewGeneration,
                 "",
                 r#"{"Epoch":1,"Lose":["control-3"]}"#,
                 400,
-                "\"control-3\" is no address of a machine, as 10.0.0.1",
+                "\"control-3\" is not a node address such as 10.0.0.1",
             ),
             (
                 Call::ForceNewGeneration,
                 "",
                 r#"{"Epoch":1}"#,
                 400,
-                "the body names Epoch and Lose: missing field `Lose` at line 1 column 11",
+                "the body requires Epoch and Lose: missing field `Lose` at line 1 column 11",
             ),
             (
                 Call::ForceNewGeneration,
                 "",
                 r#"{"Lose":[]}"#,
                 400,
-                "the body names Epoch and Lose: missing field `Epoch` at line 1 column 11",
+                "the body requires Epoch and Lose: missing field `Epoch` at line 1 column 11",
             ),
             (
                 Call::ForceNewGeneration,
                 "",
                 force_body,
                 409,
-                "this gateway has only started and may not have reached the others: order again in 5 s",
+                "this control node has just started and may not have reached the others yet: retry in 5 s",
             ),
         ] {
             let (response, fields) = cluster.call(0, call, path_parameters, text).await;
@@ -146,13 +142,12 @@
             );
         };
         assert_rejected(
-            "a majority answers here: nothing is lost; order `voters replace` for a machine that is gone",
+            "this control node has contact with a quorum: no new generation is needed; use `voters replace` for a lost node",
         )
         .await;
         cluster.partition(0, true);
         advance(8.0).await;
-        assert_rejected("the seats that nothing is heard of here are 10.0.0.2,10.0.0.3: name exactly these")
-            .await;
+        assert_rejected("the voters not heard from here are 10.0.0.2,10.0.0.3: name exactly these").await;
     });
 }
 
@@ -165,7 +160,7 @@
         advance(8.0).await;
         let text = r#"{"Epoch":1,"Lose":["10.0.0.2","10.0.0.3"]}"#;
         let fields = call_ok(&cluster, Call::ForceNewGeneration, "", text).await;
-        // The new epoch is beyond all that were counted one by one.
+        // The first epoch of a new generation is higher than all epochs that were counted one by one.
         let epoch = fields["Epoch"].clone();
         assert!(epoch.as_u64() > Some(1 << 32), "{fields}");
         let member = |n: u32| {
