--- a/crates/control-plane/src/cli/arguments/tests.rs
+++ b/crates/control-plane/src/cli/arguments/tests.rs
@@ -1,4 +1,4 @@
-//! The command line's definition, and the earlier spellings that it still accepts.
+//! Tests the definition of the command line, and the former command names that it still accepts.
 
 use super::command_line;
 
@@ -7,17 +7,17 @@
     command_line().debug_assert();
 }
 
-/// Each earlier spelling is read as the command that has its place now, and the help names the new one alone.
+/// Each former name is parsed as the current command, and the help lists only the current name.
 #[test]
 fn former_command_names_are_hidden_aliases() {
-    for (earlier, current) in [("replace", "apply"), ("duties", "leases"), ("journal", "events")] {
-        let file = (earlier == "replace").then_some("file.json");
-        let words = ["archlink-control-plane", earlier].into_iter().chain(file);
+    for (former, current) in [("replace", "apply"), ("duties", "leases"), ("journal", "events")] {
+        let file = (former == "replace").then_some("file.json");
+        let words = ["archlink-control-plane", former].into_iter().chain(file);
         let matches = command_line().try_get_matches_from(words).unwrap();
         assert_eq!(matches.subcommand_name(), Some(current));
         let help = command_line().render_long_help().to_string();
         let lists = |word: &str| help.lines().any(|line| line.trim_start().starts_with(&format!("{word} ")));
-        assert!(lists(current) && !lists(earlier), "{help}");
+        assert!(lists(current) && !lists(former), "{help}");
     }
     let words = ["archlink-control-plane", "voters", "found-anew", "--epoch", "7"];
     let matches = command_line().try_get_matches_from(words).unwrap();
--- a/crates/control-plane/src/cli/client.rs
+++ b/crates/control-plane/src/cli/client.rs
@@ -1,4 +1,4 @@
-//! Sends calls to control nodes over HTTP: one after another until one answers for good.
+//! HTTP client of the operators' interface, which tries one control node after another until one gives a final response.
 
 use crate::admin::calls::Call;
 use crate::error::failure;
@@ -17,49 +17,49 @@
 use tokio::time::timeout;
 use tokio_util::codec::Framed;
 
-/// Bytes of one answer.
+/// Maximum size of a response body in bytes.
 const MAX_BODY: usize = 64 << 20;
-/// Limit for one call at one control node, redirections included.
+/// Time limit for one call to one control node, redirects included.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
-/// Redirections that are followed.
+/// Maximum number of redirects that are followed.
 const MAX_REDIRECTS: usize = 2;
-/// Headers of replies, in the order of their fields.
+/// Response headers that are read, in the order of the variants of [`Header`].
 const HEADERS: &[&str] = &["location", "config-version", "config-digest", "confirmed-seconds-ago"];
 
-/// A header of a reply, by its place in [`HEADERS`].
+/// A response header, by its index in [`HEADERS`].
 #[derive(Clone, Copy)]
 pub(super) enum Header {
-    /// Where a redirection leads.
+    /// The target of a redirect.
     Location = 0,
-    /// The version of a configuration.
+    /// The version of the configuration.
     ConfigVersion = 1,
-    /// The digest of a configuration's text.
+    /// The digest of the configuration's text.
     ConfigDigest = 2,
-    /// The age of the quorum's confirmation in seconds.
+    /// The age of the last quorum contact in seconds.
     ConfirmedSecondsAgo = 3,
 }
 
 impl Header {
-    /// The header's text, where the reply has exactly one.
+    /// The header's value, if the response has it exactly once.
     pub(super) fn value_in(self, response: &HostResponse) -> Option<&str> {
         response.fields.get(self as usize)?.once()
     }
 }
 
-/// Why a control node did not answer a call.
+/// Why a call to a control node failed.
 #[derive(Debug)]
 pub(super) enum CallError {
-    /// It can't be reached, or the connection failed.
+    /// The control node cannot be reached, or the connection failed.
     Connection(io::Error),
-    /// No answer came in time.
+    /// There was no response in time.
     Timeout,
-    /// A redirection without an address.
+    /// A redirect without a valid address.
     InvalidRedirect,
-    /// More redirections than [`MAX_REDIRECTS`].
+    /// More redirects than [`MAX_REDIRECTS`].
     TooManyRedirects,
-    /// The HTTP status, where only 200 will do.
+    /// The HTTP status of a response that had to be 200.
     Status(u16),
-    /// The body is no JSON.
+    /// The body is not JSON.
     Body(serde_json::Error),
 }
 
@@ -68,9 +68,9 @@
         match self {
             CallError::Connection(e) => e.fmt(f),
             CallError::Timeout => f.write_str("timed out"),
-            CallError::InvalidRedirect => f.write_str("a redirection to no address"),
-            CallError::TooManyRedirects => f.write_str("too many redirections"),
-            CallError::Status(status) => write!(f, "answered {status}"),
+            CallError::InvalidRedirect => f.write_str("redirect without a valid address"),
+            CallError::TooManyRedirects => f.write_str("too many redirects"),
+            CallError::Status(status) => write!(f, "HTTP status {status}"),
             CallError::Body(e) => e.fmt(f),
         }
     }
@@ -84,7 +84,7 @@
     }
 }
 
-/// One request on a connection of its own.
+/// Sends one request on a new connection.
 async fn request(to: SocketAddr, method: &str, target: &str, body: &[u8]) -> Result<HostResponse, io::Error> {
     let stream = TcpStream::connect(to).await?;
     let codec = ClientCodec::new(HEADERS, MAX_BODY, Rc::new(Cell::new(MAX_BODY)));
@@ -117,7 +117,7 @@
     Err(CallError::TooManyRedirects)
 }
 
-/// Sends a call to one control node; `names` follow the call's path.
+/// Sends a call to one control node. The path parameters are appended to the call's path.
 pub(super) async fn call_one(
     to: SocketAddr,
     call: Call,
@@ -129,13 +129,14 @@
     surveyed_node.unwrap_or(Err(CallError::Timeout))
 }
 
-/// The address and port that an argument names.
+/// Parses an argument that is an address with a port.
 pub(super) fn parse_address(argument: &str, text: &str) -> ControlPlaneResult<SocketAddr> {
     let address = text.parse().change_context(ControlPlaneError::Call);
-    address.attach_with(|| format!("{argument}: {text:?} is no address with a port, as 10.0.0.1:8200"))
+    address
+        .attach_with(|| format!("{argument}: {text:?} is not an address with a port such as 10.0.0.1:8200"))
 }
 
-/// The control nodes that `--to` names, else the seeds of the settings file.
+/// The control nodes given with `--to`, or else the seeds in the settings file.
 pub(super) fn target_addresses(arguments: &ArgMatches) -> ControlPlaneResult<Vec<SocketAddr>> {
     match arguments.get_many::<String>("to") {
         Some(texts) => texts.map(|text| parse_address("--to", text)).collect(),
@@ -143,29 +144,29 @@
     }
 }
 
-/// Why a request was rejected, for the operator.
+/// Describes to the operator why a request was rejected.
 fn rejection_text(from: SocketAddr, body: &[u8]) -> String {
     let response: Value = serde_json::from_slice(body).unwrap_or_default();
     let field = |name: &str| response[name].as_str().unwrap_or("");
     let mut text = match field("Error") {
-        "" => format!("{from} refuses: {}", String::from_utf8_lossy(body)),
-        reason => format!("{from} refuses: {reason}"),
+        "" => format!("{from}: {}", String::from_utf8_lossy(body)),
+        reason => format!("{from}: {reason}"),
     };
     if !field("Digest").is_empty() {
         let (version, theirs, yours) = (field("ConfigVersion"), field("Digest"), field("YourDigest"));
-        text += &format!("; under {version} stands the text of digest {theirs}, yours is of {yours}");
+        text += &format!("; version {version} has digest {theirs}, yours has digest {yours}");
     }
     text
 }
 
-/// Sends a call to one control node after another until one gives a final answer: 200, 409, or another status below 500.
+/// Sends a call to one control node after another until one gives a final response: 200, 409 or another status below 500.
 pub(super) async fn call_any(
     targets: &[SocketAddr],
     call: Call,
     path_parameters: &str,
     body: &[u8],
 ) -> ControlPlaneResult<HostResponse> {
-    let mut last_failure = failure(ControlPlaneError::Call, "no control gateway is named".into());
+    let mut last_failure = failure(ControlPlaneError::Call, "no control node is given".into());
     for &to in targets {
         match call_one(to, call, path_parameters, body).await {
             Ok(response) if response.status == 200 => return Ok(response),
@@ -174,7 +175,7 @@
             }
             Ok(response) => {
                 let text = String::from_utf8_lossy(&response.body);
-                let reason = format!("{to} answered {}: {text}", response.status);
+                let reason = format!("{to}: HTTP status {}: {text}", response.status);
                 last_failure = failure(ControlPlaneError::Call, reason);
                 if response.status < 500 {
                     return Err(last_failure);
--- a/crates/control-plane/src/cli/commands.rs
+++ b/crates/control-plane/src/cli/commands.rs
@@ -1,6 +1,6 @@
-//! The operators' commands: each is one call of the table in `admin::calls`, and what is printed of its answer.
+//! The operators' commands. Each sends one call of the table in `admin::calls` and prints the response.
 //!
-//! Invariant: no configuration is sent that does not pass the check.
+//! Invariant: only a valid configuration is sent.
 
 use super::arguments::argument;
 use super::client::{Header, call_any, target_addresses};
@@ -51,7 +51,7 @@
     call_and_print(arguments, call, argument(arguments, "ZONE"), b"").await
 }
 
-/// Prints the configuration in force, once its digest is as announced.
+/// Prints the configuration in force after checking its digest against the announced one.
 async fn read_configuration(arguments: &ArgMatches) -> ControlPlaneResult<()> {
     let response = call_any(&target_addresses(arguments)?, Call::ReadConfiguration, "", b"").await?;
     let field = |header: Header| header.value_in(&response).unwrap_or("?");
@@ -59,15 +59,16 @@
     let age = field(Header::ConfirmedSecondsAgo);
     let computed = hex(&digest(&response.body));
     if announced != computed {
-        let reason = format!("the text that came has digest {computed}, told was {announced}");
+        let reason =
+            format!("the received text has digest {computed}, but the response announced {announced}");
         return Err(failure(ControlPlaneError::Call, reason));
     }
-    eprintln!("version {version}, digest {computed}, confirmed by a majority {age} s ago");
-    // Byte for byte: saved to a file it has the same digest.
+    eprintln!("version {version}, digest {computed}, confirmed by a quorum {age} s ago");
+    // The bytes are written unchanged, so that a file saved from the output has the same digest.
     io::stdout().write_all(&response.body).change_context(ControlPlaneError::Call)
 }
 
-/// Reads `FILE`, checks it, and describes it to the operator.
+/// Reads and validates `FILE`, and prints a summary for the operator.
 fn read_checked_file(arguments: &ArgMatches) -> ControlPlaneResult<Vec<u8>> {
     let file = argument(arguments, "FILE");
     let text =
@@ -95,10 +96,10 @@
     }
 }
 
-/// The address of a machine that an argument names, without its port.
+/// The node address in an argument, without its port.
 fn node_address(arguments: &ArgMatches, name: &str) -> ControlPlaneResult<String> {
     let text = argument(arguments, name);
-    let reason = || format!("{name}: {text:?} is no address of a machine, as 10.0.0.1");
+    let reason = || format!("{name}: {text:?} is not a node address such as 10.0.0.1");
     let node = parse_node(text).ok_or_else(|| failure(ControlPlaneError::Call, reason()))?;
     Ok(Ipv4Addr::from(node).to_string())
 }
--- a/crates/control-plane/src/cli/disaster_recovery.rs
+++ b/crates/control-plane/src/cli/disaster_recovery.rs
@@ -1,23 +1,23 @@
-//! When a majority of the voters is lost for good: what the remaining control nodes hold, which of it is newest, and what
-//! may be lost. The texts are for operators; nothing is sent from here.
+//! Report for operators after the permanent loss of a majority of the voters: what the remaining control nodes hold, which of
+//! it is newest, and what may be lost. Nothing is sent from here.
 
 use super::client::CallError;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Registers by their names in answers, in the order in which survivors are compared.
+/// Names of the registers in responses, in the order in which survivors are compared.
 const REGISTERS: [&str; 3] = ["Chart", "Evacuations", "Muster"];
 
-/// One control node's answer to `voters`.
+/// A control node's response to `voters`.
 #[derive(Debug)]
 pub(super) struct SurveyedNode {
-    /// Its operators' address.
+    /// Its address for operators.
     pub address: String,
-    /// The answer, or why there is none.
+    /// The response, or why there is none.
     pub status: Result<Value, CallError>,
 }
 
-/// What an operator has to repeat to force a new generation.
+/// The options that an operator has to repeat to force a new generation.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) struct Confirmation {
     /// The survivor whose state is kept.
@@ -28,12 +28,12 @@
     pub lose: String,
 }
 
-/// A register's accepted value at one node.
+/// The accepted value of a register at one node.
 struct AcceptedRegister {
     register: String,
-    /// The parts of the proposal number; the greater one is newer.
+    /// The parts of the proposal number. The greater one is newer.
     proposal: Vec<u64>,
-    /// The number that operators know: a configuration's version, else the revision.
+    /// The number that is shown to operators: the version of a configuration, or else the revision.
     number: String,
 }
 
@@ -47,8 +47,8 @@
 
 type NewestValues = BTreeMap<String, NewestValue>;
 
-/// A voter that answered. The greatest is the one whose state to keep: by epoch, then by what its disk has. The order of the
-/// fields is the order of comparison.
+/// A voter that responded. The greatest one has the state to keep. The order of the fields is the order of comparison: epoch,
+/// then the state of its disk, then its accepted proposals.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Survivor {
     epoch: u64,
@@ -58,12 +58,12 @@
     lost: Vec<String>,
 }
 
-fn text(value: &Value) -> String {
+fn display_text(value: &Value) -> String {
     value.as_str().map_or_else(|| value.to_string(), str::to_string)
 }
 
-fn texts(value: &Value) -> Vec<String> {
-    value.as_array().map(|items| items.iter().map(text).collect()).unwrap_or_default()
+fn display_texts(value: &Value) -> Vec<String> {
+    value.as_array().map(|items| items.iter().map(display_text).collect()).unwrap_or_default()
 }
 
 fn list_or_none(names: &[String]) -> String {
@@ -75,9 +75,9 @@
         let proposal = fields["Ballot"].as_array();
         let version = &fields["ConfigVersion"];
         AcceptedRegister {
-            register: text(&fields["Register"]),
+            register: display_text(&fields["Register"]),
             proposal: proposal.into_iter().flatten().filter_map(Value::as_u64).collect(),
-            number: text(if version.is_string() { version } else { &fields["Stamp"] }),
+            number: display_text(if version.is_string() { version } else { &fields["Stamp"] }),
         }
     }
 }
@@ -95,26 +95,26 @@
 }
 
 fn is_voter(status: &Value) -> bool {
-    let is_own_seat =
+    let is_own_vote =
         |member: &Value| member["Here"] == true && (member["Seat"] == true || member["Comes"] == true);
-    status["Members"].as_array().into_iter().flatten().any(is_own_seat)
+    status["Members"].as_array().into_iter().flatten().any(is_own_vote)
 }
 
-/// One line about a node, and the node as a survivor where it votes.
+/// Describes a node on one line. Also returns it as a survivor if it is a voter.
 fn describe_node(address: &str, status: &Value, newest: &mut NewestValues) -> (String, Option<Survivor>) {
     let accepted: Vec<AcceptedRegister> =
         status["Held"].as_array().into_iter().flatten().map(AcceptedRegister::read).collect();
     for value in &accepted {
-        record_newest(newest, value, text(&status["Here"]));
+        record_newest(newest, value, display_text(&status["Here"]));
     }
     let (votes, recovered) = (is_voter(status), status["DiskWhole"] == true);
     let holds: Vec<String> =
         accepted.iter().map(|value| format!("{} {}", value.register, value.number)).collect();
-    let (epoch, lost) = (status["Epoch"].as_u64().unwrap_or(0), texts(&status["Lost"]));
+    let (epoch, lost) = (status["Epoch"].as_u64().unwrap_or(0), display_texts(&status["Lost"]));
     let line = format!(
-        "{address}: epoch {epoch}, {}, {}; holds {}; voters not heard of: {}",
-        if votes { "votes" } else { "does not vote" },
-        if recovered { "disk whole" } else { "has forgotten" },
+        "{address}: epoch {epoch}, {}, {}; holds {}; voters not heard from: {}",
+        if votes { "voter" } else { "not a voter" },
+        if recovered { "state complete" } else { "state incomplete" },
         if holds.is_empty() { "nothing".to_string() } else { holds.join(", ") },
         list_or_none(&lost),
     );
@@ -126,7 +126,7 @@
     (line, votes.then_some(Survivor { epoch, recovered, proposals, address, lost }))
 }
 
-/// What was found, for the operator; and what has to be repeated to force a new generation, where that is the way out.
+/// Describes the nodes to the operator. Also returns what has to be repeated to force a new generation, if that is the remedy.
 pub(super) fn survey(nodes: &[SurveyedNode]) -> (String, Option<Confirmation>) {
     let (mut lines, mut newest, mut best) = (Vec::new(), NewestValues::new(), None);
     let (mut with_quorum, mut unreachable) = (Vec::new(), Vec::new());
@@ -134,7 +134,7 @@
         match status {
             Err(e) => {
                 unreachable.push(address.clone());
-                lines.push(format!("{address}: not reached: {e}"));
+                lines.push(format!("{address}: unreachable: {e}"));
             }
             Ok(status) => {
                 with_quorum.extend((status["Contact"] == true).then(|| address.clone()));
@@ -146,20 +146,20 @@
     }
     if !with_quorum.is_empty() {
         let nodes = with_quorum.join(", ");
-        lines.push(format!("A majority answers {nodes}: nothing is lost, and nothing is to be founded."));
+        lines.push(format!("In contact with a quorum: {nodes}. No new generation is needed."));
         return (lines.join("\n"), None);
     }
     let confirmation = match best {
         Some(survivor) => describe_recovery(survivor, &newest, &unreachable, &mut lines),
         None => {
-            lines.push("No voter was reached: bring one of them back first, with its disk.".to_string());
+            lines.push("No voter could be reached: restore one of them first, with its disk.".to_string());
             None
         }
     };
     (lines.join("\n"), confirmation)
 }
 
-/// What may be lost with that survivor, and the command that keeps its state.
+/// Describes what may be lost if this survivor's state is kept, and the command that forces a new generation from it.
 fn describe_recovery(
     best: Survivor,
     newest: &NewestValues,
@@ -172,21 +172,23 @@
         lines.push(format!("newest {register}: {number}, at {}", holders.join(", ")));
     }
     lines.push(format!(
-        "Founded anew is what {at} holds. May be lost: whatever only others hold, and whatever was acknowledged by a \
-         majority of which nobody is left. Not reached: {}.",
+        "A forced new generation keeps what {at} holds. It may lose whatever only other nodes hold, and whatever was \
+         acknowledged by a majority of which no node is left. Unreachable: {}.",
         list_or_none(unreachable)
     ));
     if !recovered {
-        lines.push(format!("{at} has forgotten what it held: founded from it, everything may be lost."));
+        lines.push(format!(
+            "The state of {at} is incomplete: a new generation forced from it may lose everything."
+        ));
     }
     if lost.is_empty() {
-        lines.push(format!("{at} hears all voters: wait, or look at their disks."));
+        lines.push(format!("{at} hears from all voters: wait, or check their disks."));
         return None;
     }
     let shown = Confirmation { at, epoch: epoch.to_string(), lose: lost.join(",") };
-    lines.push("Only where the machines named here never come back, not even one of them:".to_string());
+    lines.push("Run this only if none of the voters after --lose will ever come back:".to_string());
     let Confirmation { at, epoch, lose } = &shown;
-    // The earlier spelling: scripts compare this line. `force-new` and `found-anew` are the same command.
+    // Scripts compare this line, so it has the former name `found-anew` of the command `force-new`.
     lines.push(format!("  voters found-anew --at {at} --epoch {epoch} --lose {lose}"));
     Some(shown)
 }
--- a/crates/control-plane/src/cli/disaster_recovery/tests.rs
+++ b/crates/control-plane/src/cli/disaster_recovery/tests.rs
@@ -1,4 +1,4 @@
-//! Which survivor is proposed.
+//! Tests which survivor is proposed.
 
 use super::*;
 use serde_json::json;
@@ -15,7 +15,8 @@
     SurveyedNode { address: format!("{own_address}:8200"), status: Ok(status) }
 }
 
-/// The newest survivor is proposed, by epoch before proposal numbers; where a quorum answers any node none is.
+/// The newest survivor is proposed, comparing epochs before proposal numbers. None is proposed if any node has contact with a
+/// quorum.
 #[test]
 fn newest_survivor_is_proposed_and_only_where_no_quorum_is_left() {
     let lost = SurveyedNode { address: "10.0.0.3:8200".to_string(), status: Err(CallError::Status(503)) };
@@ -25,11 +26,11 @@
     assert_eq!(confirmation, Some(expected));
     assert!(
         text.contains("newest Chart: 00000008, at 10.0.0.1")
-            && text.contains("10.0.0.3:8200: not reached: answered 503"),
+            && text.contains("10.0.0.3:8200: unreachable: HTTP status 503"),
         "{text}"
     );
     let (text, confirmation) =
         survey(&[surveyed_node("10.0.0.1", 4, 9, true), surveyed_node("10.0.0.2", 5, 7, false)]);
-    assert!(confirmation.is_none() && text.contains("nothing is lost"), "{text}");
+    assert!(confirmation.is_none() && text.contains("No new generation is needed"), "{text}");
     assert!(survey(&[surveyed_node("10.0.0.9", 4, 9, false)]).1.is_none());
 }
--- a/crates/control-plane/src/cli/force_new_generation.rs
+++ b/crates/control-plane/src/cli/force_new_generation.rs
@@ -1,7 +1,6 @@
-//! `voters force-new`: shows what is left of the voters, and forces a new generation where the operator repeats what was
-//! shown.
+//! `voters force-new`: shows what is left of the voters, and forces a new generation if the operator repeats what was shown.
 //!
-//! Invariant: nothing is sent unless all three options are those that the survey shows now.
+//! Invariant: nothing is sent unless all three options match a new survey.
 
 use super::arguments::argument;
 use super::client::{CallError, call_any, call_one, parse_address, target_addresses};
@@ -16,9 +15,9 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Control nodes that are asked at most.
+/// Maximum number of control nodes that are surveyed.
 const MAX_SURVEYED: usize = 64;
-/// How often the nodes that answers name are asked as well: those named first, and two steps further.
+/// Rounds of the survey. The first asks the given nodes; each further one asks the nodes that responses have newly named.
 const SURVEY_ROUNDS: usize = 3;
 
 async fn voters_status(address: SocketAddr) -> Result<Value, CallError> {
@@ -29,13 +28,13 @@
     }
 }
 
-/// The operators' addresses of the members that an answer names.
+/// The operators' addresses of the members in a response.
 fn named_members(status: &Value) -> impl Iterator<Item = SocketAddr> {
     let members = status["Members"].as_array().into_iter().flatten();
     members.filter_map(|member| member["Control"].as_str()?.parse::<SocketAddr>().ok())
 }
 
-/// The voters' status at all control nodes that are reached: those asked first, and those that answers name.
+/// Asks the given control nodes, and those that their responses name, for the status of the voters.
 async fn survey_nodes(first: Vec<SocketAddr>) -> Vec<SurveyedNode> {
     let (mut responses, mut next) = (BTreeMap::new(), first);
     for _ in 0..SURVEY_ROUNDS {
@@ -50,7 +49,7 @@
     surveyed.map(|(address, status)| SurveyedNode { address: address.to_string(), status }).collect()
 }
 
-/// Shows the survey; with all three options, compares them and sends the call.
+/// Prints the survey. With all three options, compares them with the survey and sends the call.
 pub(super) async fn run(arguments: &ArgMatches) -> ControlPlaneResult<()> {
     let (text, confirmation) = survey(&survey_nodes(target_addresses(arguments)?).await);
     println!("{text}");
@@ -59,13 +58,13 @@
         return Ok(());
     }
     let Some(Confirmation { at, epoch, lose }) = confirmation else {
-        let reason = "there is nothing to found anew, as shown above".into();
+        let reason = "there is no new generation to force, as shown above".into();
         return Err(failure(ControlPlaneError::Rejected, reason));
     };
     for ((option, given), shown) in ["--at", "--epoch", "--lose"].iter().zip(given).zip([&at, &epoch, &lose])
     {
         if given != shown {
-            let reason = format!("{option}: found {given:?}, shown is {shown}");
+            let reason = format!("{option}: found {given:?}, expected {shown}");
             return Err(failure(ControlPlaneError::Call, reason));
         }
     }
--- a/crates/control-plane/src/cli/mod.rs
+++ b/crates/control-plane/src/cli/mod.rs
@@ -1,6 +1,6 @@
-//! The program's command line: serves as a control node, or sends one operator's command.
+//! The program's command line, which serves as a control node or runs one operator's command.
 //!
-//! Exit statuses: 0 done, 2 failed, 3 rejected because of what is in force.
+//! Exit statuses: 0 success, 2 failure, 3 the request conflicts with the current state.
 
 mod arguments;
 mod client;
@@ -15,9 +15,9 @@
 use std::process::ExitCode;
 use tokio::runtime::LocalOptions;
 
-/// The exit status of a request that conflicts with what is in force: another text of that version, or other voters.
+/// Exit status if the request conflicts with the current state: another text has that version, or the voters are others.
 const EXIT_REJECTED: u8 = 3;
-/// The exit status of every other failure; the same as for a wrong command line.
+/// Exit status of every other failure. It is also clap's exit status for an invalid command line.
 const EXIT_FAILED: u8 = 2;
 
 /// Runs the program with the process's arguments.
@@ -49,7 +49,7 @@
     })
 }
 
-/// On SIGHUP the settings file is checked; what is in use stays until the next start.
+/// Validates the settings file on SIGHUP. The settings in use stay until the next start.
 fn check_settings_file() {
     match read_settings() {
         Ok(settings) => {
--- a/crates/control-plane/tests/command_line.rs
+++ b/crates/control-plane/tests/command_line.rs
@@ -1,5 +1,5 @@
-//! The command line against a fake control node, written from the table of calls alone: what is sent, what is printed, and
-//! the exit status.
+//! Tests the command line against a fake control node: the requests that are sent, the output and the exit status. The fake
+//! node relies on the table of calls alone.
 
 use serde_json::json;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -10,10 +10,10 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::thread;
 
-/// Of the text `{}`.
+/// The digest of the text `{}`.
 const DIGEST_IN_FORCE: &str = "44136fa355b3678a1146ad16f7e8649e";
 
-/// Answers one connection after another, and reports each request as `METHOD path body`.
+/// Serves one connection after another, and reports each request as `METHOD path body`.
 fn fake_control_node(
     response: impl Fn(&str) -> (u16, String) + Send + 'static,
 ) -> (SocketAddr, Receiver<String>) {
@@ -63,8 +63,8 @@
     (status.code(), output.concat())
 }
 
-/// Where another text has the version, the exit status is 3 and the message names both. What is in force is printed byte for
-/// byte, and what arrived damaged is not printed as such.
+/// If another text has the version, the exit status is 3 and the message has both digests. The configuration in force is
+/// printed byte for byte, and a text that was damaged on the way is an error.
 #[test]
 fn rejection_exits_with_3_and_names_the_accepted_text() {
     let damaged = Arc::new(AtomicBool::new(false));
@@ -72,7 +72,7 @@
     let (address, _requests) = fake_control_node(move |request| match request.starts_with("GET") {
         true => (200, if responds_damaged.load(Ordering::Relaxed) { "{ }" } else { "{}" }.to_string()),
         false => {
-            let response_fields = json!({"Error": "another text stands under this number", "ConfigVersion": "00000001",
+            let response_fields = json!({"Error": "another configuration already has this version", "ConfigVersion": "00000001",
                 "Digest": DIGEST_IN_FORCE, "YourDigest": "22"});
             (409, response_fields.to_string())
         }
@@ -85,20 +85,20 @@
     let (code, output) = run_with(address, &["replace", file.to_str().unwrap()]);
     std::fs::remove_file(&file).unwrap();
     assert!(
-        code == Some(3) && output.contains(DIGEST_IN_FORCE) && output.contains("yours is of 22"),
+        code == Some(3) && output.contains(DIGEST_IN_FORCE) && output.contains("yours has digest 22"),
         "{code:?} {output}"
     );
     let (code, output) = run_with(address, &["read"]);
     let expected =
-        format!("{{}}version 00000001, digest {DIGEST_IN_FORCE}, confirmed by a majority 0.010 s ago\n");
+        format!("{{}}version 00000001, digest {DIGEST_IN_FORCE}, confirmed by a quorum 0.010 s ago\n");
     assert_eq!((code, output), (Some(0), expected));
     damaged.store(true, Ordering::Relaxed);
     let (code, output) = run_with(address, &["read"]);
-    assert!(code == Some(2) && output.contains("the text that came has digest"), "{code:?} {output}");
+    assert!(code == Some(2) && output.contains("the received text has digest"), "{code:?} {output}");
 }
 
-/// A new generation is forced only by the very options that were shown, in the command's earlier spelling too; each wrong one
-/// is named.
+/// A new generation is forced only with exactly the options that were shown, also by the former command name. The error names
+/// the wrong option.
 #[test]
 fn new_generation_is_forced_only_by_the_options_that_were_shown() {
     let status = json!({"Here": "10.0.0.1", "Epoch": 7, "DiskWhole": true, "Contact": false,
@@ -115,7 +115,7 @@
         assert!(code == Some(0) && output.contains(&shown), "{output}");
         assert!(output.contains("newest Chart: 00000004"), "{output}");
         let (code, output) = force("6", "10.0.0.2,10.0.0.3");
-        assert!(code == Some(2) && output.contains("--epoch: found \"6\", shown is 7"), "{output}");
+        assert!(code == Some(2) && output.contains("--epoch: found \"6\", expected 7"), "{output}");
         let (code, output) = force("7", "10.0.0.2");
         assert!(code == Some(2) && output.contains("--lose: found"), "{output}");
         assert!(requests.try_iter().all(|request| request == "GET /archlink/voters"));
@@ -124,10 +124,10 @@
         assert_eq!(requests.try_iter().last().as_deref(), Some(request));
     }
     let (code, output) = run_with(address, &["voters", "replace", "10.0.0.2", "control-4"]);
-    assert!(code == Some(2) && output.contains("NEW: \"control-4\" is no address"), "{output}");
+    assert!(code == Some(2) && output.contains("NEW: \"control-4\" is not a node address"), "{output}");
 }
 
-/// The deprecated name starts the same program.
+/// The deprecated program name starts the same program.
 #[test]
 fn former_program_name_runs_the_same_commands() {
     let (address, requests) = fake_control_node(|_| (200, r#"{"Answer":1}"#.to_string()));
@@ -137,8 +137,7 @@
     assert_eq!(requests.try_iter().collect::<Vec<_>>(), ["GET /archlink/duties"]);
 }
 
-/// Each command as an operator types it, in its earlier spelling too, and the one call that it sends; the answer is printed,
-/// and the exit status is 0.
+/// Each command, also under its former name, sends exactly one call, prints the response and exits with 0.
 #[test]
 fn each_command_sends_its_call_and_prints_the_response() {
     let (address, requests) = fake_control_node(|_| (200, r#"{"Answer":1}"#.to_string()));
@@ -162,16 +161,16 @@
         assert_eq!((code, output.as_str()), (Some(0), "{\"Answer\":1}\n"), "{arguments:?}");
         assert_eq!(requests.try_iter().collect::<Vec<_>>(), [call]);
     }
-    // Where one control node answers 503 the next one that is named is asked.
+    // After a 503 from one control node the next one is asked.
     let (busy, _requests) = fake_control_node(|_| (503, String::new()));
     let (code, output) = run_with(busy, &["--to", &address.to_string(), "duties"]);
     assert_eq!((code, output.as_str()), (Some(0), "{\"Answer\":1}\n"));
-    // The address may also follow the command.
+    // `--to` may also follow the command.
     let (code, output) = run_without_address(&["duties", "--to", &address.to_string()]);
     assert_eq!((code, output.as_str()), (Some(0), "{\"Answer\":1}\n"));
 }
 
-/// Runs the program with these arguments alone: without an address and a settings file.
+/// Runs the program with these arguments alone, without an address and a settings file.
 fn run_without_address(arguments: &[&str]) -> (Option<i32>, String) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_archlink-control-plane"));
     let Output { status, stdout, stderr } =
@@ -180,8 +179,8 @@
     (status.code(), output.concat())
 }
 
-/// `check` sends nothing and describes what it read; `apply` and its earlier spelling `replace` describe the same, send the
-/// file byte for byte, and print the answer.
+/// `check` prints a summary of the file and sends nothing. `apply` and its former name `replace` print the same summary, send
+/// the file byte for byte, and print the response.
 #[test]
 fn checked_file_is_described_and_applied_one_is_sent_byte_for_byte() {
     let (address, requests) = fake_control_node(|_| (200, r#"{"Answer":1}"#.to_string()));
@@ -206,7 +205,7 @@
     std::fs::write(&file, "{}").unwrap();
     for command in ["check", "apply", "replace"] {
         let (code, output) = run_with(address, &[command, path]);
-        let why = format!("archlink-control-plane: the file can't be used; {path}: ConfigVersion");
+        let why = format!("archlink-control-plane: the file cannot be used; {path}: ConfigVersion");
         assert!(code == Some(2) && output.starts_with(&why), "{code:?} {output}");
     }
     std::fs::remove_file(&file).unwrap();
@@ -214,29 +213,28 @@
     assert_eq!(requests.try_iter().count(), 0);
 }
 
-/// The exit status is 3 for what is rejected, and 2 for every other failure.
+/// The exit status is 3 for a rejected request, and 2 for every other failure.
 #[test]
 fn failed_command_exits_with_its_status_and_reason() {
     for (status, response, code, output) in [
-        (409, r#"{"Error":"no","Reason":"NoSeat"}"#, 3, "the order is refused; AT refuses: no"),
-        (409, "plain", 3, "the order is refused; AT refuses: plain"),
-        (404, r#"{"Error":"x"}"#, 2, r#"the call did not come through; AT answered 404: {"Error":"x"}"#),
-        (503, r#"{"Error":"x"}"#, 2, r#"the call did not come through; AT answered 503: {"Error":"x"}"#),
+        (409, r#"{"Error":"no","Reason":"NoSeat"}"#, 3, "the request was rejected; AT: no"),
+        (409, "plain", 3, "the request was rejected; AT: plain"),
+        (404, r#"{"Error":"x"}"#, 2, r#"the call failed; AT: HTTP status 404: {"Error":"x"}"#),
+        (503, r#"{"Error":"x"}"#, 2, r#"the call failed; AT: HTTP status 503: {"Error":"x"}"#),
     ] {
         let (address, _requests) = fake_control_node(move |_| (status, response.to_string()));
         let expected = format!("archlink-control-plane: {}\n", output.replace("AT", &address.to_string()));
         assert_eq!(run_with(address, &["evacuate", "begin", "east"]), (Some(code), expected));
     }
-    // No new generation where a quorum answers.
+    // No new generation is forced while there is contact with a quorum.
     let response_fields =
         json!({"Here": "10.0.0.1", "Epoch": 7, "Contact": true, "Members": [], "Lost": [], "Held": []});
     let (address, _requests) = fake_control_node(move |_| (200, response_fields.to_string()));
     let arguments = ["voters", "found-anew", "--at", "10.0.0.1:8200", "--epoch", "7", "--lose", "10.0.0.2"];
     let (code, output) = run_with(address, &arguments);
-    let why =
-        "archlink-control-plane: the order is refused; there is nothing to found anew, as shown above\n";
+    let why = "archlink-control-plane: the request was rejected; there is no new generation to force, as shown above\n";
     assert!(code == Some(3) && output.ends_with(why), "{code:?} {output}");
-    // Arguments that the command line does not know, or lacks.
+    // Unknown or missing arguments.
     for arguments in [
         &["other"][..],
         &["evacuate"],
@@ -248,7 +246,7 @@
     }
     for arguments in [&[][..], &["run"], &["members"]] {
         let (code, output) = run_without_address(arguments);
-        let why = "archlink-control-plane: the settings file can't be used";
+        let why = "archlink-control-plane: the settings file cannot be used";
         assert!(code == Some(2) && output.starts_with(why), "{code:?} {output}");
     }
 }
