--- a/crates/control-plane/src/bin/former_name.rs
+++ b/crates/control-plane/src/bin/former_name.rs
@@ -1,5 +1,5 @@
-//! archlink-harbourmaster, the former name of archlink-control-plane. Deprecated: the same program, for scripts and units
-//! that still start it by this name.
+//! archlink-harbourmaster, the deprecated former name of archlink-control-plane. It is the same program, kept for scripts and
+//! units that still start it by this name.
 #![forbid(unsafe_code)]
 
 use std::process::ExitCode;
--- a/crates/control-plane/src/tests/callers.rs
+++ b/crates/control-plane/src/tests/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that disconnect, and callers that send early.
+//! Callers that disconnect, and callers that pipeline requests.
 
 use super::serve_caller;
 use super::simulated_cluster::{NODES, SimulatedDisk, run, running_node};
@@ -9,8 +9,8 @@
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 
-/// A request that arrived during a stall, of a caller that has disconnected since: it may have sent another one elsewhere, so
-/// nothing of it is started. It was: a late `Begin` sent prepare messages before the end of its connection was noticed.
+/// A request that arrived during a stall is not started if its caller has disconnected since, because the caller may have sent
+/// another request elsewhere. The failure was a late `Begin` that sent prepare messages before the disconnect was noticed.
 #[test]
 fn request_of_a_disconnected_caller_is_not_started() {
     run(async {
@@ -37,7 +37,8 @@
     });
 }
 
-/// A read waits for a quorum's confirmation, for 0.9 s where none comes: not for a caller that has disconnected. It did.
+/// A read waits up to 0.9 s for a quorum's confirmation, but ends at once when its caller disconnects. The failure was that it
+/// went on waiting.
 #[test]
 fn read_ends_when_its_caller_disconnects() {
     run(async {
@@ -49,7 +50,7 @@
     });
 }
 
-/// A caller that sends its next request early gets both answers. It was taken for one that had disconnected.
+/// A caller that pipelines its next request gets both responses. The failure was that it was treated as disconnected.
 #[test]
 fn pipelined_request_gets_a_response() {
     run(async {
--- a/crates/control-plane/src/tests/durability.rs
+++ b/crates/control-plane/src/tests/durability.rs
@@ -1,11 +1,12 @@
-//! No message leaves ahead of the write that it depends on.
+//! No message is sent before the write that it depends on is durable.
 
 use super::simulated_cluster::{NODES, SimulatedDisk, advance, run, running_node};
 use archlink_messages::{AcceptedValue, ConsensusMessage, Message, ProposalNumber, Register};
 use tokio::sync::mpsc;
 
-/// What the disk had no room for is written before any later message leaves. It was not: a voter whose queue was full had
-/// accepted a value in memory alone and reported it in its next answer; a quorum could be counted that no disk holds.
+/// A change that the disk's queue had no room for is written before any later message is sent. The failure was a voter with a
+/// full queue that had accepted a value only in memory and reported it in its next reply, so that a quorum could be counted
+/// for a value that is on no disk.
 #[test]
 fn no_message_reports_what_the_disk_did_not_accept() {
     run(async {
@@ -30,7 +31,7 @@
             match message {
                 Message::Consensus(_, ConsensusMessage::ReadReply(1, proposals)) => reported = proposals[1].1,
                 Message::Consensus(_, ConsensusMessage::Accepted(..) | ConsensusMessage::Promise(..)) => {
-                    panic!("{message:?} was sent")
+                    panic!("{message:?} was sent before its write was durable")
                 }
                 _ => {}
             }
@@ -38,8 +39,8 @@
         assert_eq!(reported, proposal);
         let written =
             on_disk(Register::Evacuations).and_then(|acceptor| acceptor.accepted).map(|value| value.proposal);
-        assert_eq!(written, Some(proposal), "it was reported and is on no disk");
-        // With no further message the next tick writes it.
+        assert_eq!(written, Some(proposal), "the proposal was reported but is not on disk");
+        // Without a further message the next tick writes the backlog.
         disk.set_full(true);
         receive(ConsensusMessage::Prepare(Register::Configuration, ProposalNumber { round: 7, ..proposal }));
         disk.set_full(false);
--- a/crates/control-plane/src/tests/log_capture.rs
+++ b/crates/control-plane/src/tests/log_capture.rs
@@ -1,4 +1,4 @@
-//! The lines that a test logs on its own thread, as `text key=value key=value`.
+//! Captures the lines that a test logs on its own thread, as `text key=value key=value`.
 
 use log::kv::{Error, Key, Value, VisitSource};
 use std::cell::RefCell;
@@ -33,7 +33,7 @@
     fn flush(&self) {}
 }
 
-/// What `work` logs on this thread.
+/// The lines that `work` logs on this thread.
 pub fn logged_by(work: impl FnOnce()) -> Vec<String> {
     static INSTALL: Once = Once::new();
     INSTALL.call_once(|| {
--- a/crates/control-plane/src/tests/mod.rs
+++ b/crates/control-plane/src/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of the control node's drivers and of its HTTP interface, on a simulated cluster.
+//! Tests of the control node's drivers and its HTTP interface, on a simulated cluster.
 
 mod callers;
 mod durability;
@@ -27,14 +27,14 @@
     }
 }
 
-/// Serves one caller, which sends `requests` at once and then leaves or stays, for so many seconds at most; how long that
-/// took, and what was answered to a caller that stayed.
-async fn serve_caller(requests: &[u8], leaves: bool, seconds: u64) -> (f64, String) {
+/// Serves one caller for at most `seconds`. The caller sends `requests` at once and then disconnects if `disconnects` is set.
+/// Returns how long it took, and the responses to a caller that stayed connected.
+async fn serve_caller(requests: &[u8], disconnects: bool, seconds: u64) -> (f64, String) {
     let node = running_node(NODES[0], SimulatedDisk::default());
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let mut caller = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     caller.write_all(requests).unwrap();
-    let staying = (!leaves).then_some(caller);
+    let staying = (!disconnects).then_some(caller);
     let (stream, _) = listener.accept().await.unwrap();
     let started_at = node.clock.now();
     let serving = server::serve(node.clone(), stream, Default::default(), Default::default());
--- a/crates/control-plane/src/tests/simulated_cluster.rs
+++ b/crates/control-plane/src/tests/simulated_cluster.rs
@@ -1,5 +1,5 @@
-//! Four control nodes, three of which vote, on one thread and without sockets: their links are channels that can be
-//! partitioned, their disks are simulated, their time is the test's own. Cores, drivers and calls are the program's.
+//! A simulated cluster of four control nodes, three of them voters, on one thread and without sockets. Links are channels that
+//! can be partitioned, disks are simulated, and time is the runtime's paused clock. Cores, drivers and calls are the real ones.
 
 use crate::admin::calls::Call;
 use crate::admin::server::respond;
@@ -26,10 +26,10 @@
 pub const NODES: [NodeId; 4] = [0x0a00_0001, 0x0a00_0002, 0x0a00_0003, 0x0a00_0004];
 const VOTERS: usize = 3;
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// One way between two nodes.
+/// Latency of a link in one direction.
 const LATENCY: Duration = Duration::from_millis(10);
 
-/// Runs a test on a thread of simulated time: waiting costs nothing, and goes the same way each time.
+/// Runs a test on a runtime with paused time, where waiting takes no real time and is deterministic.
 pub fn run<T>(test: impl Future<Output = T>) -> T {
     let mut builder = tokio::runtime::Builder::new_current_thread();
     builder.enable_all().start_paused(true).build_local(LocalOptions::default()).unwrap().block_on(test)
@@ -40,28 +40,34 @@
     sleep(Duration::from_secs_f64(seconds)).await;
 }
 
+#[derive(Default)]
+struct DiskContents {
+    state: RefCell<DurableState>,
+    full: Cell<bool>,
+}
+
 /// A disk that accepts every write at once, or none.
 #[derive(Clone, Default)]
-pub struct SimulatedDisk(Rc<(RefCell<DurableState>, Cell<bool>)>);
+pub struct SimulatedDisk(Rc<DiskContents>);
 
 impl SimulatedDisk {
-    /// Its queue is full from now on, or has room again.
+    /// Makes the queue full, or gives it room again.
     pub fn set_full(&self, full: bool) {
-        self.0.1.set(full);
+        self.0.full.set(full);
     }
 
-    /// What it holds.
+    /// The durable state.
     pub fn state(&self) -> DurableState {
-        self.0.0.borrow().clone()
+        self.0.state.borrow().clone()
     }
 }
 
 impl StateWriter for SimulatedDisk {
     fn enqueue(&self, change: StateChange, on_durable: Box<dyn FnOnce() + Send>) -> bool {
-        if self.0.1.get() {
+        if self.0.full.get() {
             return false;
         }
-        let mut state = self.0.0.borrow_mut();
+        let mut state = self.0.state.borrow_mut();
         if let Some(voter_set) = change.voter_set {
             state.voter_set = voter_set;
         }
@@ -88,7 +94,7 @@
     Settings::read(&text.to_string()).unwrap()
 }
 
-/// One node without links, whose process is stalled: it never ticks.
+/// A node without links whose process is stalled, so that it never ticks.
 pub fn stalled_node(id: NodeId, disk: SimulatedDisk) -> Rc<Node> {
     let (settings, clock) = (settings(id), Clock::start());
     let identity = ControlNode {
@@ -118,7 +124,7 @@
     node
 }
 
-/// The same, ticking.
+/// A node without links that ticks.
 pub fn running_node(id: NodeId, disk: SimulatedDisk) -> Rc<Node> {
     let node = stalled_node(id, disk);
     let ticking = node.clone();
@@ -155,13 +161,13 @@
         SimulatedCluster { nodes, disks, partitioned }
     }
 
-    /// Cuts a node off from all others, or connects it again.
+    /// Partitions a node from all others, or heals the partition.
     pub fn partition(&self, index: usize, partitioned: bool) {
         self.partitioned.borrow_mut().retain(|&node| node != NODES[index]);
         self.partitioned.borrow_mut().extend(partitioned.then_some(NODES[index]));
     }
 
-    /// Sends a call to a node; its answer, and the answer's body where that is JSON.
+    /// Sends a call to a node. Returns the response, and its body if that is JSON.
     pub async fn call(
         &self,
         index: usize,
@@ -173,7 +179,7 @@
     }
 }
 
-/// A link between two nodes, one way.
+/// Connects two nodes by a link in one direction.
 fn connect(from: Rc<Node>, to: Rc<Node>, partitioned: Rc<RefCell<BTreeSet<NodeId>>>) {
     let (sender, mut messages) = mpsc::channel::<Message>(256);
     from.links.borrow_mut().insert(to.id, sender.clone());
@@ -188,7 +194,7 @@
     });
 }
 
-/// Sends a call to one node; its answer, and the answer's body where that is JSON.
+/// Sends a call to one node. Returns the response, and its body if that is JSON.
 pub async fn send_call(node: &Node, call: Call, path_parameters: &str, body: &str) -> (Response, Value) {
     let request = Request {
         method: call.method().to_string(),
@@ -205,7 +211,7 @@
     (response, body)
 }
 
-/// A configuration whose texts differ with `rate`.
+/// A configuration whose text differs with `rate`.
 pub fn configuration(version: u64, rate: u32) -> String {
     json!({
         "ConfigVersion": format!("{version:08x}"),
--- a/crates/control-plane/src/tests/versions.rs
+++ b/crates/control-plane/src/tests/versions.rs
@@ -1,12 +1,13 @@
-//! One configuration text a version.
+//! Each version has exactly one configuration text.
 
 use super::simulated_cluster::{SimulatedCluster, advance, configuration, run, send_call};
 use crate::admin::calls::Call;
 use crate::admin::configuration::{digest, hex};
 
-/// One text a version, and both operators can tell from their answers which: the accepted text is acknowledged each time that
-/// it comes, at any node; another one of its version is rejected by each of them in the same words, also once a higher one is
-/// in force; a lower version changes nothing and is told what is in force. Both texts were acknowledged.
+/// Each version has one text, and operators who send different ones can tell from the responses which was accepted. The
+/// accepted text is acknowledged each time, at any node. Another text of its version is rejected with the same response by
+/// every node, also once a higher version is in force. A lower version changes nothing, and its response names the one in
+/// force. The failure was that both texts of a version were acknowledged.
 #[test]
 fn each_version_has_one_text_at_every_node() {
     run(async {
@@ -14,7 +15,7 @@
         advance(1.0).await;
         let replace =
             async |index, text: &str| cluster.call(index, Call::ReplaceConfiguration, "", text).await;
-        // A version that can't be counted beyond ended the process, or was taken for the lowest.
+        // The highest possible version used to crash the process, or was treated as the lowest.
         let (response, fields) = replace(0, &configuration(u64::MAX, 5)).await;
         let names_the_version = fields["Error"].to_string().contains("ConfigVersion: found ffff");
         assert!(response.status == 400 && names_the_version, "{fields}");
