--- a/crates/control-plane/src/cli/client.rs
+++ b/crates/control-plane/src/cli/client.rs
@@ -153,8 +153,9 @@
         reason => format!("{from}: {reason}"),
     };
     if !field("Digest").is_empty() {
-        let (version, theirs, yours) = (field("ConfigVersion"), field("Digest"), field("YourDigest"));
-        text += &format!("; version {version} has digest {theirs}, yours has digest {yours}");
+        let (version, accepted_digest, sent_digest) =
+            (field("ConfigVersion"), field("Digest"), field("YourDigest"));
+        text += &format!("; version {version} has digest {accepted_digest}, yours has digest {sent_digest}");
     }
     text
 }
--- a/crates/control-plane/src/cli/commands.rs
+++ b/crates/control-plane/src/cli/commands.rs
@@ -46,8 +46,8 @@
 }
 
 async fn evacuate(arguments: &ArgMatches) -> ControlPlaneResult<()> {
-    let (direction, arguments) = arguments.subcommand().unwrap_or(("", arguments));
-    let call = if direction == "begin" { Call::BeginEvacuation } else { Call::FinishEvacuation };
+    let (action, arguments) = arguments.subcommand().unwrap_or(("", arguments));
+    let call = if action == "begin" { Call::BeginEvacuation } else { Call::FinishEvacuation };
     call_and_print(arguments, call, argument(arguments, "ZONE"), b"").await
 }
 
--- a/crates/control-plane/src/server/node/operator_requests.rs
+++ b/crates/control-plane/src/server/node/operator_requests.rs
@@ -14,8 +14,7 @@
 const MAX_PENDING_REQUESTS: usize = 48;
 /// Wait for the outcome of a change. The core gives up after 0.9 s.
 const CHANGE_TIMEOUT: Duration = Duration::from_millis(950);
-/// Wait for the outcome of a membership change, which takes longer and for which an operator waits. The core gives up after
-/// 2.5 s.
+/// Wait for the outcome of a membership change, for which an operator accepts a longer wait. The core gives up after 2.5 s.
 const MEMBERSHIP_CHANGE_TIMEOUT: Duration = Duration::from_millis(2700);
 
 /// An operator's request to the core.
--- a/crates/control-plane/src/server/node/sessions.rs
+++ b/crates/control-plane/src/server/node/sessions.rs
@@ -20,7 +20,8 @@
         self.0.borrow_mut().remove(&node);
     }
 
-    /// Sends a message to all sessions. It is dropped where the queue is full; the data node recovers with its next heartbeat.
+    /// Sends a message to all sessions. A session whose queue is full loses it, and its data node recovers with its next
+    /// heartbeat.
     pub fn broadcast(&self, message: &Message) {
         self.0.borrow().values().for_each(|session| drop(session.try_send(message.clone())));
     }
--- a/crates/control-plane/src/tests/partitions.rs
+++ b/crates/control-plane/src/tests/partitions.rs
@@ -95,8 +95,8 @@
     }
 }
 
-/// While the system starts, a request is started and waits, and is accepted as soon as there is a quorum. Rejecting it at once
-/// would make its sender retry with an increasing backoff.
+/// While the system starts, and in the first moments of a partition, a request is started and waits, and is accepted as soon
+/// as there is a quorum. Rejecting it at once would make its sender retry with an increasing backoff.
 #[test]
 fn request_at_the_start_waits_for_its_quorum() {
     run(async {
