--- a/crates/data-plane/src/attempt_progress.rs
+++ b/crates/data-plane/src/attempt_progress.rs
@@ -1,65 +1,69 @@
-//! How far one attempt came, and what that says of whether the host executed the request. Without I/O.
+//! How far an attempt progressed, and whether the host may therefore have executed the request. This module does no I/O.
 
 use crate::protocol::STATUS_MISDIRECTED;
 
-/// How far one attempt came, as its connection and its response tell.
+/// How far an attempt progressed, as observed on its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptProgress {
-    /// No connection in time, refused, or what allowed the attempt was over before its first byte.
+    /// No connection was established in time, or the host was removed or the deadline passed before the first byte.
     NotConnected,
-    /// The connection, new or pooled, broke before the socket took a byte.
+    /// The connection, new or pooled, broke before the socket accepted a byte.
     NothingSent,
-    /// It broke after the socket had taken some bytes and not all.
+    /// The connection broke after the socket had accepted a part of the request.
     PartiallySent,
-    /// The socket had taken all, and the connection broke, closed, or carried nothing that is this request's own
-    /// complete response.
+    /// The socket had accepted the whole request, and the connection broke, was closed, or carried no complete and valid
+    /// response to this request.
     NoResponse,
-    /// The deadline passed, wherever the attempt was.
+    /// The deadline passed at any point of the attempt.
     TimedOut,
-    /// The client disconnected before the first byte.
+    /// The client disconnected before the first byte was sent.
     CancelledBeforeSend,
-    /// The client disconnected, and the attempt was cancelled after the socket had taken some bytes or all.
+    /// The attempt was cancelled because the client disconnected, when the request may have been sent in part or whole.
     CancelledAfterSend,
-    /// A complete response under the request's own id; `not_executed` is the host's own statement.
+    /// A complete response with the request's own id was received.
     Responded {
-        /// The response's status.
+        /// Status of the response.
         status: u16,
-        /// The host states that it did not execute the request.
+        /// Whether the host states that it did not execute the request.
         not_executed: bool,
     },
 }
 
-/// How one attempt ended, as far as the decision on the next step goes.
+/// The end of an attempt, classified for the decision on the next step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptClass {
-    /// A complete response of the host's own that the client may have.
+    /// A complete response that can be relayed.
     Success,
-    /// A complete response, but a failure (5xx): it was executed.
+    /// A complete response with a failure status (5xx): the request was executed.
     Failure,
-    /// The host states that it did not execute it: full, late, or another instance.
+    /// The host states that it did not execute the request: it is full, too late, or another instance.
     NotExecuted,
-    /// No byte of it was sent: it was not executed, and the host never saw it.
+    /// No byte was sent: the host never saw the request and did not execute it.
     NotSent,
-    /// Bytes were sent, and there is no response that can be used: it may have been executed.
+    /// Bytes were sent, and there is no usable response: the request may have been executed.
     MayHaveExecuted,
 }
 
 impl AttemptProgress {
-    /// What that says of the request. The protocol has two statements of "not executed": `Not-Executed` and 421. All
-    /// else depends on the bytes, of which a socket tells only what it took, not what arrived:
+    /// Classifies the end of an attempt. Hosts have two ways to state that they did not execute a request:
+    /// `Not-Executed` and 421. Otherwise the class depends on what was sent, and a socket reports only the bytes that it
+    /// accepted, not those that arrived.
     ///
-    /// | progress | idempotent | not idempotent | why |
+    /// The columns for idempotent and other requests name what follows: a retry, then the status of the response if
+    /// there is no retry.
+    ///
+    /// | progress | idempotent | not idempotent | reason |
     /// | --- | --- | --- | --- |
-    /// | not connected, nothing sent | another host, 503 | another host, 503 | no byte left this machine |
-    /// | partially sent | another host, 502 | 502 | a host may start at the head; only a complete request is sure to be executed, but none that a byte left of is sure not to be |
-    /// | no response | another host, 502 | 502 | all may have arrived; a pooled connection that the host closed at that moment looks the same |
-    /// | timed out | 502 | 502 | as no response, and nobody waits any more |
-    /// | cancelled before send | 503 | 503 | no byte left this machine; no further host either, as nobody waits any more |
-    /// | cancelled after send | 502 | carried on | all may have arrived; what is not idempotent is never cancelled |
-    /// | not executed, 421 | another host, 503 | another host, 503 | the host's statement |
-    /// | 408, 429, 503 | as they are, 503 after another host | 502 | to a client these say that it was not executed; the host did not say that |
-    /// | other 5xx | another host, as it is | as it is | it was executed, and that is its response |
-    /// | all else | as it is | as it is | its response |
+    /// | not connected, nothing sent | retry, 503 | retry, 503 | no byte left this machine |
+    /// | partially sent | retry, 502 | 502 | a host may start to execute after the head, so once a byte is sent execution can't be ruled out |
+    /// | no response | retry, 502 | 502 | the whole request may have arrived; a pooled connection that the host closed at that moment looks the same |
+    /// | timed out | 502 | 502 | as for no response, but the client no longer waits |
+    /// | cancelled before send | 503 | 503 | no byte left this machine; no retry, because the client no longer waits |
+    /// | cancelled after send | 502 | not cancelled | the whole request may have arrived |
+    /// | not executed, 421 | retry, 503 | retry, 503 | the host states that it did not execute the request |
+    /// | 408, 429, 503 | relayed, but 503 is retried first | 502 | clients take these as "not executed", which the host did not state |
+    /// | other 5xx | retry, relayed | relayed | the request was executed, and this is its response |
+    /// | other | relayed | relayed | this is the response |
     pub fn classify(self, idempotent: bool) -> AttemptClass {
         use AttemptProgress::*;
         match self {
--- a/crates/data-plane/src/attempt_task.rs
+++ b/crates/data-plane/src/attempt_task.rs
@@ -3,7 +3,7 @@
 
 use crate::attempt_progress::AttemptProgress;
 use crate::data_plane::DataPlane;
-use crate::metrics::CancelledEnd;
+use crate::metrics::EndAfterDisconnect;
 use crate::protocol::{NOT_EXECUTED_TRUE, STATUS_MISDIRECTED, parse_server_load, response_header};
 use crate::upstream::{self, AttemptFailure, UpstreamRequest};
 use archlink_balancer::balancer::{AttemptEnd, SelectedHost};
@@ -40,12 +40,12 @@
     let exchanged = timeout_at(deadline, upstream::exchange(&data_plane, &host, &outgoing, deadline)).await;
     let (progress, end, response) = match exchanged {
         Ok(Ok(response)) => {
-            let (progress, end) = response_end(&response);
+            let (progress, end) = classify_response(&response);
             (progress, end, Some(response))
         }
         Ok(Err(AttemptFailure { progress, cause })) => {
             log::debug!(host = host.id.as_str(), progress:? = progress, error:% = cause; "attempt failed");
-            (progress, failure_end(progress), None)
+            (progress, end_without_response(progress), None)
         }
         Err(_) => (AttemptProgress::TimedOut, AttemptEnd::TimedOut, None),
     };
@@ -54,9 +54,9 @@
     }
     if let Some(elapsed) = outgoing.client.disconnected_for() {
         let end = match progress {
-            AttemptProgress::CancelledBeforeSend => CancelledEnd::Withdrawn,
-            AttemptProgress::CancelledAfterSend => CancelledEnd::BrokenOff,
-            _ => CancelledEnd::Finished,
+            AttemptProgress::CancelledBeforeSend => EndAfterDisconnect::CancelledBeforeSend,
+            AttemptProgress::CancelledAfterSend => EndAfterDisconnect::CancelledAfterSend,
+            _ => EndAfterDisconnect::Finished,
         };
         data_plane.metrics.attempt_ended_after_disconnect(&service, end, elapsed);
     }
@@ -66,7 +66,7 @@
 }
 
 /// What a response says to the request and to the balancer.
-fn response_end(response: &HostResponse) -> (AttemptProgress, AttemptEnd) {
+fn classify_response(response: &HostResponse) -> (AttemptProgress, AttemptEnd) {
     let status = response.status;
     let load = response.fields[response_header::SERVER_LOAD].once().and_then(parse_server_load);
     let not_executed = response.fields[response_header::NOT_EXECUTED].once() == Some(NOT_EXECUTED_TRUE);
@@ -80,7 +80,7 @@
 }
 
 /// What an attempt without a response says to the balancer.
-fn failure_end(progress: AttemptProgress) -> AttemptEnd {
+fn end_without_response(progress: AttemptProgress) -> AttemptEnd {
     match progress {
         AttemptProgress::CancelledBeforeSend => AttemptEnd::CancelledBeforeSend,
         AttemptProgress::CancelledAfterSend => AttemptEnd::CancelledAfterSend,
--- a/crates/data-plane/src/dispatch.rs
+++ b/crates/data-plane/src/dispatch.rs
@@ -1,11 +1,11 @@
-//! The attempts of one admitted request: starts them, and ends with a host's response, the deadline, or the client's
-//! disconnect.
+//! Runs the attempts of one admitted request until a host's response can be relayed, the request fails or its client
+//! disconnects.
 
 use crate::attempt_task::{Attempt, AttemptResult, run_attempt};
 use crate::attempts::{Attempts, NextStep};
 use crate::data_plane::DataPlane;
 use crate::host_selection::HostSelection;
-use crate::rejection::Rejection;
+use crate::local_reply::LocalReply;
 use crate::upstream::UpstreamRequest;
 use archlink_http::codec::HostResponse;
 use std::rc::Rc;
@@ -14,43 +14,46 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep_until};
 
-/// Results of attempts that may wait to be read: more than are ever in flight.
+/// Capacity of the channel for results: more than there are ever attempts in flight.
 const MAX_PENDING_RESULTS: usize = 8;
-/// Where no hedge is due, the timer's place is taken by an instant that is not awaited.
-const NO_HEDGE: Duration = Duration::from_secs(3600);
+/// Delay of the hedge timer while it is disabled; it is never awaited.
+const UNUSED_TIMER_DELAY: Duration = Duration::from_secs(3600);
 
 /// How an attempt counts in the retry budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum BudgetUse {
-    /// A first attempt, or one in place of an attempt that sent nothing.
+    /// Deposits: the first attempt, or one that replaces an attempt that sent nothing.
     Deposit,
-    /// A retry or a hedged request.
+    /// Withdraws: a retry or a hedged request.
     Withdraw,
 }
 
-/// How a request ends.
-type Outcome = Result<HostResponse, Rejection>;
+/// The response to relay, or the reason for a local reply.
+type Outcome = Result<HostResponse, LocalReply>;
 
 struct Dispatch<'a, 'b> {
     data_plane: &'a Rc<DataPlane>,
     selection: &'a mut HostSelection<'b>,
     attempts: Attempts,
     outgoing: &'a Rc<UpstreamRequest>,
-    /// The request has a key, which may be served only while the configuration is confirmed.
+    /// Whether the request has a key, so that it may be served only while the configuration is confirmed.
     keyed: bool,
     deadline: Instant,
     results: mpsc::Sender<AttemptResult>,
-    /// An attempt that is due now.
-    due: Option<BudgetUse>,
+    /// The attempt to start next, if any.
+    due_attempt: Option<BudgetUse>,
     hedge_at: Option<Instant>,
-    disconnect_seen: bool,
+    disconnect_handled: bool,
 }
 
-/// Carries an admitted request through its attempts.
+/// Runs the attempts of an admitted request.
+///
+/// If the client disconnects, an idempotent request ends at once. A request that is not idempotent and has an attempt in
+/// flight continues, and its response is still read.
 ///
 /// # Errors
-/// How it ends without a host's response. A client that disconnects ends an idempotent request at once; one that is not
-/// idempotent and in flight goes on, and its response is still read.
+///
+/// Returns the local reply if there is no host's response to relay.
 pub async fn dispatch(
     selection: &mut HostSelection<'_>,
     attempts: Attempts,
@@ -68,16 +71,16 @@
         outgoing,
         keyed,
         results: sender,
-        due: Some(BudgetUse::Deposit),
+        due_attempt: Some(BudgetUse::Deposit),
         hedge_at: None,
-        disconnect_seen: false,
+        disconnect_handled: false,
     };
     loop {
         dispatch.start_due_attempt().await?;
-        let hedge_at = dispatch.hedge_at.unwrap_or_else(|| Instant::now() + NO_HEDGE);
+        let hedge_at = dispatch.hedge_at.unwrap_or_else(|| Instant::now() + UNUSED_TIMER_DELAY);
         let ended = tokio::select! {
             biased;
-            _ = client.disconnected(), if !dispatch.disconnect_seen => dispatch.client_disconnected(),
+            _ = client.disconnected(), if !dispatch.disconnect_handled => dispatch.client_disconnected(),
             result = results.recv() => dispatch.attempt_ended(result),
             _ = sleep_until(hedge_at), if dispatch.hedge_at.is_some() => dispatch.hedge(),
         };
@@ -88,24 +91,25 @@
 }
 
 impl Dispatch<'_, '_> {
-    /// Starts the attempt that is due, unless the client has disconnected.
-    async fn start_due_attempt(&mut self) -> Result<(), Rejection> {
-        let Some(budget_use) = self.due else { return Ok(()) };
+    /// Starts the due attempt, if any, unless the client has disconnected.
+    async fn start_due_attempt(&mut self) -> Result<(), LocalReply> {
+        let Some(budget_use) = self.due_attempt else { return Ok(()) };
         if self.attempts.any_started() {
             self.outgoing.client.recheck().await;
         }
-        self.due = None;
+        self.due_attempt = None;
         if self.outgoing.client.is_disconnected() || self.start_attempt(budget_use) {
             return Ok(());
         }
         self.hedge_at = None;
-        if self.attempts.any_in_flight() { Ok(()) } else { Err(self.no_response()) }
+        if self.attempts.any_in_flight() { Ok(()) } else { Err(self.no_host_response()) }
     }
 
-    /// Starts an attempt; false where no host has room, the retry budget has no retry, or the key is not confirmed.
+    /// Starts an attempt. Returns false if no host is available, the retry budget is used up, or the key can't be served
+    /// because the configuration is not confirmed.
     fn start_attempt(&mut self, budget_use: BudgetUse) -> bool {
         let data_plane = self.data_plane;
-        // Asked anew after each wait: a freeze of the machine may be among them.
+        // Checked for each attempt: the machine may have been suspended during the wait before it.
         let confirmed = !self.keyed || data_plane.is_confirmed();
         let selected = self.selection.select().filter(|_| confirmed);
         let Some((host, service)) = selected.map(|(host, service)| (host, service.to_string())) else {
@@ -128,42 +132,44 @@
         true
     }
 
-    /// The client has disconnected: no hedge any more, and no retry.
+    /// Handles the client's disconnect: from now on the request is neither hedged nor retried.
     fn client_disconnected(&mut self) -> Option<Outcome> {
-        self.disconnect_seen = true;
+        self.disconnect_handled = true;
         self.hedge_at = None;
-        let rejection = self.selection.client_disconnected(self.attempts.local_outcome());
-        // An attempt that is not idempotent goes on, and its response may still be read.
+        let local_reply = self.selection.client_disconnected(self.attempts.local_outcome());
+        // An attempt that is not idempotent continues: a client that closed only its sending side still reads the response.
         let ends = self.outgoing.idempotent || !self.attempts.any_in_flight();
-        ends.then_some(Err(rejection))
+        ends.then_some(Err(local_reply))
     }
 
     fn attempt_ended(&mut self, result: Option<AttemptResult>) -> Option<Outcome> {
-        let Some(AttemptResult { progress, response }) = result else { return Some(Err(self.no_response())) };
+        let Some(AttemptResult { progress, response }) = result else {
+            return Some(Err(self.no_host_response()));
+        };
         let class = progress.classify(self.outgoing.idempotent);
         let remaining = match self.outgoing.client.is_disconnected() {
             true => 0.0,
             false => self.selection.deadline().remaining(self.data_plane.clock.now()),
         };
         match self.attempts.attempt_ended(class, remaining) {
-            NextStep::Relay => return Some(response.ok_or_else(|| self.no_response())),
+            NextStep::Relay => return Some(response.ok_or_else(|| self.no_host_response())),
             NextStep::Retry { budgeted } => {
-                self.due = Some(if budgeted { BudgetUse::Withdraw } else { BudgetUse::Deposit });
+                self.due_attempt = Some(if budgeted { BudgetUse::Withdraw } else { BudgetUse::Deposit });
             }
             NextStep::Wait => {}
-            NextStep::GiveUp(outcome) => return Some(Err(Rejection::NoResponse(outcome))),
+            NextStep::GiveUp(outcome) => return Some(Err(LocalReply::NoHostResponse(outcome))),
         }
         None
     }
 
-    /// The attempt in flight is slow: another one is due beside it.
+    /// Hedges the request because the attempt in flight is slow.
     fn hedge(&mut self) -> Option<Outcome> {
-        self.due = Some(BudgetUse::Withdraw);
+        self.due_attempt = Some(BudgetUse::Withdraw);
         self.hedge_at = None;
         None
     }
 
-    fn no_response(&self) -> Rejection {
-        Rejection::NoResponse(self.attempts.local_outcome())
+    fn no_host_response(&self) -> LocalReply {
+        LocalReply::NoHostResponse(self.attempts.local_outcome())
     }
 }
--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -1,19 +1,20 @@
-//! The data plane: takes clients' requests in, checks them against quotas, selects a host, carries the attempts and
-//! relays the response.
+//! The data plane: receives clients' requests, enforces quotas, selects hosts, sends the requests to them and relays the
+//! responses.
 //!
-//! [`serve`] runs one data node. A request's way is in `request`, stage by stage; the modules that it calls:
+//! [`serve`] runs one data node. `request` has the stages of a request in their order and calls the other modules:
 //!
 //! | concern | module |
 //! | --- | --- |
-//! | clients' sockets | `listener`, `client_connection`, `client_server` |
-//! | stages of a request | `request`, `routing`, `admission`, `host_selection`, `dispatch` |
+//! | client connections | `listener`, `client_connection`, `client_server`, `client_presence` |
+//! | stages of a request | `request`, `routing`, `host_selection`, `quota_enforcement`, `dispatch`, `local_reply` |
 //! | decisions on attempts, without I/O | `attempts`, `attempt_progress`, `hedge`, `deadline` |
-//! | attempts on hosts' connections | `attempt_task`, `upstream` |
-//! | state for all requests | `data_plane`, `quota_state`, `view_changes`, `client_presence` |
-//! | other nodes of the system | `control_session`, `counter_session` |
-//! | operators and the platform | `status`, `metrics` |
+//! | attempts at hosts | `attempt_task`, `upstream` |
+//! | header names and values | `protocol` |
+//! | state that all requests share | `data_plane`, `quota_state`, `view_changes` |
+//! | sessions with control nodes and the quota counter | `control_session`, `counter_session` |
+//! | readiness and metrics | `status`, `metrics` |
+//! | start and shutdown | `server` |
 
-mod admission;
 mod attempt_progress;
 mod attempt_task;
 mod attempts;
@@ -29,10 +30,11 @@
 mod hedge;
 mod host_selection;
 mod listener;
+mod local_reply;
 mod metrics;
 mod protocol;
+mod quota_enforcement;
 mod quota_state;
-mod rejection;
 mod request;
 mod routing;
 mod server;
--- a/crates/data-plane/src/metrics.rs
+++ b/crates/data-plane/src/metrics.rs
@@ -36,16 +36,18 @@
 /// How an attempt ended whose client had disconnected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
-pub enum CancelledEnd {
+pub enum EndAfterDisconnect {
     /// Nothing had been sent to the host, and nothing was.
-    Withdrawn,
+    #[strum(serialize = "withdrawn")]
+    CancelledBeforeSend,
     /// Its connection to the host was closed.
-    BrokenOff,
+    #[strum(serialize = "broken_off")]
+    CancelledAfterSend,
     /// The host executed it to its end.
     Finished,
 }
 
-impl EncodeLabelValue for CancelledEnd {
+impl EncodeLabelValue for EndAfterDisconnect {
     fn encode(&self, encoder: &mut LabelValueEncoder<'_>) -> fmt::Result {
         let name: &'static str = self.into();
         name.encode(encoder)
@@ -53,9 +55,9 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct CancelledLabel {
+struct EndLabels {
     service: String,
-    end: CancelledEnd,
+    end: EndAfterDisconnect,
 }
 
 /// What came of one service's requests whose clients disconnected, since the last summary.
@@ -64,9 +66,9 @@
     /// Requests whose client disconnected.
     pub clients: u64,
     /// Their attempts that were never sent.
-    pub withdrawn: u64,
+    pub cancelled_before_send: u64,
     /// Their attempts that were cancelled at the host.
-    pub broken_off: u64,
+    pub cancelled_after_send: u64,
     /// Their attempts that were executed to their end.
     pub finished: u64,
     /// The longest time from a disconnect to the end of an attempt.
@@ -80,8 +82,8 @@
     connections: Gauge,
     in_flight: Gauge,
     disconnects: Family<ServiceLabel, Counter>,
-    cancelled_attempts: Family<CancelledLabel, Counter>,
-    cancelled_seconds: Family<ServiceLabel, Histogram, fn() -> Histogram>,
+    attempts_after_disconnect: Family<EndLabels, Counter>,
+    seconds_after_disconnect: Family<ServiceLabel, Histogram, fn() -> Histogram>,
     service_labels: RefCell<BTreeSet<String>>,
     summaries: RefCell<BTreeMap<String, DisconnectSummary>>,
 }
@@ -103,20 +105,25 @@
         let disconnects = Family::default();
         let help = "Requests whose client closed its connection before the answer";
         registry.register("client_departures", help, disconnects.clone());
-        let cancelled_attempts = Family::default();
+        let attempts_after_disconnect = Family::default();
         let help = "Hand-offs to hosts whose client had left, by how they ended";
-        registry.register("departed_hand_offs", help, cancelled_attempts.clone());
-        let cancelled_seconds = Family::new_with_constructor(histogram as fn() -> Histogram);
+        registry.register("departed_hand_offs", help, attempts_after_disconnect.clone());
+        let seconds_after_disconnect = Family::new_with_constructor(histogram as fn() -> Histogram);
         let help = "Time from a client's departure to the end of a hand-off for it";
-        registry.register_with_unit("departed_hand_off", help, Unit::Seconds, cancelled_seconds.clone());
+        registry.register_with_unit(
+            "departed_hand_off",
+            help,
+            Unit::Seconds,
+            seconds_after_disconnect.clone(),
+        );
         Metrics {
             registry,
             responses,
             connections,
             in_flight,
             disconnects,
-            cancelled_attempts,
-            cancelled_seconds,
+            attempts_after_disconnect,
+            seconds_after_disconnect,
             service_labels: RefCell::default(),
             summaries: RefCell::default(),
         }
@@ -145,18 +152,18 @@
     }
 
     /// An attempt ended so long after its client had disconnected.
-    pub fn attempt_ended_after_disconnect(&self, service: &str, end: CancelledEnd, elapsed: Duration) {
+    pub fn attempt_ended_after_disconnect(&self, service: &str, end: EndAfterDisconnect, elapsed: Duration) {
         let service = self.service_label(service);
         let mut summaries = self.summaries.borrow_mut();
         let summary = summaries.entry(service.clone()).or_default();
         match end {
-            CancelledEnd::Withdrawn => summary.withdrawn += 1,
-            CancelledEnd::BrokenOff => summary.broken_off += 1,
-            CancelledEnd::Finished => summary.finished += 1,
+            EndAfterDisconnect::CancelledBeforeSend => summary.cancelled_before_send += 1,
+            EndAfterDisconnect::CancelledAfterSend => summary.cancelled_after_send += 1,
+            EndAfterDisconnect::Finished => summary.finished += 1,
         }
         summary.max_elapsed = summary.max_elapsed.max(elapsed);
-        self.cancelled_attempts.get_or_create(&CancelledLabel { service: service.clone(), end }).inc();
-        self.cancelled_seconds.get_or_create(&ServiceLabel { service }).observe(elapsed.as_secs_f64());
+        self.attempts_after_disconnect.get_or_create(&EndLabels { service: service.clone(), end }).inc();
+        self.seconds_after_disconnect.get_or_create(&ServiceLabel { service }).observe(elapsed.as_secs_f64());
     }
 
     /// The summary of each service with disconnects since the last call, by its label.
--- a/crates/data-plane/src/admission.rs
+++ b/crates/data-plane/src/quota_enforcement.rs
@@ -1,8 +1,8 @@
-//! Admission against tenants' quotas: by the quota counter where it is reachable, and by this node's local share where
-//! it is not or has nothing left.
+//! Enforcement of tenants' quotas: by the quota counter, and by this node's local share if the counter is unreachable or
+//! rejects the request.
 //!
-//! A request waits here for the counter's verdict. Its wait ends with the verdict or with its client: one whose client
-//! disconnects is taken back, and the tenant is not charged.
+//! A request waits for the counter's verdict. If its client disconnects meanwhile, the request is withdrawn and its tenant
+//! is not charged.
 
 use crate::data_plane::DataPlane;
 use archlink_config::Tenant;
@@ -12,21 +12,25 @@
 use archlink_quota::pending_calls::CallResult;
 use tokio::sync::oneshot;
 
-/// Seconds after which a client comes back that was rejected without the counter's verdict: by then there may be a
-/// counter again.
+/// `Retry-After` in seconds of a request that is rejected without the counter's verdict: by then the counter may be
+/// reachable again.
 const UNCOUNTED_RETRY_AFTER: f64 = 0.3;
 
-/// A request is over its tenant's quota.
+/// The request exceeds its tenant's quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaExceeded {
-    /// Seconds after which it may come back.
+    /// Seconds after which the client may retry.
     pub retry_after: f64,
 }
 
 impl DataPlane {
-    /// Admits one request against its tenant's quota: by the counter's verdict first, and by this node's local share
-    /// where that is a refusal. `time_limit` is how many seconds the request has.
-    pub async fn admit(&self, tenant: &Tenant, time_limit: f64) -> Result<(), QuotaExceeded> {
+    /// Charges one request to its tenant's quota: to the part that the counter grants, or to this node's local share if
+    /// the counter rejects the request or is unreachable. `time_limit` is the request's time limit in seconds.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`QuotaExceeded`] if neither admits the request.
+    pub async fn acquire_quota(&self, tenant: &Tenant, time_limit: f64) -> Result<(), QuotaExceeded> {
         let uncounted = QuotaExceeded { retry_after: UNCOUNTED_RETRY_AFTER };
         if !self.quota.counter_reachable.get() {
             let limited = tenant.rate > 0.0;
@@ -60,7 +64,7 @@
     fn try_local_share(&self, tenant: &Tenant) -> bool {
         let (bound, now) = (self.quota_bound(), self.clock.now());
         let mut shares = self.quota.shares.borrow_mut();
-        // The process clock begins at 0 with this process.
+        // The process clock is 0 at the start of the process.
         let share = shares.entry(tenant.name.clone()).or_insert_with(|| LocalShare::new(0.0));
         let fleet_view = self.fleet_view.borrow();
         let node = archlink_runtime::node_id(self.settings.ip);
@@ -68,7 +72,8 @@
         share.try_admit(now, &bound, tenant.rate, tenant.burst, rank)
     }
 
-    /// The part of each quota that the counter grants, which depends on how many data nodes have shares of the rest.
+    /// Passes the configured quotas to the counter client, each with the fraction that the counter grants, which depends on
+    /// the number of data nodes that share the rest.
     pub fn apply_quotas(&self) {
         let (Some(configuration), bound, data_nodes) =
             (self.configuration(), self.quota_bound(), self.data_node_count())
@@ -76,13 +81,8 @@
             return;
         };
         let quota = |tenant: &Tenant| {
-            let counted = bound.counted_fraction(tenant.rate, tenant.burst, data_nodes);
-            Quota {
-                tenant: tenant.name.clone(),
-                rate: tenant.rate,
-                burst: tenant.burst,
-                counted_fraction: counted,
-            }
+            let counted_fraction = bound.counted_fraction(tenant.rate, tenant.burst, data_nodes);
+            Quota { tenant: tenant.name.clone(), rate: tenant.rate, burst: tenant.burst, counted_fraction }
         };
         let quotas: Vec<Quota> = configuration.tenants.iter().map(quota).collect();
         self.quota.counter_client.borrow_mut().set_quotas(&quotas);
@@ -93,7 +93,7 @@
         QuotaBound { window: bounds.quota_window, overrun: bounds.quota_overrun, slack: bounds.quota_slack }
     }
 
-    /// The counter's holder answers, or does not.
+    /// Records whether the node that holds the counter's lease serves the counter.
     pub fn set_counter_reachable(&self, reachable: bool) {
         if reachable && !self.quota.counter_was_reachable.replace(true) {
             self.state_changed.notify_waiters();
@@ -108,7 +108,7 @@
         }
     }
 
-    /// The results of calls on the counter.
+    /// Processes the results of calls to the counter.
     pub fn finish_counter_calls(&self, results: Vec<CallResult>) {
         let now = self.cluster_clock();
         for result in results {
@@ -117,8 +117,8 @@
         self.quota.flush();
     }
 
-    /// The counter client's timer, for as long as the process lives: sleeps until its next wake-up, or until that
-    /// becomes earlier.
+    /// Runs the counter client's timer for the lifetime of the process: sleeps until the next wake-up, and again if an
+    /// earlier one is scheduled meanwhile.
     pub async fn run_quota_timer(&self) {
         loop {
             let wake_at = self.quota.counter_client.borrow().wake_at().unwrap_or(f64::INFINITY);
@@ -135,7 +135,8 @@
     }
 }
 
-/// A request that waits for the counter. Dropped before its verdict, as its client disconnected, it is taken back.
+/// A request that waits for the counter's verdict. If it is dropped before the verdict, because the client disconnected,
+/// the request is withdrawn.
 struct WaitingRequest<'a> {
     data_plane: &'a DataPlane,
     id: u32,
--- a/crates/data-plane/src/quota_state.rs
+++ b/crates/data-plane/src/quota_state.rs
@@ -1,5 +1,5 @@
-//! What quota admission keeps between requests: the counter client, the requests that wait for its verdicts, and this
-//! node's local shares.
+//! The state of quota enforcement: the counter client, the requests that wait for its verdicts, and this node's local
+//! shares.
 
 use archlink_messages::CounterAdd;
 use archlink_quota::counter_client::{CounterClient, Verdict};
@@ -8,28 +8,28 @@
 use std::collections::HashMap;
 use tokio::sync::{Notify, oneshot};
 
-/// The state of quota admission: what waits, and what the counter and the local shares say.
+/// The state of quota enforcement that all requests share.
 pub struct QuotaState {
-    /// This node's share of each tenant's quota, by the tenant's name.
+    /// This node's local share of each tenant's quota, by the tenant's name.
     pub shares: RefCell<HashMap<String, LocalShare>>,
-    /// Decides which requests are asked for, and when; without I/O.
+    /// Decides which adds are sent to the counter, and when; does no I/O.
     pub counter_client: RefCell<CounterClient>,
     /// Requests that wait for a verdict, by the counter client's request id.
     pub waiting: RefCell<HashMap<u32, oneshot::Sender<Verdict>>>,
-    /// Whether the counter's holder answers; while it does not, no request waits for it.
+    /// Whether the counter's holder replies; while it does not, no request waits for the counter.
     pub counter_reachable: Cell<bool>,
-    /// Whether it has answered since this process started.
+    /// Whether the counter has replied since this process started.
     pub counter_was_reachable: Cell<bool>,
     /// Notified when there are adds to send.
     pub adds_ready: Notify,
-    /// Notified when the counter client's wake-up is earlier than the timer's.
+    /// Notified when the counter client schedules a wake-up before [`QuotaState::timer_at`].
     pub timer_changed: Notify,
-    /// The cluster clock at which the timer wakes.
+    /// When the timer wakes up, on the cluster clock.
     pub timer_at: Cell<f64>,
 }
 
 impl QuotaState {
-    /// No quotas and no counter; `now` is the process clock.
+    /// The state without quotas and without a counter. `now` is the time on the process clock.
     pub fn new(now: f64) -> QuotaState {
         QuotaState {
             shares: RefCell::default(),
@@ -43,17 +43,17 @@
         }
     }
 
-    /// Whether the counter has answered since this process started.
+    /// Whether the counter has replied since this process started.
     pub fn counter_was_reachable(&self) -> bool {
         self.counter_was_reachable.get()
     }
 
-    /// The adds that are due for the counter.
+    /// Takes the adds that are due for sending.
     pub fn take_adds(&self) -> Vec<CounterAdd> {
         self.counter_client.borrow_mut().take_adds()
     }
 
-    /// Hands out what the counter client has to say; due after each call on it.
+    /// Delivers the counter client's verdicts, log lines, adds and timer. To be called after each input to the client.
     pub fn flush(&self) {
         let mut counter_client = self.counter_client.borrow_mut();
         for (id, verdict) in counter_client.take_verdicts() {
--- a/crates/data-plane/src/request.rs
+++ b/crates/data-plane/src/request.rs
@@ -1,13 +1,13 @@
-//! A request's way, stage by stage:
+//! The stages of a request:
 //!
-//! 1. parse: its id, its client's time and its size ([`parse`]);
-//! 2. route: which route, whose key ([`crate::routing`]);
-//! 3. select: is there a host with room, by the admission queue ([`crate::host_selection`]);
-//! 4. admit: is there quota left ([`crate::admission`]);
-//! 5. attempt: to hosts, with retries and a hedged request ([`crate::dispatch`]);
-//! 6. relay: the host's response, or one of our own ([`relay`], [`crate::rejection`]).
+//! 1. parse: reads its id and its client's timeout, and checks the size of its body ([`parse`]);
+//! 2. route: determines its route and its tenant ([`crate::routing`]);
+//! 3. select: checks that a host is available and the request is not shed ([`crate::host_selection`]);
+//! 4. quota: charges the request to its tenant's quota ([`crate::quota_enforcement`]);
+//! 5. dispatch: sends it to hosts, with retries and hedged requests ([`crate::dispatch`]);
+//! 6. respond: relays the host's response or sends a local reply ([`relay`], [`crate::local_reply`]).
 //!
-//! Invariant: a request that one stage rejects reaches no later one, and is answered at once.
+//! Invariant: a request that a stage rejects is answered at once and reaches no later stage.
 
 use crate::attempts::{AttemptRules, Attempts};
 use crate::client_presence::ClientPresence;
@@ -15,20 +15,20 @@
 use crate::deadline::{self, Deadline};
 use crate::dispatch::dispatch;
 use crate::host_selection::HostSelection;
+use crate::local_reply::LocalReply;
 use crate::protocol::{self, append_header, request_header, response_header};
-use crate::rejection::Rejection;
 use crate::routing::{self, RoutedRequest};
 use crate::upstream::UpstreamRequest;
 use archlink_http::codec::{HostResponse, Request, Response};
 use futures_util::FutureExt;
 use std::rc::Rc;
 
-/// Bytes that a response's header lines may need beside those that are passed on: the id and the seal.
-const OWN_HEADERS: usize = 96;
+/// Capacity in bytes that is reserved for the header lines added to the forwarded ones: the id and the seal.
+const OWN_HEADERS_CAPACITY: usize = 96;
 
-/// The response to one request of `client`.
+/// Processes one request of `client` and returns the response.
 ///
-/// Mapped rather than awaited: a second future around the first would keep the request twice.
+/// Maps the future instead of awaiting it, because an enclosing `async fn` would store the request twice.
 pub fn respond(
     data_plane: &Rc<DataPlane>,
     request: Request,
@@ -36,7 +36,7 @@
 ) -> impl Future<Output = Response> {
     process(data_plane, request, client).map(|outcome| match outcome {
         Ok(response) => relay(response),
-        Err(rejection) => rejection.response(),
+        Err(local_reply) => local_reply.into_response(),
     })
 }
 
@@ -44,39 +44,39 @@
     data_plane: &Rc<DataPlane>,
     request: Request,
     client: &ClientPresence,
-) -> Result<HostResponse, Rejection> {
+) -> Result<HostResponse, LocalReply> {
     let started = data_plane.clock.now();
-    let configuration = data_plane.configuration().ok_or(Rejection::NotConfirmed)?;
+    let configuration = data_plane.configuration().ok_or(LocalReply::NotConfirmed)?;
     let parsed = parse(&request, configuration.max_body)?;
     let routed = routing::route(data_plane, &configuration, &request)?;
-    let deadline = Deadline::new(started, parsed.client_time, routed.route.timeout);
+    let deadline = Deadline::new(started, parsed.client_timeout, routed.route.timeout);
     let attempts = Attempts::new(attempt_rules(&routed));
     let mut selection = HostSelection::new(data_plane, &routed, deadline);
-    // Before the quota: a request that no host can take costs its tenant nothing.
+    // Before the quota, so that a request that no host can take is not charged to its tenant.
     if selection.select().is_none() {
-        return Err(Rejection::NoResponse(attempts.local_outcome()));
+        return Err(LocalReply::NoHostResponse(attempts.local_outcome()));
     }
-    admit(&selection, &routed, &attempts, client).await?;
+    acquire_quota(&selection, &routed, &attempts, client).await?;
     selection.exempt_from_load_shedding();
     let outgoing = Rc::new(upstream_request(request, parsed.id, &routed, client));
     dispatch(&mut selection, attempts, &outgoing, routed.tenant.is_some()).await
 }
 
-/// What the headers of a request say for all routes.
+/// Header values that are independent of the route.
 struct ParsedRequest {
     id: String,
-    /// Seconds that the client waits.
-    client_time: f64,
+    /// Seconds that the client waits for the response.
+    client_timeout: f64,
 }
 
-fn parse(request: &Request, max_body: usize) -> Result<ParsedRequest, Rejection> {
-    let id = request.fields[request_header::ATTEMPT_ID].once().ok_or(Rejection::BadRequest)?.to_string();
-    let client_time = deadline::client_time(&request.fields[request_header::TIME_REMAINING]);
-    let client_time = client_time.ok_or(Rejection::BadRequest)?;
+fn parse(request: &Request, max_body: usize) -> Result<ParsedRequest, LocalReply> {
+    let id = request.fields[request_header::ATTEMPT_ID].once().ok_or(LocalReply::BadRequest)?.to_string();
+    let client_timeout = deadline::client_timeout(&request.fields[request_header::TIME_REMAINING]);
+    let client_timeout = client_timeout.ok_or(LocalReply::BadRequest)?;
     if request.body.len() > max_body {
-        return Err(Rejection::BodyTooLarge);
+        return Err(LocalReply::BodyTooLarge);
     }
-    Ok(ParsedRequest { id, client_time })
+    Ok(ParsedRequest { id, client_timeout })
 }
 
 fn attempt_rules(routed: &RoutedRequest<'_>) -> AttemptRules {
@@ -87,27 +87,27 @@
     }
 }
 
-/// Admits the request against its tenant's quota, if it has one. Where the client disconnects while the quota counter is
-/// asked, the question is taken back with the wait for its answer.
-async fn admit(
+/// Charges the request to its tenant's quota, if it has one. If the client disconnects while the quota counter's verdict
+/// is pending, the request is withdrawn from the counter.
+async fn acquire_quota(
     selection: &HostSelection<'_>,
     routed: &RoutedRequest<'_>,
     attempts: &Attempts,
     client: &ClientPresence,
-) -> Result<(), Rejection> {
+) -> Result<(), LocalReply> {
     let Some(tenant) = routed.tenant.filter(|tenant| tenant.rate > 0.0) else { return Ok(()) };
-    let admission = selection.data_plane().admit(tenant, selection.deadline().time_limit);
-    match client.unless_disconnected(admission).await {
+    let acquisition = selection.data_plane().acquire_quota(tenant, selection.deadline().time_limit);
+    match client.unless_disconnected(acquisition).await {
         Some(Ok(())) => {
             client.recheck().await;
             Ok(())
         }
-        Some(Err(exceeded)) => Err(Rejection::QuotaExceeded { retry_after: exceeded.retry_after }),
+        Some(Err(exceeded)) => Err(LocalReply::QuotaExceeded { retry_after: exceeded.retry_after }),
         None => Err(selection.client_disconnected(attempts.local_outcome())),
     }
 }
 
-/// The request as it goes to hosts: the client's other headers, its id, and its tenant's name in place of the key.
+/// The request to send to hosts: with the client's other headers, the id, and the tenant's name instead of the key.
 fn upstream_request(
     request: Request,
     id: String,
@@ -124,9 +124,9 @@
     UpstreamRequest { request, id, header_lines, origin, client, idempotent }
 }
 
-/// The host's response as the client gets it.
+/// Converts the host's response to the response to the client.
 fn relay(response: HostResponse) -> Response {
-    let mut lines = Vec::with_capacity(response.forwarded.len() + OWN_HEADERS);
+    let mut lines = Vec::with_capacity(response.forwarded.len() + OWN_HEADERS_CAPACITY);
     for (name, position) in [
         (protocol::ATTEMPT_ID, response_header::ATTEMPT_ID),
         (protocol::SERVER_SEAL, response_header::SERVER_SEAL),
--- a/crates/data-plane/src/routing.rs
+++ b/crates/data-plane/src/routing.rs
@@ -1,48 +1,51 @@
-//! Which route and which tenant a request belongs to.
+//! Determines the route and the tenant of a request.
 
 use crate::data_plane::DataPlane;
+use crate::local_reply::LocalReply;
 use crate::protocol::request_header;
-use crate::rejection::Rejection;
 use archlink_config::{Configuration, Route, Tenant};
 use archlink_http::codec::{HeaderValue, Request};
 
-/// A request whose route, and tenant where the route needs a key, are known.
+/// The route and the tenant of a request.
 pub struct RoutedRequest<'a> {
-    /// The configuration's route for its origin and path.
+    /// The configuration's route for the origin and path.
     pub route: &'a Route,
-    /// `None` where the route is public or the configuration has no keys.
+    /// The tenant that the key belongs to; `None` if the route is public or the configuration has no keys.
     pub tenant: Option<&'a Tenant>,
 }
 
-/// The route and the tenant of a request.
+/// Determines the route and the tenant of a request.
+///
+/// While the configuration is not confirmed, routes and keys may have changed: a missing route is answered as "not
+/// confirmed" instead of 404, and no key is looked up.
 ///
 /// # Errors
-/// The rejection that it gets instead. Routes and keys may have changed since the last confirmation: while there is
-/// none, a missing route is "not confirmed" rather than 404, and no key is looked up.
+///
+/// Returns the local reply if the request is rejected.
 pub fn route<'a>(
     data_plane: &DataPlane,
     configuration: &'a Configuration,
     request: &Request,
-) -> Result<RoutedRequest<'a>, Rejection> {
-    let origin = request.host.once().ok_or(Rejection::BadRequest)?;
+) -> Result<RoutedRequest<'a>, LocalReply> {
+    let origin = request.host.once().ok_or(LocalReply::BadRequest)?;
     let path = request.target.split('?').next().unwrap_or("");
     let confirmed = data_plane.is_confirmed();
     let Some(index) = configuration.route(strip_port(origin), path) else {
-        return Err(if confirmed { Rejection::NoRoute } else { Rejection::NotConfirmed });
+        return Err(if confirmed { LocalReply::NoRoute } else { LocalReply::NotConfirmed });
     };
     let route = &configuration.routes[index];
     if route.public || !configuration.keyed {
         return Ok(RoutedRequest { route, tenant: None });
     }
     if !confirmed {
-        return Err(Rejection::NotConfirmed);
+        return Err(LocalReply::NotConfirmed);
     }
     let tenant = match &request.fields[request_header::KEY] {
         HeaderValue::Once(key) => configuration.tenant(key),
         HeaderValue::Absent => None,
-        HeaderValue::Ambiguous => return Err(Rejection::BadRequest),
+        HeaderValue::Ambiguous => return Err(LocalReply::BadRequest),
     };
-    let index = tenant.ok_or(Rejection::Unauthenticated)?;
+    let index = tenant.ok_or(LocalReply::Unauthenticated)?;
     Ok(RoutedRequest { route, tenant: Some(&configuration.tenants[index]) })
 }
 
--- a/crates/data-plane/src/server.rs
+++ b/crates/data-plane/src/server.rs
@@ -144,8 +144,8 @@
         log::info!(
             service = service.as_str(),
             clients = summary.clients,
-            withdrawn = summary.withdrawn,
-            broken_off = summary.broken_off,
+            withdrawn = summary.cancelled_before_send,
+            broken_off = summary.cancelled_after_send,
             finished = summary.finished,
             max_elapsed_ms = summary.max_elapsed.as_millis() as u64;
             "clients disconnected"
--- a/crates/data-plane/src/tests/attempts.rs
+++ b/crates/data-plane/src/tests/attempts.rs
@@ -2,7 +2,7 @@
 
 use crate::attempt_progress::{AttemptClass, AttemptProgress};
 use crate::attempts::{AttemptRules, Attempts, LocalOutcome, NextStep};
-use crate::hedge::EXPECTED_FACTOR;
+use crate::hedge::EXPECTED_TIME_FACTOR;
 
 fn attempts(idempotent: bool) -> Attempts {
     Attempts::new(AttemptRules { idempotent, max_attempts: 2, latency_target: 0.4 })
@@ -99,7 +99,7 @@
 fn only_idempotent_requests_are_hedged() {
     assert_eq!(attempts(false).hedge_delay(0.1), None);
     let mut hedged = attempts(true);
-    assert_eq!(hedged.hedge_delay(0.1), Some(0.1 * EXPECTED_FACTOR));
+    assert_eq!(hedged.hedge_delay(0.1), Some(0.1 * EXPECTED_TIME_FACTOR));
     hedged.attempt_started();
     hedged.attempt_started();
     assert_eq!(hedged.hedge_delay(0.1), None);
--- a/crates/data-plane/src/tests/status.rs
+++ b/crates/data-plane/src/tests/status.rs
@@ -1,7 +1,7 @@
 //! What operators and the platform are served.
 
 use super::*;
-use crate::metrics::{CancelledEnd, Metrics};
+use crate::metrics::{EndAfterDisconnect, Metrics};
 use crate::status;
 use std::time::Duration;
 
@@ -27,7 +27,11 @@
         let (head, _) = get(clients, "/nowhere").await;
         assert!(head.starts_with("HTTP/1.1 400"), "{head}");
         let elapsed = Duration::from_millis(20);
-        data_plane.metrics.attempt_ended_after_disconnect("s", CancelledEnd::BrokenOff, elapsed);
+        data_plane.metrics.attempt_ended_after_disconnect(
+            "s",
+            EndAfterDisconnect::CancelledAfterSend,
+            elapsed,
+        );
         let (head, body) = get(address, "/metrics").await;
         assert!(head.contains("Content-Type: application/openmetrics-text"), "{head}");
         for expected in [
--- a/crates/data-plane/src/upstream.rs
+++ b/crates/data-plane/src/upstream.rs
@@ -90,7 +90,7 @@
 }
 
 impl AttemptProgress {
-    fn because(self, cause: FailureCause) -> AttemptFailure {
+    fn with_cause(self, cause: FailureCause) -> AttemptFailure {
         AttemptFailure { progress: self, cause }
     }
 }
@@ -106,16 +106,17 @@
     deadline: Instant,
 ) -> Result<HostResponse, AttemptFailure> {
     let client = &outgoing.client;
-    let withdrawn = || AttemptProgress::CancelledBeforeSend.because(FailureCause::ClientDisconnected);
+    let cancelled_before_send =
+        || AttemptProgress::CancelledBeforeSend.with_cause(FailureCause::ClientDisconnected);
     let connected = client.unless_disconnected(connect(data_plane, host, client, deadline)).await;
-    let connection = connected.unwrap_or_else(|| Err(withdrawn()))?;
+    let connection = connected.unwrap_or_else(|| Err(cancelled_before_send()))?;
     if client.is_disconnected() {
         data_plane.pool.put_back(host.key, connection);
-        return Err(withdrawn());
+        return Err(cancelled_before_send());
     }
     // A new connection took its time: what is no longer allowed is not sent.
     if !data_plane.balancer.borrow().is_available(host.key) || Instant::now() >= deadline {
-        return Err(AttemptProgress::NotConnected.because(FailureCause::NoLongerAllowed));
+        return Err(AttemptProgress::NotConnected.with_cause(FailureCause::NoLongerAllowed));
     }
     let mut header_lines = outgoing.header_lines.clone();
     append_header(&mut header_lines, protocol::TIME_REMAINING, &remaining_millis(deadline).to_string());
@@ -128,8 +129,9 @@
         return round_trip.await;
     }
     let finished = client.unless_disconnected(round_trip).await;
-    let cancelled = || AttemptProgress::CancelledAfterSend.because(FailureCause::ClientDisconnected);
-    finished.unwrap_or_else(|| Err(cancelled()))
+    let cancelled_after_send =
+        || AttemptProgress::CancelledAfterSend.with_cause(FailureCause::ClientDisconnected);
+    finished.unwrap_or_else(|| Err(cancelled_after_send()))
 }
 
 /// A connection to the host, pooled or new.
@@ -142,7 +144,7 @@
     if let Some(connection) = data_plane.pool.take(host.key, host.address.into()) {
         return Ok(connection);
     }
-    let not_connected = |cause| AttemptProgress::NotConnected.because(cause);
+    let not_connected = |cause| AttemptProgress::NotConnected.with_cause(cause);
     let opened = timeout_at(deadline, data_plane.pool.open(host.address.into())).await;
     let connection = opened
         .map_err(|_| not_connected(FailureCause::DeadlineExceeded))?
@@ -161,7 +163,7 @@
     id: &str,
 ) -> Result<HostResponse, AttemptFailure> {
     send(&mut connection, request).await?;
-    let no_response = |cause| AttemptProgress::NoResponse.because(cause);
+    let no_response = |cause| AttemptProgress::NoResponse.with_cause(cause);
     let broken = |e: io::Error| no_response(FailureCause::Io(e));
     for unmatched in 0..MAX_UNMATCHED_RESPONSES {
         let response = match connection.framed.next().await {
@@ -189,13 +191,13 @@
 ) -> Result<(), AttemptFailure> {
     // Nothing is written yet: the buffer of a connection between two requests is empty.
     let fed = connection.framed.feed(request).await;
-    fed.map_err(|e| AttemptProgress::NothingSent.because(FailureCause::Io(e)))?;
+    fed.map_err(|e| AttemptProgress::NothingSent.with_cause(FailureCause::Io(e)))?;
     let total = connection.framed.write_buffer().len();
     let flushed = SinkExt::<OutgoingRequest<'_>>::flush(&mut connection.framed).await;
     let sent = total - connection.framed.write_buffer().len();
     flushed.map_err(|e| {
         let progress = if sent == 0 { AttemptProgress::NothingSent } else { AttemptProgress::PartiallySent };
-        progress.because(FailureCause::Io(e))
+        progress.with_cause(FailureCause::Io(e))
     })
 }
 
