--- a/crates/data-plane/src/attempt_task.rs
+++ b/crates/data-plane/src/attempt_task.rs
@@ -1,5 +1,5 @@
-//! One attempt as a task of its own: runs the exchange until the deadline, reports its end to the balancer, the metrics
-//! and the request that waits for it.
+//! The task of one attempt: runs the exchange with the host until the deadline, and reports its end to the balancer, the
+//! metrics and the request.
 
 use crate::attempt_progress::AttemptProgress;
 use crate::data_plane::DataPlane;
@@ -12,28 +12,28 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, timeout_at};
 
-/// One attempt that was decided on.
+/// An attempt to be made.
 pub struct Attempt {
-    /// Where it goes.
+    /// The host to send the request to.
     pub host: SelectedHost,
-    /// The host's service.
+    /// Name of the host's service.
     pub service: String,
-    /// When it ends at the latest.
+    /// When the attempt times out.
     pub deadline: Instant,
-    /// The request, shared by its attempts.
+    /// The request, shared by all its attempts.
     pub outgoing: Rc<UpstreamRequest>,
 }
 
-/// What came of an attempt.
+/// The result of an attempt.
 pub struct AttemptResult {
-    /// How far it came.
+    /// How far the attempt progressed.
     pub progress: AttemptProgress,
-    /// Some where the progress is `Responded`.
+    /// The host's response; present if and only if the progress is `Responded`.
     pub response: Option<HostResponse>,
 }
 
-/// Carries one attempt to its end. Where the client has disconnected, `results` may be closed; what is not idempotent is
-/// carried on all the same.
+/// Runs one attempt to its end and sends its result. `results` may be closed if the client has disconnected; an attempt
+/// that is not idempotent continues all the same.
 pub async fn run_attempt(data_plane: Rc<DataPlane>, attempt: Attempt, results: mpsc::Sender<AttemptResult>) {
     let Attempt { host, service, deadline, outgoing } = attempt;
     let started = data_plane.clock.now();
@@ -65,7 +65,7 @@
     results.try_send(AttemptResult { progress, response }).ok();
 }
 
-/// What a response says to the request and to the balancer.
+/// The progress and the end of an attempt that a response stands for.
 fn classify_response(response: &HostResponse) -> (AttemptProgress, AttemptEnd) {
     let status = response.status;
     let load = response.fields[response_header::SERVER_LOAD].once().and_then(parse_server_load);
@@ -79,7 +79,7 @@
     (AttemptProgress::Responded { status, not_executed }, end)
 }
 
-/// What an attempt without a response says to the balancer.
+/// The end of an attempt without a response, as reported to the balancer.
 fn end_without_response(progress: AttemptProgress) -> AttemptEnd {
     match progress {
         AttemptProgress::CancelledBeforeSend => AttemptEnd::CancelledBeforeSend,
--- a/crates/data-plane/src/client_connection.rs
+++ b/crates/data-plane/src/client_connection.rs
@@ -1,6 +1,6 @@
-//! One connection of a client: reads requests, answers them in order, and watches for its disconnect meanwhile.
+//! One client connection: reads requests, responds to them in order, and meanwhile detects the client's disconnect.
 //!
-//! A connection on which a request is in flight is closed by nothing but its client's reset.
+//! While a request is in flight, its connection is closed only if the client resets it.
 
 use crate::client_presence::ClientPresence;
 use crate::client_server::{ClientServer, CountGuard, ServingStage};
@@ -17,19 +17,19 @@
 use tokio::time::{sleep, timeout};
 use tokio_util::codec::Framed;
 
-/// The largest body of a request in bytes, whatever the configuration says: several of that size have to fit into the
-/// memory for bodies.
-const MAX_BODY: usize = 8 << 20;
-/// A client that does not read its response for so long is disconnected.
+/// Maximum size of a request body in bytes, whatever the configuration allows: several bodies of this size have to fit
+/// into the memory for bodies.
+const MAX_REQUEST_BODY: usize = 8 << 20;
+/// A client that does not read its response for this long is disconnected.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Bytes that are read ahead of a client that pipelines its next request: a head's worth.
+/// Maximum number of bytes that are read ahead from a client that pipelines requests: enough for a head.
 const READ_AHEAD: usize = 16 * 1024;
-/// Seconds for a head and between two requests, while no configuration is in force.
+/// Timeouts in seconds while no configuration is in force: for the head of a request, and for an idle connection.
 const DEFAULT_HEADER_TIMEOUT: f64 = 3.0;
 const DEFAULT_IDLE_TIMEOUT: f64 = 15.0;
-/// The bounds, in seconds, of what a configuration may set as both timeouts together.
-const MIN_WAIT: f64 = 1.0;
-const MAX_WAIT: f64 = 600.0;
+/// Bounds in seconds of the sum of both timeouts, whatever the configuration sets.
+const MIN_REQUEST_TIMEOUT: f64 = 1.0;
+const MAX_REQUEST_TIMEOUT: f64 = 600.0;
 
 type ClientStream = Framed<TcpStream, ServerCodec>;
 
@@ -37,28 +37,28 @@
 pub async fn serve(server: Rc<ClientServer>, stream: TcpStream) {
     let _open = CountGuard::new(&server.open_connections);
     stream.set_nodelay(true).ok();
-    let codec = ServerCodec::new(request_header::NAMES, MAX_BODY, server.body_memory.clone());
+    let codec = ServerCodec::new(request_header::NAMES, MAX_REQUEST_BODY, server.body_memory.clone());
     let mut framed = Framed::new(stream, codec);
     let mut stage = server.stage.clone();
     while let Some(decoded) = next_request(&server, &mut framed, &mut stage).await {
         let _in_flight = CountGuard::new(&server.requests_in_flight);
         let handled = match decoded {
             Decoded::Rejected(status) => {
-                Handled { response: Response::plain(status), close: true, disconnect: None }
+                HandledRequest { response: Response::plain(status), close: true, disconnect: None }
             }
             Decoded::Request(request) => handle(&server, &mut framed, *request).await,
         };
         let Some(response) = final_response(&server, handled) else { return };
-        let closes = response.close;
+        let close = response.close;
         match timeout(WRITE_TIMEOUT, framed.send(response)).await {
-            Ok(Ok(())) if !closes => {}
+            Ok(Ok(())) if !close => {}
             _ => return,
         }
     }
 }
 
-/// The next request; `None` where the connection ends: closed by its client, idle for too long, or the node is closed
-/// to clients. A request that has begun to arrive is read to its end.
+/// Reads the next request; `None` if the connection ends, because the client closed it, the wait timed out, or the node is
+/// closed to clients. If the node closes while a request is arriving, that request is still read to its end.
 async fn next_request(
     server: &ClientServer,
     framed: &mut ClientStream,
@@ -70,31 +70,33 @@
         .map_or((DEFAULT_HEADER_TIMEOUT, DEFAULT_IDLE_TIMEOUT), |configuration| {
             (configuration.header_timeout, configuration.idle_timeout)
         });
-    let wait = Duration::from_secs_f64((header_timeout + idle_timeout).clamp(MIN_WAIT, MAX_WAIT));
+    let request_timeout = Duration::from_secs_f64(
+        (header_timeout + idle_timeout).clamp(MIN_REQUEST_TIMEOUT, MAX_REQUEST_TIMEOUT),
+    );
     let decoded = tokio::select! {
         biased;
         decoded = framed.next() => decoded,
         _ = stage.wait_for(|stage| *stage == ServingStage::Closed), if !framed.codec().is_partial() => return None,
-        _ = sleep(wait) => return None,
+        _ = sleep(request_timeout) => return None,
     };
     decoded?.ok()
 }
 
-/// What came of one request.
-struct Handled {
+/// The result of handling one request.
+struct HandledRequest {
     response: Response,
-    /// The client asked for the end of the connection, or what it sent leaves no other way.
+    /// Whether to close the connection after the response: the client asked for it, or its request could not be decoded.
     close: bool,
-    /// How the client disconnected before its response.
+    /// How the client disconnected before the response, if it did.
     disconnect: Option<Disconnect>,
 }
 
-/// The response as it is written, counted; `None` where nobody is left to read it.
-fn final_response(server: &ClientServer, handled: Handled) -> Option<Response> {
-    let Handled { mut response, close, disconnect } = handled;
+/// Counts the response and decides whether the connection closes after it; `None` if the client reset the connection.
+fn final_response(server: &ClientServer, handled: HandledRequest) -> Option<Response> {
+    let HandledRequest { mut response, close, disconnect } = handled;
     match disconnect {
         Some(Disconnect::Reset) => return None,
-        // A client that only ended its sending still reads.
+        // The client may have closed only its sending side, and still read the response.
         Some(Disconnect::Closed) => response.close = true,
         None => server.data_plane.metrics.response_sent(response.status),
     }
@@ -102,8 +104,8 @@
     Some(response)
 }
 
-/// Responds to one request and watches for its client's disconnect meanwhile.
-async fn handle(server: &ClientServer, framed: &mut ClientStream, request: Request) -> Handled {
+/// Responds to one request, and meanwhile detects the client's disconnect.
+async fn handle(server: &ClientServer, framed: &mut ClientStream, request: Request) -> HandledRequest {
     let (close, id) = (request.close, request.fields[request_header::ATTEMPT_ID].once().map(str::to_string));
     let client = ClientPresence::new();
     let mut respond = pin!(request::respond(&server.data_plane, request, &client));
@@ -120,5 +122,5 @@
         Some(id) => response.with(protocol::ATTEMPT_ID, id),
         None => response,
     };
-    Handled { response, close, disconnect }
+    HandledRequest { response, close, disconnect }
 }
--- a/crates/data-plane/src/client_server.rs
+++ b/crates/data-plane/src/client_server.rs
@@ -1,39 +1,39 @@
-//! What all connections of clients share: the serving stage, the bounds, and the counts of what is open.
+//! The state that all client connections share: the serving stage, limits, and counts of connections and requests.
 
 use crate::data_plane::DataPlane;
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::sync::watch;
 
-/// The stages of a data node's life towards its clients, in their order.
+/// The stages in which a data node serves clients, in their order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd)]
 pub enum ServingStage {
-    /// Connections are accepted and kept.
+    /// Connections are accepted and kept open.
     Serving,
-    /// Connections are accepted; each closes with its next response.
+    /// Connections are accepted; each closes after its next response.
     Draining,
-    /// No connection is accepted, no request is read; those in flight are answered.
+    /// No connection is accepted and no further request is read; requests in flight are answered.
     Closed,
 }
 
-/// The clients' side of a data node.
+/// The server for clients' connections.
 pub struct ClientServer {
     /// The state that all requests share.
     pub data_plane: Rc<DataPlane>,
-    /// The stage, as the shutdown sets it.
+    /// The current stage, which the shutdown advances.
     pub stage: watch::Receiver<ServingStage>,
-    /// Bytes left for large bodies.
+    /// Unreserved memory for large bodies, in bytes.
     pub body_memory: Rc<Cell<usize>>,
-    /// The largest number of open connections.
+    /// Maximum number of open client connections.
     pub max_connections: usize,
-    /// Open connections of clients.
+    /// Number of open client connections.
     pub open_connections: Cell<usize>,
-    /// Requests that are not answered yet.
+    /// Number of requests that are not answered yet.
     pub requests_in_flight: Cell<usize>,
 }
 
 impl ClientServer {
-    /// Nothing open, nothing in flight.
+    /// Creates a server without open connections.
     pub fn new(
         data_plane: Rc<DataPlane>,
         stage: watch::Receiver<ServingStage>,
@@ -45,11 +45,11 @@
     }
 }
 
-/// Counts one in a gauge for as long as it lives.
+/// Increments a gauge until it is dropped.
 pub struct CountGuard<'a>(&'a Cell<usize>);
 
 impl CountGuard<'_> {
-    /// Counts one more in `gauge`.
+    /// Increments `gauge`.
     pub fn new(gauge: &Cell<usize>) -> CountGuard<'_> {
         gauge.set(gauge.get() + 1);
         CountGuard(gauge)
--- a/crates/data-plane/src/control_session.rs
+++ b/crates/data-plane/src/control_session.rs
@@ -1,6 +1,6 @@
-//! The driver of this node's session with a control node: sockets and timers around
+//! The driver of this node's session with a control node: the sockets and timers for
 //! [`archlink_control_client::session::Session`], which decides when to connect, to send heartbeats, to request updates
-//! and to leave.
+//! and to change to another control node.
 
 use crate::data_plane::DataPlane;
 use archlink_config::Settings;
@@ -16,15 +16,15 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until};
 
-/// Without a session for so long the seeds in the settings file are read anew: all control nodes that this one knew may
-/// have been replaced while it was partitioned from them.
+/// After this long without a session, the seeds in the settings file are read again: all control nodes that this node knew
+/// may have been replaced while it was partitioned from them.
 const SEED_RELOAD_INTERVAL: Duration = Duration::from_secs(2);
-/// Messages on their way out of one connection; a control node that leaves more unread is left.
+/// Maximum number of messages queued for sending on one connection. If the queue is full, the connection is closed.
 pub const MAX_QUEUED_MESSAGES: usize = 256;
-/// The latest wake-up, in seconds of the process clock, that the runtime's timer is asked for.
+/// Latest wake-up that is passed to the runtime's timer, in seconds on the process clock.
 const MAX_WAKE_AT: f64 = 1e6;
 
-/// Messages that a peer sends.
+/// The messages received from a peer.
 pub type MessageStream = Pin<Box<dyn Stream<Item = io::Result<Message>>>>;
 
 /// The connection of a session.
@@ -33,32 +33,32 @@
     messages: MessageStream,
 }
 
-/// The control nodes that a settings file names.
+/// The control nodes that the settings name.
 fn seed_nodes(settings: &Settings) -> Vec<NodeId> {
     settings.seeds.iter().map(|seed| archlink_runtime::node_id(*seed.ip())).collect()
 }
 
-/// The same of the file as it is now; `None` where it can't be read.
+/// The control nodes that the settings file names now; `None` if the file can't be read or is invalid.
 fn reload_seed_nodes() -> Option<Vec<NodeId>> {
     let text = archlink_runtime::settings_text().ok()?;
     Settings::read(&text).ok().map(|settings| seed_nodes(&settings))
 }
 
-/// Keeps a session for as long as the process lives.
+/// Maintains a session for the lifetime of the process.
 pub async fn run(data_plane: Rc<DataPlane>) {
-    let mut without_session_since = Instant::now();
+    let mut disconnected_since = Instant::now();
     let mut session = Session::new(local_node(&data_plane.settings));
     let mut connection: Option<SessionConnection> = None;
     loop {
         if session.peer().is_some() {
-            without_session_since = Instant::now();
-        } else if without_session_since.elapsed() > SEED_RELOAD_INTERVAL {
-            without_session_since = Instant::now();
+            disconnected_since = Instant::now();
+        } else if disconnected_since.elapsed() > SEED_RELOAD_INTERVAL {
+            disconnected_since = Instant::now();
             reload_seed_nodes().into_iter().for_each(|seeds| session.set_seeds(seeds));
         }
         let now = data_plane.clock.now();
         let actions = session.tick(now, &data_plane.fleet_view.borrow(), || data_plane.data_node());
-        perform(&data_plane, &mut session, &mut connection, actions).await;
+        perform_actions(&data_plane, &mut session, &mut connection, actions).await;
         let wake_at = data_plane.clock.instant_at(session.wake_at().min(MAX_WAKE_AT));
         let received = tokio::select! {
             received = next_message(&mut connection) => received,
@@ -68,8 +68,8 @@
                 continue;
             }
         };
-        let actions = step(&data_plane, &mut session, received);
-        perform(&data_plane, &mut session, &mut connection, actions).await;
+        let actions = handle_received(&data_plane, &mut session, received);
+        perform_actions(&data_plane, &mut session, &mut connection, actions).await;
     }
 }
 
@@ -82,7 +82,7 @@
     }
 }
 
-/// The next message, or the connection's end; pending while there is no connection.
+/// Receives the next message or the end of the connection; pending while there is no connection.
 async fn next_message(connection: &mut Option<SessionConnection>) -> Option<io::Result<Message>> {
     match connection {
         Some(connection) => connection.messages.next().await,
@@ -90,8 +90,8 @@
     }
 }
 
-/// Takes in a message or the connection's end, and applies what it changes in the fleet view.
-fn step(
+/// Processes a message or the end of the connection, and applies the changes of the fleet view.
+fn handle_received(
     data_plane: &DataPlane,
     session: &mut Session,
     received: Option<io::Result<Message>>,
@@ -104,12 +104,12 @@
             actions
         }
         Some(Err(e)) => session.connection_lost(now, &e.to_string()),
-        None => session.connection_lost(now, "it closed the connection"),
+        None => session.connection_lost(now, "closed by the control node"),
     }
 }
 
-/// Performs the session's actions in their order, and those that follow from them.
-async fn perform(
+/// Performs the session's actions in their order, and then those that result from them.
+async fn perform_actions(
     data_plane: &DataPlane,
     session: &mut Session,
     connection: &mut Option<SessionConnection>,
@@ -130,7 +130,9 @@
             SessionAction::Disconnect => *connection = None,
             SessionAction::Send(message) => {
                 if connection.as_ref().is_some_and(|open| open.sender.try_send(message).is_err()) {
-                    actions.extend(session.connection_lost(data_plane.clock.now(), "it does not read"));
+                    actions.extend(
+                        session.connection_lost(data_plane.clock.now(), "the control node does not read"),
+                    );
                 }
             }
             SessionAction::Warn(ended) => {
--- a/crates/data-plane/src/counter_session.rs
+++ b/crates/data-plane/src/counter_session.rs
@@ -1,5 +1,5 @@
-//! The driver of this node's connection to the holder of the quota counter: sends adds, receives totals, and moves when
-//! the counter's lease does.
+//! The driver of this node's connection to the holder of the quota counter's lease: sends adds, receives totals, and
+//! connects to the new holder when the lease moves.
 
 use crate::control_session::{MAX_QUEUED_MESSAGES, MessageStream};
 use crate::data_plane::DataPlane;
@@ -11,26 +11,26 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until, timeout};
 
-/// The wait between two connections to a holder that isn't reached.
+/// Delay before the next attempt to connect to a holder.
 const RECONNECT_INTERVAL: Duration = Duration::from_millis(100);
-/// The wait between two empty calls while the holder does not count yet.
+/// Interval of empty calls that probe a holder that does not serve the counter yet.
 const PROBE_INTERVAL: Duration = Duration::from_millis(60);
 
-/// The holder of the counter's lease in one term.
+/// The holder of the counter's lease, in one term of the lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct CounterHolder {
     node: NodeId,
     term: u64,
 }
 
-/// Keeps a connection to the counter's holder for as long as the process lives.
+/// Maintains a connection to the counter's holder for the lifetime of the process.
 pub async fn run(data_plane: Rc<DataPlane>) {
     let mut calls = PendingCalls::default();
     loop {
         data_plane.set_counter_reachable(false);
         let Some(holder) = current_holder(&data_plane) else {
             fail_adds(&data_plane);
-            pause(&data_plane).await;
+            wait_before_reconnect(&data_plane).await;
             continue;
         };
         let address = archlink_runtime::node_address(holder.node, data_plane.settings.internal_port);
@@ -45,7 +45,7 @@
             }
             Err(_) => fail_adds(&data_plane),
         }
-        pause(&data_plane).await;
+        wait_before_reconnect(&data_plane).await;
     }
 }
 
@@ -53,13 +53,13 @@
     data_plane.counter_holder().map(|(node, term)| CounterHolder { node, term })
 }
 
-/// What can't be sent is not added.
+/// Reports the adds that are due as not added, because they can't be sent.
 fn fail_adds(data_plane: &DataPlane) {
     data_plane.finish_counter_calls(vec![CallResult::NotAdded(data_plane.quota.take_adds())]);
 }
 
-/// Waits for the next connection; adds that come meanwhile fail at once, so that no request waits for them.
-async fn pause(data_plane: &DataPlane) {
+/// Waits until the next attempt to connect. Adds that become due meanwhile fail at once, so that no request waits for them.
+async fn wait_before_reconnect(data_plane: &DataPlane) {
     let until = Instant::now() + RECONNECT_INTERVAL;
     while timeout(until - Instant::now().min(until), data_plane.quota.adds_ready.notified()).await.is_ok() {
         fail_adds(data_plane);
@@ -78,8 +78,8 @@
 }
 
 impl CounterConnection<'_> {
-    /// Calls and receives until the connection ends, the lease moves, or a call times out. Calls that are pending then
-    /// have an unknown result.
+    /// Sends calls and receives replies until the connection ends, a call times out, or the lease has moved and no call is
+    /// pending.
     async fn run(&mut self, mut messages: MessageStream) {
         let data_plane = self.data_plane;
         let mut probe_at = Some(Instant::now());
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Takes in the totals of a call, and ends the calls that they answer.
+    /// Processes a reply, which resolves its call and all earlier ones.
     fn receive(&mut self, serial: u64, clock: f64, totals: Option<Vec<f32>>) -> ReplyMatch {
         self.data_plane.observe_clock(clock);
         let (reply, results) = self.calls.receive(self.data_plane.clock.now(), serial, totals);
@@ -126,7 +126,7 @@
         reply
     }
 
-    /// Sends one call; false where the connection does not take it.
+    /// Sends one call; returns false if the connection's queue is full or closed.
     fn call(&mut self, adds: Vec<CounterAdd>) -> bool {
         let data_plane = self.data_plane;
         match self.calls.send(data_plane.clock.now(), adds) {
--- a/crates/data-plane/src/data_plane.rs
+++ b/crates/data-plane/src/data_plane.rs
@@ -1,6 +1,6 @@
-//! The state that all requests of a data node share: settings, clock, fleet view, balancer, retry budget, pool, quotas.
+//! The state that all requests of a data node share.
 //!
-//! Single-threaded: `RefCell` borrows are short and never held across an await.
+//! A data node is single-threaded: `RefCell` borrows are short and never held across an await.
 
 use crate::metrics::Metrics;
 use crate::quota_state::QuotaState;
@@ -17,36 +17,36 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Seconds by which keyed requests stop before the configuration's revocation bound: an attempt that was started in time
-/// may still be on its way to the host.
+/// Seconds before the revocation bound at which an unconfirmed configuration stops serving keys: the last attempt that was
+/// started may still be on its way to the host.
 const REVOKE_MARGIN: f64 = 0.7;
 
 /// The shared state of one data node.
 pub struct DataPlane {
-    /// The validated settings file, as it was at the start.
+    /// The settings, as read and validated at the start.
     pub settings: Settings,
-    /// Seconds since the process started.
+    /// The process clock: seconds since the process started.
     pub clock: Clock,
-    /// Pooled connections to hosts.
+    /// Connections to hosts.
     pub pool: Rc<ConnectionPool<ClientCodec>>,
-    /// Configuration, hosts and nodes as the control plane reports them.
+    /// Configuration, hosts and nodes as reported by the control plane.
     pub fleet_view: RefCell<FleetView>,
-    /// Chooses hosts and keeps what is known of their load and health.
+    /// Selects hosts and tracks their load and health.
     pub balancer: RefCell<Balancer>,
-    /// Bounds retries and hedged requests by the rate of first attempts.
+    /// Limits retries and hedged requests in proportion to first attempts.
     pub retry_budget: RefCell<RetryBudget>,
-    /// What quota admission keeps between requests.
+    /// The state of quota enforcement.
     pub quota: QuotaState,
-    /// Counted for operators.
+    /// Metrics for operators.
     pub metrics: Metrics,
-    /// Graceful shutdown has begun: the node is not ready any more.
+    /// Whether graceful shutdown has begun, so that the node is no longer ready.
     pub draining: Cell<bool>,
-    /// Notified when readiness or the holder of the quota counter may have changed.
+    /// Notified when readiness or the holder of the quota counter's lease may have changed.
     pub state_changed: Notify,
 }
 
 impl DataPlane {
-    /// A node that has no configuration and knows no hosts yet.
+    /// Creates the state of a node that has no configuration and knows no hosts yet.
     pub fn new(settings: Settings, clock: Clock, pool: Rc<ConnectionPool<ClientCodec>>) -> Rc<DataPlane> {
         let bounds = settings.timing_bounds;
         let warm_up = WarmUpBound { overrun: bounds.warm_up_overrun, slack: bounds.warm_up_slack };
@@ -67,29 +67,29 @@
         })
     }
 
-    /// The configuration in force, if any.
+    /// The configuration that is in force, if any.
     pub fn configuration(&self) -> Option<Rc<Configuration>> {
         self.fleet_view.borrow().configuration()
     }
 
-    /// Seconds of the clock that the quota counter's holder and all data nodes share.
+    /// The time in seconds on the cluster clock, which the quota counter's holder and all data nodes share.
     pub fn cluster_clock(&self) -> f64 {
         self.fleet_view.borrow().cluster_clock(self.clock.now())
     }
 
-    /// A message of the counter's holder carried its cluster clock.
+    /// Records the cluster clock that a message from the counter's holder carried.
     pub fn observe_clock(&self, clock: f64) {
         self.fleet_view.borrow_mut().observe_clock(self.clock.now(), clock);
     }
 
-    /// Whether a quorum has confirmed the configuration recently enough for keys to be served by it. Asked anew before
-    /// each attempt.
+    /// Whether a quorum has confirmed the configuration recently enough to serve keyed requests. To be checked before each
+    /// attempt.
     pub fn is_confirmed(&self) -> bool {
         self.fleet_view.borrow().is_confirmed(self.clock.now())
     }
 
-    /// Whether clients can be sent here. A node that has only just started has no local share yet and waits for the
-    /// quota counter, for one quota window at most; one that loses the counter later stays ready.
+    /// Whether the node is ready for clients. A node that has just started has no local shares yet, so it waits for the
+    /// quota counter, but at most for one quota window. A node that loses the counter later stays ready.
     pub fn is_ready(&self) -> bool {
         let quota_ready =
             self.quota.counter_was_reachable() || self.clock.now() > self.settings.timing_bounds.quota_window;
@@ -115,17 +115,17 @@
         }
     }
 
-    /// The holder of the quota counter's lease, and the term of that lease.
+    /// The holder and the term of the quota counter's lease, if known.
     pub fn counter_holder(&self) -> Option<(NodeId, u64)> {
         self.fleet_view.borrow().counter_holder()
     }
 
-    /// Data nodes that may be serving; 0 is not known yet.
+    /// Number of data nodes that may be running; 0 if not known yet.
     pub fn data_node_count(&self) -> u32 {
         self.fleet_view.borrow().data_nodes().len() as u32
     }
 
-    /// The bound on retries that the settings give.
+    /// The bound on retries from the settings.
     pub fn retry_bound(&self) -> RetryBound {
         RetryBound {
             ratio: self.settings.timing_bounds.retry_ratio,
--- a/crates/data-plane/src/dispatch.rs
+++ b/crates/data-plane/src/dispatch.rs
@@ -95,7 +95,7 @@
     async fn start_due_attempt(&mut self) -> Result<(), LocalReply> {
         let Some(budget_use) = self.due_attempt else { return Ok(()) };
         if self.attempts.any_started() {
-            self.outgoing.client.recheck().await;
+            self.outgoing.client.refresh().await;
         }
         self.due_attempt = None;
         if self.outgoing.client.is_disconnected() || self.start_attempt(budget_use) {
--- a/crates/data-plane/src/protocol.rs
+++ b/crates/data-plane/src/protocol.rs
@@ -1,59 +1,59 @@
-//! The names of the client's and the host's protocol, in one place.
+//! Names and values of the HTTP headers that clients and hosts exchange with the data plane.
 //!
-//! The codec compares header names in lower case and hands out the values that are read by position, so each list
-//! below goes with the positions beside it. Everything that is read is withheld from the other side; all other headers
-//! are passed on as they came.
+//! The codec matches header names in lower case and returns the values of wanted headers by position, so each list of
+//! names comes with its positions. Wanted headers are not forwarded; all others are forwarded unchanged.
 
-/// The request's id: chosen by the client, passed to the host, and repeated by both responses.
+/// The request's id: chosen by the client, sent to the host, and repeated in the responses of the host and the data node.
 pub const ATTEMPT_ID: &str = "Attempt-Id";
-/// Milliseconds left for the request, to the host.
+/// Sent to the host: the milliseconds until the request's deadline.
 pub const TIME_REMAINING: &str = "Time-Remaining";
-/// The name of the tenant whose key the request carried, to the host.
+/// Sent to the host: the name of the tenant that the request's key belongs to.
 pub const SUBSCRIBER: &str = "Subscriber";
-/// The id of the host instance that a request is meant for: another instance at its address responds with 421.
+/// Sent to the host: the id of the host instance that the request is for. Another instance at its address responds with
+/// 421.
 pub const TARGET_INSTANCE: &str = "Target-Instance";
-/// The host's proof that a 2xx response is its own.
+/// The host's proof that it sent a 2xx response.
 pub const SERVER_SEAL: &str = "Server-Seal";
-/// Seconds, with three decimals, after which a rejected client may come back.
+/// Seconds, with three decimals, after which the client may retry.
 pub const RETRY_AFTER: &str = "Retry-After";
 /// The media type of a body.
 pub const CONTENT_TYPE: &str = "Content-Type";
 
-/// The value of `Not-Executed` by which a host states that it did not execute the request.
+/// The value of `Not-Executed` with which a host states that it did not execute the request.
 pub const NOT_EXECUTED_TRUE: &str = "1";
-/// The host at this address is not the instance that the request names: it did not execute it.
+/// The status with which a host states that it is not the instance that the request names, and did not execute it.
 pub const STATUS_MISDIRECTED: u16 = 421;
 
-/// Headers that are read of a client's request.
+/// Headers that are read from a client's request.
 pub mod request_header {
     /// The names, in the order of the positions below.
     pub const NAMES: &[&str] = &["attempt-id", "time-remaining", "key", "subscriber", "target-instance"];
     /// Position of the request's id.
     pub const ATTEMPT_ID: usize = 0;
-    /// Position of the milliseconds that the client waits.
+    /// Position of the client's timeout in milliseconds.
     pub const TIME_REMAINING: usize = 1;
     /// Position of the tenant's key.
     pub const KEY: usize = 2;
 }
 
-/// Headers that are read of a host's response.
+/// Headers that are read from a host's response.
 pub mod response_header {
     /// The names, in the order of the positions below.
     pub const NAMES: &[&str] =
         &["attempt-id", "server-seal", "not-executed", "server-load", "content-encoding"];
-    /// Position of the id of the request that is responded to.
+    /// Position of the id of the request that the response belongs to.
     pub const ATTEMPT_ID: usize = 0;
     /// Position of the host's seal.
     pub const SERVER_SEAL: usize = 1;
-    /// Position of the statement that the request was not executed.
+    /// Position of the host's statement that it did not execute the request.
     pub const NOT_EXECUTED: usize = 2;
-    /// Position of the host's load: running, queued, slots.
+    /// Position of the host's load: requests running, requests waiting, slots.
     pub const SERVER_LOAD: usize = 3;
-    /// Position of the body's encoding: hosts encode none.
+    /// Position of the encoding of the body, which has to be absent.
     pub const CONTENT_ENCODING: usize = 4;
 }
 
-/// Appends one header line.
+/// Appends a header line with its CRLF.
 pub fn append_header(lines: &mut Vec<u8>, name: &str, value: &str) {
     lines.reserve(name.len() + value.len() + 4);
     lines.extend_from_slice(name.as_bytes());
@@ -62,8 +62,8 @@
     lines.extend_from_slice(b"\r\n");
 }
 
-/// The running and queued requests and the slots of a `Server-Load` value; `None` unless it begins with three finite
-/// numbers.
+/// Parses a `Server-Load` value: requests running, requests waiting and slots. `None` unless the value begins with three
+/// finite numbers.
 pub fn parse_server_load(text: &str) -> Option<(f64, f64, f64)> {
     let mut parts = text.split(',').map(|part| part.trim().parse::<f64>().ok().filter(|n| n.is_finite()));
     Some((parts.next()??, parts.next()??, parts.next()??))
--- a/crates/data-plane/src/request.rs
+++ b/crates/data-plane/src/request.rs
@@ -99,7 +99,7 @@
     let acquisition = selection.data_plane().acquire_quota(tenant, selection.deadline().time_limit);
     match client.unless_disconnected(acquisition).await {
         Some(Ok(())) => {
-            client.recheck().await;
+            client.refresh().await;
             Ok(())
         }
         Some(Err(exceeded)) => Err(LocalReply::QuotaExceeded { retry_after: exceeded.retry_after }),
--- a/crates/data-plane/src/upstream.rs
+++ b/crates/data-plane/src/upstream.rs
@@ -1,10 +1,10 @@
-//! One exchange with a host on one connection, from the first byte of the request to the last of the response.
+//! One exchange with a host: sends the request on a connection and receives the response.
 //!
-//! Where its client disconnects, nothing more is sent, and a host that executes an idempotent request is released by
-//! closing its connection; what is not idempotent is carried to its end whoever still waits.
+//! If the client disconnects before anything is sent, nothing is sent. Later, an exchange that is idempotent is cancelled
+//! by closing the connection, so that the host can stop working on it; any other exchange runs to its end.
 //!
-//! Invariants: a request is sent once; a response counts only if it carries the request's own id, the host's seal where
-//! it is a 2xx, and its complete body.
+//! Invariants: a request is sent once; a response is used only if it is complete and has the request's own id and, with a
+//! 2xx status, the host's seal.
 
 use crate::attempt_progress::AttemptProgress;
 use crate::client_presence::ClientPresence;
@@ -19,50 +19,50 @@
 use std::io;
 use tokio::time::{Instant, timeout_at};
 
-/// Unmatched responses in the place of the one that is due, before the connection counts as broken.
+/// Maximum number of responses read for one request; if all of them belong to other requests, the attempt fails.
 const MAX_UNMATCHED_RESPONSES: usize = 4;
 
-/// A client's request as it goes to hosts.
+/// A client's request to be sent to hosts.
 pub struct UpstreamRequest {
-    /// As it came from the client.
+    /// The request as received from the client.
     pub request: Request,
-    /// Its `Attempt-Id`, which the response has to carry.
+    /// The request's `Attempt-Id`, which the response has to repeat.
     pub id: String,
-    /// Header lines, without those that differ from host to host.
+    /// Header lines that are the same for all attempts.
     pub header_lines: Vec<u8>,
-    /// The value of its `Host` header.
+    /// The value of the `Host` header.
     pub origin: String,
-    /// Whether its client still waits.
+    /// Whether the client is still connected.
     pub client: ClientPresence,
-    /// It may be executed more than once, and so may be cancelled.
+    /// Whether the request may be executed more than once, and so its attempts may be cancelled.
     pub idempotent: bool,
 }
 
 /// An attempt without a usable response.
 #[derive(Debug)]
 pub struct AttemptFailure {
-    /// How far it came.
+    /// How far the attempt progressed.
     pub progress: AttemptProgress,
-    /// Why it came no further.
+    /// Why it failed.
     pub cause: FailureCause,
 }
 
-/// Why an attempt has no usable response.
+/// Why an attempt failed without a usable response.
 #[derive(Debug)]
 pub enum FailureCause {
     /// The client disconnected.
     ClientDisconnected,
-    /// The deadline passed before a connection was open.
+    /// The deadline passed before a connection was established.
     DeadlineExceeded,
-    /// The host was removed from the list, or the deadline passed, while a connection opened.
+    /// While the connection was being established, the host became unavailable or the deadline passed.
     NoLongerAllowed,
-    /// The connection failed, or was closed before a complete response.
+    /// The connection failed or was closed before a complete response.
     Io(io::Error),
-    /// The response's body is encoded: hosts encode none.
+    /// The response has a `Content-Encoding`, which hosts never use.
     EncodedBody,
-    /// A 2xx response without the host's seal.
+    /// A 2xx response lacks the host's seal.
     MissingSeal,
-    /// Only responses to other requests came.
+    /// Only responses to other requests were received.
     UnmatchedResponses,
 }
 
@@ -70,12 +70,14 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             FailureCause::ClientDisconnected => "the client disconnected",
-            FailureCause::DeadlineExceeded => "no connection before the deadline",
-            FailureCause::NoLongerAllowed => "host removed or deadline passed before the request was sent",
+            FailureCause::DeadlineExceeded => "no connection established before the deadline",
+            FailureCause::NoLongerAllowed => {
+                "host became unavailable or deadline passed before the request was sent"
+            }
             FailureCause::Io(e) => return e.fmt(f),
             FailureCause::EncodedBody => "the response has a Content-Encoding",
-            FailureCause::MissingSeal => "a 2xx response without Server-Seal",
-            FailureCause::UnmatchedResponses => "only responses with other requests' Attempt-Id",
+            FailureCause::MissingSeal => "the 2xx response has no Server-Seal",
+            FailureCause::UnmatchedResponses => "only responses with the Attempt-Id of other requests",
         })
     }
 }
@@ -95,10 +97,11 @@
     }
 }
 
-/// Connects, sends the request and receives its response.
+/// Connects to the host, sends the request and receives the response.
 ///
 /// # Errors
-/// How far it came without one, and why.
+///
+/// Returns how far the attempt progressed and why it failed, if there is no usable response.
 pub async fn exchange(
     data_plane: &DataPlane,
     host: &SelectedHost,
@@ -114,7 +117,7 @@
         data_plane.pool.put_back(host.key, connection);
         return Err(cancelled_before_send());
     }
-    // A new connection took its time: what is no longer allowed is not sent.
+    // Checked again, because it may have taken a while to open a new connection.
     if !data_plane.balancer.borrow().is_available(host.key) || Instant::now() >= deadline {
         return Err(AttemptProgress::NotConnected.with_cause(FailureCause::NoLongerAllowed));
     }
@@ -134,7 +137,7 @@
     finished.unwrap_or_else(|| Err(cancelled_after_send()))
 }
 
-/// A connection to the host, pooled or new.
+/// Takes a pooled connection to the host or opens a new one.
 async fn connect(
     data_plane: &DataPlane,
     host: &SelectedHost,
@@ -149,12 +152,13 @@
     let connection = opened
         .map_err(|_| not_connected(FailureCause::DeadlineExceeded))?
         .map_err(|e| not_connected(FailureCause::Io(e)))?;
-    client.recheck().await;
+    client.refresh().await;
     Ok(connection)
 }
 
-/// One request and its response. The connection is pooled after its own complete response alone, and only if nothing
-/// else came before or with it; in all other ends, and when this future is dropped, it is closed.
+/// Sends the request and receives its response. The connection is returned to the pool only after a complete response with
+/// the request's own id, and only if nothing else was received before or after that response. Otherwise, also if this
+/// future is dropped, the connection is closed.
 async fn round_trip(
     data_plane: &DataPlane,
     host_key: u64,
@@ -171,7 +175,7 @@
             None => return Err(broken(io::ErrorKind::UnexpectedEof.into())),
         };
         if response.fields[response_header::ATTEMPT_ID].once() != Some(id) {
-            // A late response to another request, of use to nobody now. The own one may still follow.
+            // A late response to an earlier request. The response to this one may still follow.
             continue;
         }
         validate(&response).map_err(no_response)?;
@@ -183,13 +187,13 @@
     Err(no_response(FailureCause::UnmatchedResponses))
 }
 
-/// Sends the whole request or says how far it came: a socket that took a byte may have passed it on, whatever it reports
-/// later.
+/// Sends the whole request. An error tells whether the socket had accepted any byte: that byte may have been delivered,
+/// whatever the socket reports later.
 async fn send(
     connection: &mut Connection<ClientCodec>,
     request: OutgoingRequest<'_>,
 ) -> Result<(), AttemptFailure> {
-    // Nothing is written yet: the buffer of a connection between two requests is empty.
+    // Writes nothing to the socket yet: the write buffer is empty between requests, so this only fills it.
     let fed = connection.framed.feed(request).await;
     fed.map_err(|e| AttemptProgress::NothingSent.with_cause(FailureCause::Io(e)))?;
     let total = connection.framed.write_buffer().len();
@@ -201,7 +205,7 @@
     })
 }
 
-/// Whether a response under the request's own id is the host's.
+/// Validates a response that has the request's own id.
 fn validate(response: &HostResponse) -> Result<(), FailureCause> {
     if response.fields[response_header::CONTENT_ENCODING] != HeaderValue::Absent {
         return Err(FailureCause::EncodedBody);
--- a/crates/data-plane/src/view_changes.rs
+++ b/crates/data-plane/src/view_changes.rs
@@ -1,4 +1,4 @@
-//! Applies changes of the fleet view to what goes by it: balancer, connection pool and quotas.
+//! Applies changes of the fleet view to the balancer, the connection pool and the quotas.
 
 use crate::data_plane::DataPlane;
 use archlink_balancer::balancer::WarmUpLimits;
@@ -7,7 +7,7 @@
 use archlink_messages::HostList;
 
 impl DataPlane {
-    /// Applies `changes` in their order and notifies the sessions.
+    /// Applies `changes` in their order and notifies the sessions with the control node and the quota counter.
     pub fn apply_view_changes(&self, changes: Vec<ViewChange>) {
         if changes.is_empty() {
             return;
@@ -25,7 +25,7 @@
                     self.apply_quotas();
                     self.balancer.borrow_mut().set_data_nodes(self.fleet_view.borrow().data_nodes());
                 }
-                ViewChange::InvalidUpdate(why) => log::error!(error:% = why; "state update rejected"),
+                ViewChange::InvalidUpdate(error) => log::error!(error:% = error; "state update rejected"),
                 ViewChange::ControlNodes | ViewChange::Leases | ViewChange::ConfirmationChanged => {}
             }
         }
@@ -43,7 +43,8 @@
         self.apply_quotas();
     }
 
-    /// Connections to host instances that are gone are closed: their addresses may be given to others.
+    /// Applies a list of hosts, and closes the pooled connections to hosts that get no more requests: their addresses may
+    /// be assigned to other instances.
     fn apply_host_list(&self, now: f64, hosts: &HostList) {
         let removed = self.balancer.borrow_mut().update_hosts(now, &hosts.instances);
         removed.into_iter().for_each(|key| self.pool.forget(key));
