--- a/crates/data-plane/src/listener.rs
+++ b/crates/data-plane/src/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts clients' connections, within their bound, until the node is closed to clients.
+//! Accepts client connections, up to the maximum, until the node is closed to clients.
 
 use crate::client_connection;
 use crate::client_server::{ClientServer, ServingStage};
@@ -8,10 +8,10 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// The wait after a failed accept: most of them are descriptors that ran out, and the next one would fail at once.
+/// Delay after a failed accept: usually no file descriptor is left, and the next accept would fail at once.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(10);
 
-/// Accepts connections and serves each in a task of its own; returns once the stage is [`ServingStage::Closed`].
+/// Accepts connections and serves each in its own task. Returns once the stage is [`ServingStage::Closed`].
 pub async fn listen(server: Rc<ClientServer>, listener: TcpListener) {
     let mut stage = server.stage.clone();
     loop {
--- a/crates/data-plane/src/main.rs
+++ b/crates/data-plane/src/main.rs
@@ -1,4 +1,4 @@
-//! `archlink-data-plane`: the command line and the signals of the data plane's program.
+//! `archlink-data-plane`: the command line and signal handling of the data plane.
 
 use archlink_data_plane::{DataPlaneError, DataPlaneResult, read_settings, serve};
 use archlink_runtime::until_terminated;
@@ -6,10 +6,10 @@
 use error_stack::ResultExt;
 use tokio::runtime::LocalOptions;
 
-/// The exit status where the program does not start.
+/// Exit status if the program fails to start.
 const EXIT_NOT_STARTED: i32 = 2;
 
-/// On SIGHUP the settings file is read and validated; the settings in use stay until the next start.
+/// Reads and validates the settings file on SIGHUP. The settings in use stay the same until the next start.
 fn validate_settings() {
     match read_settings() {
         Ok(settings) => {
@@ -37,12 +37,12 @@
 }
 
 fn main() {
-    let about = "The data plane of archlink: reads the file that ARCHLINK_CONFIG names and serves clients";
+    let about = "Run a data node of archlink with the settings file that ARCHLINK_CONFIG names";
     let metrics_port = Arg::new("metrics-port")
         .long("metrics-port")
         .value_name("PORT")
         .value_parser(value_parser!(u16).range(1..))
-        .help("Tells own figures as OpenMetrics text at http://IpAddress:PORT/metrics");
+        .help("Serve this process's metrics as OpenMetrics text at http://IpAddress:PORT/metrics");
     let command =
         Command::new("archlink-data-plane").version(env!("CARGO_PKG_VERSION")).about(about).arg(metrics_port);
     let arguments = command.get_matches();
--- a/crates/data-plane/src/metrics.rs
+++ b/crates/data-plane/src/metrics.rs
@@ -1,5 +1,4 @@
-//! The counters, gauges and histograms of a data node for its operators, as OpenMetrics text by `prometheus-client`.
-//! Counters begin at zero with each process.
+//! Metrics of a data node for its operators, encoded as OpenMetrics text. Counters start at zero with each process.
 
 use prometheus_client::encoding::text::encode;
 use prometheus_client::encoding::{EncodeLabelSet, EncodeLabelValue, LabelValueEncoder};
@@ -14,36 +13,38 @@
 use std::time::Duration;
 use strum::IntoStaticStr;
 
-/// Services with labels of their own: configurations that add and remove names must not exhaust the memory.
-const MAX_SERVICE_LABELS: usize = 4096;
-/// The label of the services beyond.
-const OTHER_SERVICES: &str = "other";
-/// The histogram's buckets, 1 ms to 8 s: the first upper bound in seconds, the factor between two, and their number.
+/// Maximum number of services with their own label value: configurations that keep adding and removing services must not
+/// exhaust the memory.
+const MAX_SERVICE_LABEL_VALUES: usize = 4096;
+/// The label value that all further services share.
+const OTHER_SERVICES_LABEL: &str = "other";
+/// Buckets of the histogram, from 1 ms to 8 s: the first upper bound in seconds, the factor between successive bounds, and
+/// the number of buckets.
 const FIRST_BUCKET: f64 = 0.001;
 const BUCKET_FACTOR: f64 = 2.0;
-const BUCKETS: u16 = 14;
+const BUCKET_COUNT: u16 = 14;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct ServiceLabel {
+struct ServiceLabels {
     service: String,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct StatusLabel {
+struct StatusLabels {
     status: u16,
 }
 
-/// How an attempt ended whose client had disconnected.
+/// How an attempt ended after its client had disconnected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 pub enum EndAfterDisconnect {
-    /// Nothing had been sent to the host, and nothing was.
+    /// The attempt was cancelled before anything was sent to the host.
     #[strum(serialize = "withdrawn")]
     CancelledBeforeSend,
-    /// Its connection to the host was closed.
+    /// The attempt was cancelled by closing the connection to the host.
     #[strum(serialize = "broken_off")]
     CancelledAfterSend,
-    /// The host executed it to its end.
+    /// The attempt was not cancelled and ran to its end.
     Finished,
 }
 
@@ -55,61 +56,61 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct EndLabels {
+struct DisconnectLabels {
     service: String,
     end: EndAfterDisconnect,
 }
 
-/// What came of one service's requests whose clients disconnected, since the last summary.
+/// Counts of one service's requests whose clients disconnected, since the last summary.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DisconnectSummary {
-    /// Requests whose client disconnected.
+    /// Number of requests whose client disconnected.
     pub clients: u64,
-    /// Their attempts that were never sent.
+    /// Number of their attempts that were cancelled before anything was sent.
     pub cancelled_before_send: u64,
-    /// Their attempts that were cancelled at the host.
+    /// Number of their attempts that were cancelled after something was sent.
     pub cancelled_after_send: u64,
-    /// Their attempts that were executed to their end.
+    /// Number of their attempts that ran to their end.
     pub finished: u64,
-    /// The longest time from a disconnect to the end of an attempt.
+    /// Longest time from a disconnect to the end of an attempt.
     pub max_elapsed: Duration,
 }
 
 /// The metrics of one process.
 pub struct Metrics {
     registry: Registry,
-    responses: Family<StatusLabel, Counter>,
+    responses: Family<StatusLabels, Counter>,
     connections: Gauge,
     in_flight: Gauge,
-    disconnects: Family<ServiceLabel, Counter>,
-    attempts_after_disconnect: Family<EndLabels, Counter>,
-    seconds_after_disconnect: Family<ServiceLabel, Histogram, fn() -> Histogram>,
+    disconnects: Family<ServiceLabels, Counter>,
+    attempts_after_disconnect: Family<DisconnectLabels, Counter>,
+    seconds_after_disconnect: Family<ServiceLabels, Histogram, fn() -> Histogram>,
     service_labels: RefCell<BTreeSet<String>>,
     summaries: RefCell<BTreeMap<String, DisconnectSummary>>,
 }
 
-fn histogram() -> Histogram {
-    Histogram::new(exponential_buckets(FIRST_BUCKET, BUCKET_FACTOR, BUCKETS))
+fn duration_histogram() -> Histogram {
+    Histogram::new(exponential_buckets(FIRST_BUCKET, BUCKET_FACTOR, BUCKET_COUNT))
 }
 
 impl Metrics {
-    /// All metrics at zero. Their names are scraped: they stay.
+    /// Creates all metrics at zero. Monitoring systems depend on their names, which have to stay the same.
     pub fn new() -> Metrics {
         let mut registry = Registry::with_prefix("archlink");
         let responses = Family::default();
-        registry.register("answers", "Answers to clients, by status", responses.clone());
+        registry.register("answers", "Responses to clients, by status", responses.clone());
         let connections = Gauge::default();
-        registry.register("client_connections", "Open connections of clients", connections.clone());
+        registry.register("client_connections", "Open client connections", connections.clone());
         let in_flight = Gauge::default();
-        registry.register("requests_at_work", "Requests that are not answered yet", in_flight.clone());
+        registry.register("requests_at_work", "Requests in flight", in_flight.clone());
         let disconnects = Family::default();
-        let help = "Requests whose client closed its connection before the answer";
+        let help = "Requests whose client disconnected before the response";
         registry.register("client_departures", help, disconnects.clone());
         let attempts_after_disconnect = Family::default();
-        let help = "Hand-offs to hosts whose client had left, by how they ended";
+        let help = "Attempts that ended after their client had disconnected, by how they ended";
         registry.register("departed_hand_offs", help, attempts_after_disconnect.clone());
-        let seconds_after_disconnect = Family::new_with_constructor(histogram as fn() -> Histogram);
-        let help = "Time from a client's departure to the end of a hand-off for it";
+        let seconds_after_disconnect = Family::new_with_constructor(duration_histogram as fn() -> Histogram);
+        let help = "Time from a client's disconnect to the end of an attempt for it";
         registry.register_with_unit(
             "departed_hand_off",
             help,
@@ -129,29 +130,29 @@
         }
     }
 
-    /// The label under which a service is counted.
+    /// The label value under which a service is counted.
     fn service_label(&self, service: &str) -> String {
         let mut labels = self.service_labels.borrow_mut();
-        if !labels.contains(service) && labels.len() >= MAX_SERVICE_LABELS {
-            return OTHER_SERVICES.to_string();
+        if !labels.contains(service) && labels.len() >= MAX_SERVICE_LABEL_VALUES {
+            return OTHER_SERVICES_LABEL.to_string();
         }
         labels.insert(service.to_string());
         service.to_string()
     }
 
-    /// A response goes to a client.
+    /// Counts a response to a client.
     pub fn response_sent(&self, status: u16) {
-        self.responses.get_or_create(&StatusLabel { status }).inc();
+        self.responses.get_or_create(&StatusLabels { status }).inc();
     }
 
-    /// The client of a request to that service disconnected.
+    /// Counts a request to this service whose client disconnected.
     pub fn client_disconnected(&self, service: &str) {
         let service = self.service_label(service);
         self.summaries.borrow_mut().entry(service.clone()).or_default().clients += 1;
-        self.disconnects.get_or_create(&ServiceLabel { service }).inc();
+        self.disconnects.get_or_create(&ServiceLabels { service }).inc();
     }
 
-    /// An attempt ended so long after its client had disconnected.
+    /// Records that an attempt ended, `elapsed` after its client had disconnected.
     pub fn attempt_ended_after_disconnect(&self, service: &str, end: EndAfterDisconnect, elapsed: Duration) {
         let service = self.service_label(service);
         let mut summaries = self.summaries.borrow_mut();
@@ -162,22 +163,26 @@
             EndAfterDisconnect::Finished => summary.finished += 1,
         }
         summary.max_elapsed = summary.max_elapsed.max(elapsed);
-        self.attempts_after_disconnect.get_or_create(&EndLabels { service: service.clone(), end }).inc();
-        self.seconds_after_disconnect.get_or_create(&ServiceLabel { service }).observe(elapsed.as_secs_f64());
+        self.attempts_after_disconnect
+            .get_or_create(&DisconnectLabels { service: service.clone(), end })
+            .inc();
+        self.seconds_after_disconnect
+            .get_or_create(&ServiceLabels { service })
+            .observe(elapsed.as_secs_f64());
     }
 
-    /// The summary of each service with disconnects since the last call, by its label.
+    /// Takes the summaries of all services with disconnects since the last call, by label value.
     pub fn take_disconnect_summaries(&self) -> BTreeMap<String, DisconnectSummary> {
         std::mem::take(&mut *self.summaries.borrow_mut())
     }
 
-    /// All metrics as OpenMetrics text, with the gauges' values of this moment.
+    /// Encodes all metrics as OpenMetrics text, with these current values for the gauges.
     pub fn encode(&self, connections: usize, in_flight: usize) -> String {
         self.connections.set(connections as i64);
         self.in_flight.set(in_flight as i64);
         let mut text = String::new();
         if let Err(e) = encode(&mut text, &self.registry) {
-            log::error!(error:% = e; "metrics not encoded");
+            log::error!(error:% = e; "encoding of metrics failed");
         }
         text
     }
--- a/crates/data-plane/src/server.rs
+++ b/crates/data-plane/src/server.rs
@@ -1,4 +1,4 @@
-//! Start and graceful shutdown of one data node.
+//! Startup and graceful shutdown of one data node.
 
 use crate::client_server::{ClientServer, ServingStage};
 use crate::data_plane::DataPlane;
@@ -19,50 +19,55 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
 
-/// Fraction of the process's descriptors for clients' connections. With the hosts' fraction it leaves 15% for the
-/// system's own connections, files and sockets that are closing.
-const CLIENT_DESCRIPTORS: f64 = 0.5;
-/// Fraction of the process's descriptors for pooled connections to hosts.
-const HOST_DESCRIPTORS: f64 = 0.35;
-/// Fraction of the process's memory for large bodies of requests and responses.
-const BODY_MEMORY: f64 = 0.2;
-/// Seconds that an idle connection is pooled for a host that names no time of its own.
+/// Fraction of the file descriptors for client connections. Together with the fraction for hosts it leaves 15% for
+/// connections to other nodes of the system, files and sockets that are closing.
+const CLIENT_DESCRIPTOR_FRACTION: f64 = 0.5;
+/// Fraction of the file descriptors for connections to hosts.
+const HOST_DESCRIPTOR_FRACTION: f64 = 0.35;
+/// Fraction of the memory for large bodies of requests and responses.
+const BODY_MEMORY_FRACTION: f64 = 0.2;
+/// Time in seconds for which hosts are assumed to keep an idle connection, unless they state another one.
 const POOL_IDLE_TIMEOUT: f64 = 5.0;
-/// Seconds to wait for a new connection to a host.
+/// Timeout in seconds for a new connection to a host.
 const HOST_CONNECT_TIMEOUT: f64 = 0.25;
-/// The largest body of a host's response, in bytes.
+/// Maximum size of a host's response body in bytes.
 const MAX_RESPONSE_BODY: usize = 8 << 20;
-/// Seconds between two summaries in the log: services with limited admission, and clients that disconnected.
+/// Interval in seconds of the summaries in the log: services whose load is being shed, and clients that disconnected.
 const SUMMARY_INTERVAL: u64 = 5;
-/// Fraction of the grace period during which clients that still connect are served: load balancers before this node
-/// need that long to see that it is not ready.
-const ACCEPT_FRACTION: f64 = 0.4;
-/// Fraction of the grace period after which the process ends even with requests in flight; the rest is for its exit.
-const END_FRACTION: f64 = 0.95;
-/// Grace period in seconds where the settings name none.
-const DEFAULT_GRACE: f64 = 6.0;
-/// Time between two looks at the requests in flight during shutdown.
-const SHUTDOWN_POLL: Duration = Duration::from_millis(5);
+/// Fraction of the grace period for which connections are still accepted: load balancers in front of this node need time
+/// to notice that it is no longer ready.
+const ACCEPT_GRACE_FRACTION: f64 = 0.4;
+/// Fraction of the grace period after which the process exits even with requests in flight. The rest is for the exit.
+const EXIT_GRACE_FRACTION: f64 = 0.95;
+/// Grace period in seconds if the settings name none.
+const DEFAULT_GRACE_PERIOD: f64 = 6.0;
+/// Interval at which the shutdown checks for requests in flight.
+const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The settings file that `ARCHLINK_CONFIG` names, validated.
+/// Reads and validates the settings file that `ARCHLINK_CONFIG` names.
 ///
 /// # Errors
-/// [`DataPlaneError::Settings`] where it can't be read or a key is wrong; the report names the file or the key.
+///
+/// Returns [`DataPlaneError::Settings`] if the file can't be read or a key is invalid; the report names the file or the
+/// key.
 pub fn read_settings() -> DataPlaneResult<Settings> {
     let text = archlink_runtime::settings_text().change_context(DataPlaneError::Settings)?;
     Settings::read(&text).change_context(DataPlaneError::Settings)
 }
 
-/// Serves as a data node on the current thread until `until` resolves; then drains: clients are accepted for a part of
-/// the grace period, and requests in flight are answered. `metrics_port` is the port for operators' metrics, if they
-/// are wanted. Has to run within a local runtime or task set.
+/// Runs a data node on the current thread until `shutdown` resolves, and then drains it: connections are accepted for a
+/// part of the grace period, and requests in flight are answered. Metrics are served on `metrics_port`, if there is one.
+///
+/// This function has to be called within a local runtime or a `LocalSet`.
 ///
 /// # Errors
-/// [`DataPlaneError::Settings`] where an address is missing, [`DataPlaneError::Start`] where one can't be listened on.
+///
+/// Returns [`DataPlaneError::Settings`] if an address is missing in the settings, or [`DataPlaneError::Start`] if an
+/// address can't be bound.
 pub async fn serve(
     settings: Settings,
     metrics_port: Option<u16>,
-    until: impl Future<Output = ()>,
+    shutdown: impl Future<Output = ()>,
 ) -> DataPlaneResult<()> {
     let clock = Clock::start();
     let (client_listener, readiness_listener) = (
@@ -70,12 +75,12 @@
         bind(settings.readiness_address, "Listen.Ready").await?,
     );
     let (server, stage) = assemble(settings, clock);
-    spawn_drivers(&server, readiness_listener, metrics_port);
-    let listening = spawn_local(listener::listen(server.clone(), client_listener));
+    spawn_background_tasks(&server, readiness_listener, metrics_port);
+    let listener_task = spawn_local(listener::listen(server.clone(), client_listener));
     spawn_local(housekeeping(server.data_plane.clone()));
     log::info!(name = server.data_plane.settings.name.as_str(); "data node started");
-    until.await;
-    drain(&server, &stage, async { drop(listening.await) }).await;
+    shutdown.await;
+    drain(&server, &stage, async { drop(listener_task.await) }).await;
     Ok(())
 }
 
@@ -88,34 +93,42 @@
         .attach_with(|| format!("{key}: {address}"))
 }
 
-/// The state of a data node with the bounds that its settings give.
+/// Creates the state of a data node with the limits from its settings.
 fn assemble(settings: Settings, clock: Clock) -> (Rc<ClientServer>, watch::Sender<ServingStage>) {
     let descriptors = |fraction: f64| (settings.max_descriptors as f64 * fraction) as usize;
-    let body_memory = Rc::new(Cell::new((settings.memory_bytes * BODY_MEMORY) as usize));
+    let body_memory = Rc::new(Cell::new((settings.memory_bytes * BODY_MEMORY_FRACTION) as usize));
     let response_memory = body_memory.clone();
     let codec = move || ClientCodec::new(response_header::NAMES, MAX_RESPONSE_BODY, response_memory.clone());
-    let pool =
-        ConnectionPool::new(descriptors(HOST_DESCRIPTORS), POOL_IDLE_TIMEOUT, HOST_CONNECT_TIMEOUT, codec);
-    let max_connections = descriptors(CLIENT_DESCRIPTORS);
+    let pool = ConnectionPool::new(
+        descriptors(HOST_DESCRIPTOR_FRACTION),
+        POOL_IDLE_TIMEOUT,
+        HOST_CONNECT_TIMEOUT,
+        codec,
+    );
+    let max_connections = descriptors(CLIENT_DESCRIPTOR_FRACTION);
     let (stage, stages) = watch::channel(ServingStage::Serving);
     let data_plane = DataPlane::new(settings, clock, pool);
     (Rc::new(ClientServer::new(data_plane, stages, body_memory, max_connections)), stage)
 }
 
-/// Starts what runs beside the clients' connections for as long as the process lives.
-fn spawn_drivers(server: &Rc<ClientServer>, readiness_listener: TcpListener, metrics_port: Option<u16>) {
+/// Spawns the tasks that run for the lifetime of the process, besides those for client connections.
+fn spawn_background_tasks(
+    server: &Rc<ClientServer>,
+    readiness_listener: TcpListener,
+    metrics_port: Option<u16>,
+) {
     let data_plane = &server.data_plane;
     spawn_local(control_session::run(data_plane.clone()));
     spawn_local(counter_session::run(data_plane.clone()));
-    let timed = data_plane.clone();
-    spawn_local(async move { timed.run_quota_timer().await });
+    let quota_timer = data_plane.clone();
+    spawn_local(async move { quota_timer.run_quota_timer().await });
     spawn_local(status::serve_readiness(server.clone(), readiness_listener));
     if let Some(port) = metrics_port {
         spawn_local(serve_metrics(server.clone(), port));
     }
 }
 
-/// Operators' metrics at that port of the node's own address. A port that is taken costs the metrics and nothing else.
+/// Serves metrics at this port of the node's own address. If the port can't be bound, the node runs without them.
 async fn serve_metrics(server: Rc<ClientServer>, port: u16) {
     let address = SocketAddr::new(server.data_plane.settings.ip.into(), port);
     match TcpListener::bind(address).await {
@@ -124,7 +137,7 @@
     }
 }
 
-/// Each second closes pooled connections that were idle for too long; every few seconds logs the summaries.
+/// Closes pooled connections that were idle for too long every second, and logs the summaries every few seconds.
 async fn housekeeping(data_plane: Rc<DataPlane>) {
     for second in 1_u64.. {
         sleep(Duration::from_secs(1)).await;
@@ -136,8 +149,8 @@
 }
 
 fn log_summaries(data_plane: &DataPlane) {
-    let limited = data_plane.balancer.borrow().load_shedding_log_lines(data_plane.clock.now());
-    for line in limited {
+    let log_lines = data_plane.balancer.borrow().load_shedding_log_lines(data_plane.clock.now());
+    for line in log_lines {
         log::info!(detail = line.as_str(); "admission limited");
     }
     for (service, summary) in data_plane.metrics.take_disconnect_summaries() {
@@ -153,7 +166,7 @@
     }
 }
 
-/// Graceful shutdown, bounded by the grace period.
+/// Shuts down gracefully, within the grace period.
 async fn drain(
     server: &ClientServer,
     stage: &watch::Sender<ServingStage>,
@@ -161,17 +174,18 @@
 ) {
     let data_plane = &server.data_plane;
     let configured = data_plane.settings.timing_bounds.grace;
-    let grace = if configured.is_finite() { configured } else { DEFAULT_GRACE };
+    let grace = if configured.is_finite() { configured } else { DEFAULT_GRACE_PERIOD };
     log::info!(grace_s = grace, in_flight = server.requests_in_flight.get(); "draining started");
     let started = Instant::now();
     data_plane.draining.set(true);
     data_plane.state_changed.notify_waiters();
     stage.send(ServingStage::Draining).ok();
-    sleep(Duration::from_secs_f64(grace * ACCEPT_FRACTION)).await;
+    sleep(Duration::from_secs_f64(grace * ACCEPT_GRACE_FRACTION)).await;
     stage.send(ServingStage::Closed).ok();
     listener_closed.await;
-    while server.requests_in_flight.get() > 0 && started.elapsed().as_secs_f64() < grace * END_FRACTION {
-        sleep(SHUTDOWN_POLL).await;
+    while server.requests_in_flight.get() > 0 && started.elapsed().as_secs_f64() < grace * EXIT_GRACE_FRACTION
+    {
+        sleep(SHUTDOWN_POLL_INTERVAL).await;
     }
     log::info!(
         elapsed_ms = started.elapsed().as_millis() as u64,
--- a/crates/data-plane/src/status.rs
+++ b/crates/data-plane/src/status.rs
@@ -1,4 +1,4 @@
-//! Small servers beside the clients' one: readiness for the platform, metrics for operators.
+//! HTTP servers for readiness checks and metrics.
 
 use crate::client_server::ClientServer;
 use crate::protocol::CONTENT_TYPE;
@@ -14,16 +14,16 @@
 const READINESS_PATH: &str = "/archlink/readiness";
 const METRICS_PATH: &str = "/metrics";
 const METRICS_MEDIA_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
-/// A connection without a request for so long is closed.
+/// A connection without a request for this long is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Open connections of one listener; more are closed as they come.
+/// Maximum number of open connections of one listener; further ones are closed at once.
 const MAX_CONNECTIONS: usize = 256;
-/// The wait after a failed accept: most of them are descriptors that ran out, and clients need those first.
+/// Delay after a failed accept: usually no file descriptor is left, and client connections need them first.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
 type RespondFn = fn(&ClientServer, &str) -> Response;
 
-/// `GET /archlink/readiness`: 200 while clients can be sent here, 503 otherwise.
+/// Serves `GET /archlink/readiness`: 200 while the node is ready for clients, 503 otherwise.
 pub async fn serve_readiness(server: Rc<ClientServer>, listener: TcpListener) {
     serve(server, listener, "readiness", |server, path| match path {
         READINESS_PATH => Response::plain(if server.data_plane.is_ready() { 200 } else { 503 }),
@@ -32,7 +32,7 @@
     .await;
 }
 
-/// `GET /metrics`: this process's metrics as OpenMetrics text.
+/// Serves `GET /metrics`: this process's metrics as OpenMetrics text.
 pub async fn serve_metrics(server: Rc<ClientServer>, listener: TcpListener) {
     serve(server, listener, "metrics", |server, path| match path {
         METRICS_PATH => {
@@ -47,15 +47,15 @@
 }
 
 async fn serve(server: Rc<ClientServer>, listener: TcpListener, name: &'static str, respond: RespondFn) {
-    // Counted by its references: one here, and one for each open connection.
-    let open = Rc::new(());
+    // Its reference count is 1 plus the number of open connections.
+    let open_connections = Rc::new(());
     loop {
         match listener.accept().await {
-            Ok((stream, _)) if Rc::strong_count(&open) <= MAX_CONNECTIONS => {
-                let (server, open) = (server.clone(), open.clone());
+            Ok((stream, _)) if Rc::strong_count(&open_connections) <= MAX_CONNECTIONS => {
+                let (server, open_connection) = (server.clone(), open_connections.clone());
                 spawn_local(async move {
                     serve_connection(&server, stream, respond).await;
-                    drop(open);
+                    drop(open_connection);
                 });
             }
             Ok(_) => {}
