--- a/crates/data-plane/src/tests/attempts.rs
+++ b/crates/data-plane/src/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! Decisions on attempts, over all ends in all orders.
+//! Decisions on retries, hedging and the final response, for all sequences of attempt ends.
 
 use crate::attempt_progress::{AttemptClass, AttemptProgress};
 use crate::attempts::{AttemptRules, Attempts, LocalOutcome, NextStep};
@@ -8,20 +8,20 @@
     Attempts::new(AttemptRules { idempotent, max_attempts: 2, latency_target: 0.4 })
 }
 
-/// Over all ends in all orders; nor does a request go to more hosts than the route allows.
+/// For all sequences of attempt ends. Also checks that a request is sent to no more hosts than its route allows.
 #[test]
 fn request_that_may_have_executed_is_neither_retried_nor_answered_as_not_executed() {
-    const ENDS: [AttemptClass; 4] = [
+    const CLASSES: [AttemptClass; 4] = [
         AttemptClass::Failure,
         AttemptClass::NotExecuted,
         AttemptClass::NotSent,
         AttemptClass::MayHaveExecuted,
     ];
     for idempotent in [false, true] {
-        for code in 0..4_usize.pow(6) {
+        for sequence in 0..4_usize.pow(6) {
             let (mut attempts, mut executed, mut sent) = (attempts(idempotent), false, 0);
-            for n in 0..6 {
-                let class = ENDS[code / 4_usize.pow(n) % 4];
+            for position in 0..6 {
+                let class = CLASSES[sequence / 4_usize.pow(position) % 4];
                 attempts.attempt_started();
                 assert!(!executed || idempotent);
                 sent += u32::from(class != AttemptClass::NotSent);
@@ -41,29 +41,29 @@
     }
 }
 
-/// The table of `AttemptProgress::classify`, each row by what the client gets where no other host is left, and whether
-/// one is asked.
+/// Checks each row of the table at `AttemptProgress::classify`: the next step, and how the request ends without a retry.
 #[test]
-fn each_attempt_progress_leads_to_the_step_of_its_table_row() {
+fn attempt_progress_determines_the_next_step() {
     use AttemptProgress::*;
     let responded = |status| Responded { status, not_executed: false };
-    let (retry, unbudgeted) = (NextStep::Retry { budgeted: true }, NextStep::Retry { budgeted: false });
-    let (relay, unknown) = (NextStep::Relay, NextStep::GiveUp(LocalOutcome::MayHaveExecuted));
+    let (budgeted_retry, unbudgeted_retry) =
+        (NextStep::Retry { budgeted: true }, NextStep::Retry { budgeted: false });
+    let (relay, give_up) = (NextStep::Relay, NextStep::GiveUp(LocalOutcome::MayHaveExecuted));
     for (progress, if_idempotent, otherwise) in [
-        (NotConnected, unbudgeted, unbudgeted),
-        (NothingSent, unbudgeted, unbudgeted),
-        (PartiallySent, retry, unknown),
-        (NoResponse, retry, unknown),
-        (TimedOut, retry, unknown),
-        (CancelledBeforeSend, unbudgeted, unbudgeted),
-        (CancelledAfterSend, retry, unknown),
-        (Responded { status: 503, not_executed: true }, retry, retry),
-        (Responded { status: 200, not_executed: true }, retry, retry),
-        (responded(421), retry, retry),
-        (responded(408), relay, unknown),
-        (responded(429), relay, unknown),
-        (responded(503), retry, unknown),
-        (responded(500), retry, relay),
+        (NotConnected, unbudgeted_retry, unbudgeted_retry),
+        (NothingSent, unbudgeted_retry, unbudgeted_retry),
+        (PartiallySent, budgeted_retry, give_up),
+        (NoResponse, budgeted_retry, give_up),
+        (TimedOut, budgeted_retry, give_up),
+        (CancelledBeforeSend, unbudgeted_retry, unbudgeted_retry),
+        (CancelledAfterSend, budgeted_retry, give_up),
+        (Responded { status: 503, not_executed: true }, budgeted_retry, budgeted_retry),
+        (Responded { status: 200, not_executed: true }, budgeted_retry, budgeted_retry),
+        (responded(421), budgeted_retry, budgeted_retry),
+        (responded(408), relay, give_up),
+        (responded(429), relay, give_up),
+        (responded(503), budgeted_retry, give_up),
+        (responded(500), budgeted_retry, relay),
         (responded(200), relay, relay),
         (responded(404), relay, relay),
     ] {
@@ -81,7 +81,7 @@
     }
 }
 
-/// A client that disconnected leaves no time.
+/// A disconnected client counts as having no time remaining.
 #[test]
 fn no_attempt_is_retried_without_time_remaining() {
     use AttemptClass::*;
--- a/crates/data-plane/src/tests/control_session.rs
+++ b/crates/data-plane/src/tests/control_session.rs
@@ -1,4 +1,4 @@
-//! The session with a control node and the fleet view together: what old messages may change.
+//! The session with a control node together with the fleet view: the effect of stale messages.
 
 use archlink_control_client::fleet_view::FleetView;
 use archlink_control_client::session::{LocalNode, Session, SessionAction};
@@ -15,7 +15,7 @@
     DataNode { node: 1, zone: "z".into(), region: "r".into(), client_address, ready: true }
 }
 
-/// The serial of the heartbeat that is due.
+/// Returns the serial of the heartbeat that the session sends at `now`.
 fn heartbeat_serial(session: &mut Session, fleet_view: &FleetView, now: f64) -> u64 {
     let actions = session.tick(now, fleet_view, data_node);
     let serial = actions.iter().find_map(|action| match action {
@@ -30,7 +30,7 @@
     session.connected(now, Ok(()));
 }
 
-/// What a control node sends when the fleet is at the n-th version of everything.
+/// The messages of a control node when everything is at version `n`.
 fn messages_at(n: u64, serial: u64) -> [Message; 2] {
     let lease = LeaseGrant { role: SingletonRole::QuotaCounter, holder: 10 + n as u32, term: n };
     let versions =
@@ -49,10 +49,10 @@
         r#"{{"ConfigVersion": "{n:08x}", "RouteTable": {{"ColumnNames": [], "Records": []}},
             "ServiceTable": {{"ColumnNames": [], "Records": []}}}}"#
     );
-    let packed = patch::compress(configuration.as_bytes(), b"").unwrap().into();
+    let compressed = patch::compress(configuration.as_bytes(), b"").unwrap().into();
     let value = format!("zone-{n}").into();
     let updates = vec![
-        StateUpdate::ConfigurationPatch { revision: n, base: 0, patch: packed },
+        StateUpdate::ConfigurationPatch { revision: n, base: 0, patch: compressed },
         StateUpdate::Chosen(
             Register::Evacuations,
             AcceptedValue { revision: n, value, ..AcceptedValue::default() },
@@ -72,23 +72,23 @@
     )
 }
 
-/// Old heartbeats and updates, duplicated, in any order, on the session's own connection or on the next one: a heartbeat
-/// confirms once, for the session heartbeat whose serial it names, in the session that sent it.
+/// Stale heartbeats and updates arrive again, duplicated and reordered, in the same session or in the next one. A heartbeat
+/// confirms the configuration only once, and only in the session whose heartbeat has its serial.
 #[test]
-fn old_heartbeats_and_updates_revert_nothing_and_confirm_nothing() {
+fn stale_messages_neither_revert_the_fleet_view_nor_confirm_it() {
     let local_node = LocalNode { node: 1, zone: "z".into(), region: "r".into(), seeds: vec![2] };
     let (mut session, mut fleet_view) = (Session::new(local_node), FleetView::new(LEASE));
     connect(&mut session, &fleet_view, 0.0);
-    let mut old = Vec::new();
+    let mut messages = Vec::new();
     for (n, at) in [(1, 0.0), (2, 0.5), (3, 1.0)] {
         let serial = heartbeat_serial(&mut session, &fleet_view, at);
-        old.extend(messages_at(n, serial));
+        messages.extend(messages_at(n, serial));
         for message in messages_at(n, serial) {
             session.step(at, message, &mut fleet_view);
         }
     }
-    let (late, before) = (1.0 + LEASE - 0.1, state(&fleet_view, 1.0));
-    assert!(fleet_view.is_confirmed(late) && !fleet_view.is_confirmed(1.0 + LEASE));
+    let (before_expiry, before) = (1.0 + LEASE - 0.1, state(&fleet_view, 1.0));
+    assert!(fleet_view.is_confirmed(before_expiry) && !fleet_view.is_confirmed(1.0 + LEASE));
     for round in 0..2 {
         let now = 1.2 + 0.4 * f64::from(round);
         if round == 1 {
@@ -96,12 +96,12 @@
             connect(&mut session, &fleet_view, now + 0.2);
             heartbeat_serial(&mut session, &fleet_view, now + 0.2);
         }
-        // Rotated and reversed: each message comes before and after each other one.
-        for from in 0..old.len() {
-            old.rotate_left(1);
-            old.reverse();
-            for message in &old {
-                session.step(now + 0.2 + 0.01 * from as f64, message.clone(), &mut fleet_view);
+        // Rotates and reverses, so that each message comes both before and after each other one.
+        for rotation in 0..messages.len() {
+            messages.rotate_left(1);
+            messages.reverse();
+            for message in &messages {
+                session.step(now + 0.2 + 0.01 * rotation as f64, message.clone(), &mut fleet_view);
                 assert_eq!(state(&fleet_view, 1.0), before, "round {round}, {message:?}");
             }
         }
--- a/crates/data-plane/src/tests/disconnects.rs
+++ b/crates/data-plane/src/tests/disconnects.rs
@@ -1,15 +1,15 @@
-//! Clients that disconnect while their requests are in flight: what is idempotent ends with its client, what is not is
-//! carried to its end, and no attempt is started for a client that is gone.
+//! Clients that disconnect while their requests are in flight: attempts of idempotent requests are cancelled, other
+//! attempts run to their end, and no attempt is started for a disconnected client.
 
 use super::HostBehaviour::*;
 use super::*;
 use archlink_messages::CounterAdd;
 use archlink_quota::pending_calls::CallResult;
 
-/// A request's time in milliseconds: an attempt that ends sooner was ended for another reason.
+/// `Time-Remaining` of the requests: an attempt that ends much sooner did not end because of the deadline.
 const REQUEST_MILLIS: u32 = 3000;
 
-/// Yields that give all tasks that are ready their turn, several times over.
+/// Number of yields after which all ready tasks have run several times.
 const READY_TASK_YIELDS: usize = 20;
 
 async fn run_ready_tasks() {
@@ -18,16 +18,16 @@
     }
 }
 
-fn request_text(target: &str, id: &str, more: &str) -> String {
+fn request_text(target: &str, id: &str, extra_lines: &str) -> String {
     format!(
-        "GET {target} HTTP/1.1\r\nHost: o\r\nTime-Remaining: {REQUEST_MILLIS}\r\n{more}Attempt-Id: {id}\r\n\r\n"
+        "GET {target} HTTP/1.1\r\nHost: o\r\nTime-Remaining: {REQUEST_MILLIS}\r\n{extra_lines}Attempt-Id: {id}\r\n\r\n"
     )
 }
 
-/// A client on a socket that has sent one request.
-async fn client(address: SocketAddr, target: &str, id: &str, more: &str) -> TcpStream {
+/// Connects a client and sends one request.
+async fn client(address: SocketAddr, target: &str, id: &str, extra_lines: &str) -> TcpStream {
     let mut stream = TcpStream::connect(address).await.unwrap();
-    stream.write_all(request_text(target, id, more).as_bytes()).await.unwrap();
+    stream.write_all(request_text(target, id, extra_lines).as_bytes()).await.unwrap();
     stream
 }
 
@@ -43,12 +43,16 @@
         hosts.request_seen.notified().await;
         let elapsed = data_plane.clock.now() - disconnected_at;
         assert_eq!(*hosts.cancelled.borrow(), ["one"]);
-        assert!(elapsed < f64::from(REQUEST_MILLIS) / 1e3 / 2.0, "the host worked on for {elapsed} s");
+        assert!(
+            elapsed < f64::from(REQUEST_MILLIS) / 1e3 / 2.0,
+            "the host was released only after {elapsed} s"
+        );
     };
-    run([scenario()], 1);
+    run_scenarios([scenario()], 1);
 }
 
-/// Whatever the first host does, the second one never sees a request whose client left when the first had read it.
+/// Whatever the first host does with a request, no other host gets it if the client disconnects when the first host reads
+/// it.
 #[test]
 fn no_second_host_is_tried_for_a_disconnected_client() {
     let scenario = async |behaviour: HostBehaviour, idempotent: bool| {
@@ -59,16 +63,22 @@
         respond_to(&data_plane, target, "one", 90, 10, &client).await;
         run_ready_tasks().await;
         let executed = hosts.executed.borrow();
-        let at: Vec<usize> = executed.iter().map(|(_, host)| *host).collect();
+        let hosts_reached: Vec<usize> = executed.iter().map(|(_, host)| *host).collect();
         let max_executions = usize::from(behaviour.may_execute());
-        assert!(at.len() <= max_executions, "{behaviour:?}, {idempotent}: executed at {at:?}");
+        assert!(
+            hosts_reached.len() <= max_executions,
+            "{behaviour:?}, {idempotent}: executed at {hosts_reached:?}"
+        );
     };
-    // A host that reads nothing sees nobody disconnect.
+    // A host that resets the connection before reading never triggers the disconnect.
     let behaviours = BEHAVIOURS.into_iter().filter(|behaviour| *behaviour != ResetBeforeRead);
-    run(behaviours.flat_map(|behaviour| [scenario(behaviour, false), scenario(behaviour, true)]), 32);
+    run_scenarios(
+        behaviours.flat_map(|behaviour| [scenario(behaviour, false), scenario(behaviour, true)]),
+        32,
+    );
 }
 
-/// One tenant with a quota that counts, and a route that needs no key.
+/// A configuration with one tenant that has a quota, and one route that needs no key.
 const KEYED_CONFIGURATION: &str = r#"{"ConfigVersion": "00000001",
     "RouteTable": {
         "ColumnNames": ["Designation", "Origin", "PathPrefix", "Category", "MaxAttempts", "Service", "Public"],
@@ -78,7 +88,7 @@
     "Subscribers": {"ColumnNames": ["Designation", "Credentials", "RatePerS", "BurstSize"],
         "Records": [["t", ["k"], 100, 100]]}}"#;
 
-/// What a test needs around a request that waits for the quota counter.
+/// A request that waits for the quota counter, with its environment.
 struct WaitingForCounter {
     hosts: Rc<ScriptedHosts>,
     data_plane: Rc<DataPlane>,
@@ -88,10 +98,12 @@
     _stage: watch::Sender<ServingStage>,
 }
 
-/// A client whose request waits for the counter, with pooled connections to both hosts, so that a grant sends it at once.
+/// Sends a request that waits for the counter. There are pooled connections to both hosts, so that the request would be
+/// sent to a host as soon as the counter grants it.
 async fn waiting_for_counter(target: &str) -> WaitingForCounter {
-    let (hosts, data_plane) = setup_with(&[HoldUntilReleased, HoldUntilReleased], KEYED_CONFIGURATION);
-    let first = [
+    let (hosts, data_plane) =
+        setup_with_configuration(&[HoldUntilReleased, HoldUntilReleased], KEYED_CONFIGURATION);
+    let warm_up = [
         respond(&data_plane, "/open", "first", REQUEST_MILLIS, 1),
         respond(&data_plane, "/open", "second", REQUEST_MILLIS, 1),
     ];
@@ -101,7 +113,7 @@
         }
         hosts.release.notify_waiters();
     };
-    futures_util::future::join(futures_util::future::join_all(first), released).await;
+    futures_util::future::join(futures_util::future::join_all(warm_up), released).await;
     hosts.executed.borrow_mut().clear();
     data_plane.set_counter_reachable(true);
     let (server, address, _stage) = listen(data_plane.clone()).await;
@@ -124,8 +136,8 @@
     wait_until(|| data_plane.metrics.encode(0, 0).contains(line)).await;
 }
 
-/// The client disconnects and the counter's grant comes at one moment, as after a freeze of the machine: the grant may be
-/// looked at first.
+/// The client's disconnect and the counter's grant arrive at the same time, as they may after the machine was suspended,
+/// and the grant may be processed first.
 #[test]
 fn grant_that_arrives_with_the_disconnect_starts_no_attempt() {
     let scenario = async |target: &'static str| {
@@ -138,12 +150,12 @@
         run_ready_tasks().await;
         assert_eq!(*hosts.executed.borrow(), [], "{target}");
     };
-    run([scenario("/read"), scenario("/write")], 1);
+    run_scenarios([scenario("/read"), scenario("/write")], 1);
 }
 
-/// The tenant is not charged.
+/// The tenant is not charged for a request whose client disconnected.
 #[test]
-fn disconnect_while_the_counter_is_asked_takes_the_add_back() {
+fn disconnect_while_waiting_for_the_counter_withdraws_the_add() {
     let scenario = async |target: &'static str| {
         let WaitingForCounter { hosts, data_plane, server, client, adds, _stage } =
             waiting_for_counter(target).await;
@@ -151,15 +163,15 @@
         wait_until(|| server.requests_in_flight.get() == 0).await;
         let (key, added) = (adds[0].key, adds[0].amount);
         data_plane.finish_counter_calls(vec![CallResult::Totals(adds, vec![1.0])]);
-        let later = data_plane.quota.take_adds();
-        let taken_back: f32 = later.iter().filter(|add| add.key == key).map(|add| add.amount).sum();
-        assert_eq!((added, taken_back), (1.0, -1.0), "{target}");
+        let later_adds = data_plane.quota.take_adds();
+        let withdrawn: f32 = later_adds.iter().filter(|add| add.key == key).map(|add| add.amount).sum();
+        assert_eq!((added, withdrawn), (1.0, -1.0), "{target}");
         assert_eq!(*hosts.executed.borrow(), [], "{target}");
     };
-    run([scenario("/read"), scenario("/write")], 1);
+    run_scenarios([scenario("/read"), scenario("/write")], 1);
 }
 
-/// It is carried on, counts as in flight, and leaves its connection as good as before.
+/// The attempt continues, counts as in flight, and its connection is reusable afterwards.
 #[test]
 fn non_idempotent_attempt_outlives_its_client() {
     let scenario = async || {
@@ -176,10 +188,10 @@
         assert!(data_plane.metrics.encode(0, 0).contains("end=\"finished\"} 1"));
         assert_eq!(respond(&data_plane, "/write", "two", REQUEST_MILLIS, 10).await.status, 200);
     };
-    run([scenario()], 1);
+    run_scenarios([scenario()], 1);
 }
 
-/// A host whose new connections do not come up: the attempt ends with its client, and nothing arrives later.
+/// The host accepts no connections: the attempt ends when the client disconnects, and not at the deadline.
 #[test]
 fn disconnect_while_connecting_sends_nothing() {
     let scenario = async |target: &'static str| {
@@ -187,10 +199,10 @@
         socket.bind(([127, 0, 0, 1], 0).into()).unwrap();
         let listener = socket.listen(1).unwrap();
         let address = listener.local_addr().unwrap();
-        // Takes up all places for connections that nobody has accepted.
+        // Fills the listener's backlog, so that no further connection is established.
         let backlog: Vec<_> = (0..8).map(|_| spawn_local(TcpStream::connect(address))).collect();
         run_ready_tasks().await;
-        let data_plane = data_plane(&[address], PUBLIC_CONFIGURATION);
+        let data_plane = new_data_plane(&[address], PUBLIC_CONFIGURATION);
         let (started, client) = (data_plane.clock.now(), ClientPresence::new());
         let disconnect = async {
             run_ready_tasks().await;
@@ -199,15 +211,16 @@
         let responded = respond_to(&data_plane, target, "one", REQUEST_MILLIS, 10, &client);
         let (response, ()) = futures_util::future::join(responded, disconnect).await;
         assert!(data_plane.clock.now() - started < f64::from(REQUEST_MILLIS) / 1e3 / 2.0, "{target}");
-        // For a client that only ended its sending: it was not executed.
+        // The response that a client gets if it closed only its sending side: a request that is not idempotent ends when
+        // its attempt does, so it is known that nothing was sent.
         assert_eq!(response.status, if target == "/read" { 502 } else { 503 });
         wait_for_metric(&data_plane, "end=\"withdrawn\"} 1").await;
         backlog.into_iter().for_each(|connecting| connecting.abort());
     };
-    run([scenario("/read"), scenario("/write")], 1);
+    run_scenarios([scenario("/read"), scenario("/write")], 1);
 }
 
-/// Nothing that such a client sent after this request is started.
+/// A client that closes its sending side gets the response to its first request; its pipelined second one is not executed.
 #[test]
 fn half_closed_client_is_answered_and_then_closed() {
     let scenario =
@@ -228,5 +241,8 @@
             assert_eq!(ids, executed.iter().map(|(id, _)| id.to_string()).collect::<Vec<_>>());
         };
     let executed = &[("one", 0)];
-    run([scenario("/read", "HTTP/1.1 502", executed), scenario("/write", "HTTP/1.1 200", executed)], 1);
+    run_scenarios(
+        [scenario("/read", "HTTP/1.1 502", executed), scenario("/write", "HTTP/1.1 200", executed)],
+        1,
+    );
 }
--- a/crates/data-plane/src/tests/mod.rs
+++ b/crates/data-plane/src/tests/mod.rs
@@ -1,5 +1,5 @@
-//! A data node before two scripted hosts on loopback. Nothing here sleeps: a host waits for what the client has received,
-//! and a host that does not respond is ended by the request's own deadline.
+//! Tests of a data node with scripted hosts on loopback. No test sleeps: a host waits until the client has its response,
+//! and an attempt at a host that does not respond ends at the request's deadline.
 
 mod attempts;
 mod control_session;
@@ -29,7 +29,7 @@
 use tokio::sync::watch;
 use tokio::task::{LocalSet, spawn_local, yield_now};
 
-/// Two routes, and no tenants.
+/// A configuration with an idempotent and a non-idempotent route and no tenants.
 const PUBLIC_CONFIGURATION: &str = r#"{"ConfigVersion": "00000001",
     "RouteTable": {"ColumnNames": ["Designation", "Origin", "PathPrefix", "Category", "MaxAttempts", "Service"],
         "Records": [["r", "o", "/read", "idempotent", 2, "s"], ["w", "o", "/write", "non_idempotent", 2, "s"]]},
@@ -40,16 +40,16 @@
     "Limits": {"MemoryMb": 256, "FileDescriptors": 1024}, "Cloud": {"RatePerS": 1},
     "TimingBounds": ["RetryBudgetRatio=100,RetryBudgetSlack=100"]}"#;
 
-/// A data node with a confirmed configuration, these hosts, and two retries in its budget.
-fn data_plane(hosts: &[SocketAddr], configuration: &str) -> Rc<DataPlane> {
+/// Creates a data node with a confirmed configuration, these hosts, and deposits in its retry budget.
+fn new_data_plane(hosts: &[SocketAddr], configuration: &str) -> Rc<DataPlane> {
     let body_memory = Rc::new(Cell::new(64 << 20));
     let codec = move || ClientCodec::new(response_header::NAMES, 1 << 20, body_memory.clone());
     let pool = ConnectionPool::new(64, 5.0, 5.0, codec);
     let data_plane = DataPlane::new(Settings::read(SETTINGS).unwrap(), Clock::start(), pool);
     let instances = hosts.iter().enumerate().map(host_instance).collect();
-    let packed = patch::compress(configuration.as_bytes(), b"").unwrap().into();
+    let compressed = patch::compress(configuration.as_bytes(), b"").unwrap().into();
     for update in [
-        StateUpdate::ConfigurationPatch { revision: 1, base: 0, patch: packed },
+        StateUpdate::ConfigurationPatch { revision: 1, base: 0, patch: compressed },
         StateUpdate::DataNodes(vec![archlink_runtime::node_id([127, 0, 0, 1].into())]),
         StateUpdate::HostList(HostList { term: 1, version: 1, instances }),
     ] {
@@ -57,7 +57,7 @@
         let changes = data_plane.fleet_view.borrow_mut().append(now, Event::Update(update));
         data_plane.apply_view_changes(changes);
     }
-    // Without a quorum's confirmation no configuration is in force.
+    // A configuration is in force only once a quorum has confirmed it.
     let now = data_plane.clock.now();
     let event = Event::Heartbeat { heartbeat: confirming_heartbeat(), requested_at: Some(now) };
     let changes = data_plane.fleet_view.borrow_mut().append(now, event);
@@ -66,9 +66,9 @@
     data_plane
 }
 
-fn host_instance((n, address): (usize, &SocketAddr)) -> HostInstance {
+fn host_instance((index, address): (usize, &SocketAddr)) -> HostInstance {
     HostInstance {
-        id: format!("host-{n}"),
+        id: format!("host-{index}"),
         service: "s".into(),
         address: address.to_string().parse().unwrap(),
         zone: "west".into(),
@@ -91,29 +91,31 @@
     }
 }
 
-/// The response to a request as its connection hands it on. A host that does not respond is ended after `millis`.
+/// Processes a request as if it had arrived on a client connection, and returns the response. The request's deadline is
+/// `timeout_millis` from now.
 async fn respond(
     data_plane: &Rc<DataPlane>,
     target: &str,
     id: &str,
-    millis: u32,
+    timeout_millis: u32,
     body_length: usize,
 ) -> Response {
-    respond_to(data_plane, target, id, millis, body_length, &ClientPresence::new()).await
+    respond_to(data_plane, target, id, timeout_millis, body_length, &ClientPresence::new()).await
 }
 
+/// Like [`respond`], for a client whose presence the test controls.
 async fn respond_to(
     data_plane: &Rc<DataPlane>,
     target: &str,
     id: &str,
-    millis: u32,
+    timeout_millis: u32,
     body_length: usize,
     client: &ClientPresence,
 ) -> Response {
     let once = |text: &str| HeaderValue::Once(text.into());
     let fields = vec![
         once(id),
-        once(&millis.to_string()),
+        once(&timeout_millis.to_string()),
         HeaderValue::Absent,
         HeaderValue::Absent,
         HeaderValue::Absent,
@@ -125,23 +127,29 @@
     request::respond(data_plane, request, client).await
 }
 
-/// Two hosts that follow the script, and a data node before them.
+/// Starts two hosts that follow `script`, and a data node that knows them.
 fn setup(script: &[HostBehaviour]) -> (Rc<ScriptedHosts>, Rc<DataPlane>) {
-    setup_with(script, PUBLIC_CONFIGURATION)
+    setup_with_configuration(script, PUBLIC_CONFIGURATION)
 }
 
-fn setup_with(script: &[HostBehaviour], configuration: &str) -> (Rc<ScriptedHosts>, Rc<DataPlane>) {
+fn setup_with_configuration(
+    script: &[HostBehaviour],
+    configuration: &str,
+) -> (Rc<ScriptedHosts>, Rc<DataPlane>) {
     let (hosts, addresses) = ScriptedHosts::start(script);
-    (hosts, data_plane(&addresses, configuration))
+    (hosts, new_data_plane(&addresses, configuration))
 }
 
-/// Runs all scenarios, so many at once.
-fn run<F: Future<Output = ()> + 'static>(scenarios: impl IntoIterator<Item = F>, at_once: usize) {
+/// Runs all scenarios, `max_concurrent` at a time.
+fn run_scenarios<F: Future<Output = ()> + 'static>(
+    scenarios: impl IntoIterator<Item = F>,
+    max_concurrent: usize,
+) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let mut scenarios = scenarios.into_iter().peekable();
     while scenarios.peek().is_some() {
         LocalSet::new().block_on(&runtime, async {
-            let running: Vec<_> = scenarios.by_ref().take(at_once).map(spawn_local).collect();
+            let running: Vec<_> = scenarios.by_ref().take(max_concurrent).map(spawn_local).collect();
             for scenario in running {
                 scenario.await.unwrap();
             }
@@ -149,7 +157,7 @@
     }
 }
 
-/// The data node's clients' side on a socket of its own, for as long as the sender lives.
+/// Listens for clients of the data node on an unused port, until the sender is dropped.
 async fn listen(data_plane: Rc<DataPlane>) -> (Rc<ClientServer>, SocketAddr, watch::Sender<ServingStage>) {
     let (stage, stages) = watch::channel(ServingStage::Serving);
     let server = Rc::new(ClientServer::new(data_plane, stages, Rc::new(Cell::new(1 << 20)), 8));
--- a/crates/data-plane/src/tests/protocol.rs
+++ b/crates/data-plane/src/tests/protocol.rs
@@ -1,4 +1,4 @@
-//! The host protocol's values.
+//! Parsing of header values.
 
 use crate::protocol::parse_server_load;
 
--- a/crates/data-plane/src/tests/scripted_hosts.rs
+++ b/crates/data-plane/src/tests/scripted_hosts.rs
@@ -1,4 +1,4 @@
-//! Hosts on loopback that follow a script: what each does with the next request, and what they saw.
+//! Hosts on loopback that follow a script of behaviours and record the requests that they get.
 
 use crate::client_presence::ClientPresence;
 use std::cell::{Cell, RefCell};
@@ -10,54 +10,54 @@
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
 
-/// What a host does with the next request that comes to any of them.
+/// What a host does with a request. The script has one behaviour for each request, whichever host it arrives at.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostBehaviour {
-    /// Responds as it should.
+    /// Sends a valid response.
     Respond,
-    /// Responds after an interim response.
+    /// Sends an interim response (100) before a valid one.
     InterimResponse,
-    /// Another request's response before its own.
+    /// Sends the response to another request before the valid one.
     UnmatchedBefore,
-    /// Its own response and another request's in one write.
+    /// Sends the valid response and then the response to another request, in one write.
     UnmatchedWith,
-    /// Its response a second time, once the client has it.
+    /// Sends the valid response, and again once the client has received it.
     DuplicateResponse,
-    /// Another request's response, and no other.
+    /// Sends only the response to another request.
     UnmatchedOnly,
-    /// Another request's response, and the connection's end.
+    /// Sends the response to another request and closes the connection.
     UnmatchedThenClose,
-    /// The connection's end within the response's head.
+    /// Closes the connection within the head of the response.
     TruncatedHead,
-    /// The connection's end within the response's body.
+    /// Closes the connection within the body of the response.
     TruncatedBody,
-    /// The connection's end in place of a response.
+    /// Reads the request and closes the connection without a response.
     CloseAfterRead,
-    /// A reset before a byte of the request was read.
+    /// Resets the connection before it reads a byte of the request.
     ResetBeforeRead,
-    /// A reset after a part of the request was read.
+    /// Resets the connection after it has read a part of the request.
     ResetMidRead,
-    /// A reset after the request was read.
+    /// Resets the connection after it has read the request.
     ResetAfterRead,
-    /// A reset once the client has its response.
+    /// Sends a valid response and resets the connection once the client has received it.
     ResetWhenIdle,
-    /// Its response, once the client has given up.
+    /// Sends a valid response once the client has given up.
     LateResponse,
-    /// 503 with the statement that it was not executed.
+    /// Responds with 503 and states that it did not execute the request.
     NotExecuted,
-    /// 421.
+    /// Responds with 421.
     Misdirected,
-    /// 500.
+    /// Responds with 500.
     InternalError,
-    /// 503 without the statement that it was not executed.
+    /// Responds with 503 and does not state that it did not execute the request.
     Unavailable,
-    /// Its response once it is released; cancelled where its connection ends before.
+    /// Sends a valid response once the test releases it, or cancels the request if the connection ends before.
     HoldUntilReleased,
 }
 
 use HostBehaviour::*;
 
-/// All behaviours that end without the test's doing.
+/// All behaviours that need no action of the test.
 pub const BEHAVIOURS: [HostBehaviour; 19] = [
     Respond,
     InterimResponse,
@@ -81,7 +81,7 @@
 ];
 
 impl HostBehaviour {
-    /// The client is entitled to its response.
+    /// Whether the host sends a complete valid response in time.
     pub fn has_valid_response(self) -> bool {
         matches!(
             self,
@@ -89,7 +89,7 @@
         )
     }
 
-    /// Nothing but a request and its response was on the connection: it may be used again.
+    /// Whether the connection may be used again: it carried nothing but a request and its response.
     pub fn leaves_connection_reusable(self) -> bool {
         matches!(
             self,
@@ -103,40 +103,41 @@
         )
     }
 
-    /// Only the deadline ends the attempt.
+    /// Whether the attempt ends only at the deadline.
     pub fn times_out(self) -> bool {
         matches!(self, UnmatchedOnly | LateResponse)
     }
 
-    /// The host may have executed the request.
+    /// Whether the host counts as having executed the request.
     pub fn may_execute(self) -> bool {
         !matches!(self, NotExecuted | Misdirected | ResetBeforeRead)
     }
 }
 
-/// The hosts' script, and what they saw.
+/// The script of the hosts, and what they recorded.
 #[derive(Default)]
 pub struct ScriptedHosts {
     script: RefCell<VecDeque<HostBehaviour>>,
-    /// Requests that a host has seen a part of and not declined, with the host.
+    /// Id and host of each request that a host has read at least a part of and not declined.
     pub executed: RefCell<Vec<(String, usize)>>,
-    /// What no host may ever see.
+    /// Violations of the protocol by the data node.
     pub violations: RefCell<Vec<String>>,
-    /// Requests that a host cancelled as their connection ended.
+    /// Ids of the requests that a host cancelled because their connection ended.
     pub cancelled: RefCell<Vec<String>>,
-    /// Disconnects as soon as a host has read its request.
+    /// The client that disconnects as soon as a host has read its request.
     pub disconnect_on_read: RefCell<Option<ClientPresence>>,
     /// Notified when a host has read a request, and when it has cancelled one.
     pub request_seen: Notify,
-    /// Releases the requests that hosts hold.
+    /// Releases the requests of [`HostBehaviour::HoldUntilReleased`].
     pub release: Notify,
-    /// Responses that the client has; notified with each.
+    /// Number of responses that the client has received.
     pub responses_received: Cell<usize>,
+    /// Notified when `responses_received` has changed.
     pub response_received: Notify,
 }
 
 impl ScriptedHosts {
-    /// Two hosts that follow `script`, and their addresses.
+    /// Starts two hosts that follow `script`; returns them with their addresses.
     pub fn start(script: &[HostBehaviour]) -> (Rc<ScriptedHosts>, Vec<SocketAddr>) {
         let script = RefCell::new(script.iter().copied().collect());
         let hosts = Rc::new(ScriptedHosts { script, ..ScriptedHosts::default() });
@@ -162,13 +163,13 @@
     response(200, id, "Server-Seal: s\r\n", &format!("ran {id}"))
 }
 
-/// Reads one head, and the body but for its last part where `partial`; its id, none where the connection ended before.
+/// Reads one request, or if `partial` at least its head, and returns its id; `None` if the connection ends before.
 async fn read_request(stream: &mut TcpStream, partial: bool) -> Option<String> {
-    let (mut bytes, mut part) = (Vec::new(), [0; 16384]);
+    let (mut bytes, mut chunk) = (Vec::new(), [0; 16384]);
     loop {
-        let count = stream.read(&mut part).await.ok().filter(|count| *count > 0)?;
-        bytes.extend_from_slice(&part[..count]);
-        let Some(end) = bytes.windows(4).position(|four| four == b"\r\n\r\n") else { continue };
+        let count = stream.read(&mut chunk).await.ok().filter(|count| *count > 0)?;
+        bytes.extend_from_slice(&chunk[..count]);
+        let Some(end) = bytes.windows(4).position(|window| window == b"\r\n\r\n") else { continue };
         let head = String::from_utf8_lossy(&bytes[..end]).to_string();
         let field = |name: &str| head.lines().find_map(|line| Some(line.strip_prefix(name)?.to_string()));
         let length: usize = field("Content-Length: ").map_or(0, |text| text.parse().unwrap());
@@ -196,7 +197,7 @@
         let id = read_request(&mut stream, partial).await?;
         let behaviour = hosts.script.borrow_mut().pop_front().unwrap_or(Respond);
         if unusable {
-            let violation = format!("{id} came on a connection that was not to be used again");
+            let violation = format!("{id} was sent on a connection that must not be reused");
             hosts.violations.borrow_mut().push(violation);
         }
         if let Some(client) = hosts.disconnect_on_read.take() {
@@ -229,7 +230,7 @@
     }
 }
 
-/// What a host writes at once.
+/// What a host writes as soon as it has read the request.
 fn response_of(behaviour: HostBehaviour, id: &str) -> String {
     let valid = valid_response(id);
     match behaviour {
@@ -248,7 +249,7 @@
     }
 }
 
-/// False where the connection ends before the request is released.
+/// Waits until the test releases the request; returns false if the connection ends before.
 async fn hold_until_released(hosts: &ScriptedHosts, stream: &mut TcpStream) -> bool {
     let mut byte = [0; 1];
     tokio::select! {
--- a/crates/data-plane/src/tests/status.rs
+++ b/crates/data-plane/src/tests/status.rs
@@ -1,11 +1,11 @@
-//! What operators and the platform are served.
+//! The metrics endpoint, and the limit on label values.
 
 use super::*;
 use crate::metrics::{EndAfterDisconnect, Metrics};
 use crate::status;
 use std::time::Duration;
 
-/// The head and the body of a response.
+/// Sends a GET request and returns the head and the body of the response.
 async fn get(address: SocketAddr, path: &str) -> (String, String) {
     let mut stream = TcpStream::connect(address).await.unwrap();
     let request = format!("GET {path} HTTP/1.1\r\nConnection: close\r\n\r\n");
@@ -45,10 +45,10 @@
         }
         assert!(get(address, "/else").await.0.starts_with("HTTP/1.1 404"));
     };
-    run([scenario()], 1);
+    run_scenarios([scenario()], 1);
 }
 
-/// Configurations may name new services for ever: those beyond the bound share one label.
+/// Configurations may keep naming new services: those beyond the limit share one label value.
 #[test]
 fn service_labels_are_bounded() {
     let metrics = Metrics::new();
@@ -56,8 +56,8 @@
     let text = metrics.encode(0, 0);
     let series = text.lines().filter(|line| line.starts_with("archlink_client_departures_total")).count();
     assert!(series < 4100, "{series}");
-    assert!(text.contains("service=\"other\"} 904"), "beyond the bound");
-    // One summary for each label since the last call, and none after it.
+    assert!(text.contains("service=\"other\"} 904"), "services beyond the limit are counted as other");
+    // The first call returns one summary for each label value, and the second call none.
     assert_eq!(metrics.take_disconnect_summaries().len(), series);
     assert!(metrics.take_disconnect_summaries().is_empty());
 }
