--- a/crates/data-plane/src/counter_session.rs
+++ b/crates/data-plane/src/counter_session.rs
@@ -79,7 +79,7 @@
 
 impl CounterConnection<'_> {
     /// Sends calls and receives replies until the connection ends, a call times out, or the lease has moved and no call is
-    /// pending.
+    /// pending. Calls that are still pending then have an unknown result.
     async fn run(&mut self, mut messages: MessageStream) {
         let data_plane = self.data_plane;
         let mut probe_at = Some(Instant::now());
--- a/crates/data-plane/src/host_selection.rs
+++ b/crates/data-plane/src/host_selection.rs
@@ -83,7 +83,7 @@
         })
     }
 
-    /// Records that an attempt at host `key` starts now.
+    /// Records that an attempt at host `key` starts at `now`.
     pub fn attempt_started(&mut self, now: f64, key: u64) {
         self.tried.push(key);
         self.data_plane.balancer.borrow_mut().attempt_started(now, key, self.latency_target);
--- a/crates/data-plane/src/tests/responses.rs
+++ b/crates/data-plane/src/tests/responses.rs
@@ -121,6 +121,8 @@
 fn pipelining_clients_get_their_own_responses_in_order_after_a_disconnect() {
     const SUBSET: [HostBehaviour; 6] =
         [Respond, UnmatchedWith, CloseAfterRead, NotExecuted, InternalError, UnmatchedBefore];
-    let scripts = SUBSET.iter().flat_map(|&a| SUBSET.iter().flat_map(move |&b| SUBSET.map(|c| [a, b, c])));
+    let scripts = SUBSET
+        .iter()
+        .flat_map(|&first| SUBSET.iter().flat_map(move |&second| SUBSET.map(|third| [first, second, third])));
     run_scenarios(scripts.map(pipelined_requests), 32);
 }
--- a/crates/data-plane/src/upstream.rs
+++ b/crates/data-plane/src/upstream.rs
@@ -1,7 +1,7 @@
 //! One exchange with a host: sends the request on a connection and receives the response.
 //!
-//! If the client disconnects before anything is sent, nothing is sent. Later, an exchange that is idempotent is cancelled
-//! by closing the connection, so that the host can stop working on it; any other exchange runs to its end.
+//! If the client disconnects before anything is sent, nothing is sent. Later, the exchange of an idempotent request is
+//! cancelled by closing the connection, so that the host can stop working on it; any other exchange runs to its end.
 //!
 //! Invariants: a request is sent once; a response is used only if it is complete and has the request's own id and, with a
 //! 2xx status, the host's seal.
