--- a/crates/data-plane/src/attempt_task.rs
+++ b/crates/data-plane/src/attempt_task.rs
@@ -1,9 +1,9 @@
-//! One attempt as a task of its own: runs the exchange until the deadline, reports its end to the balancer, the metrics
-//! and the request that waits for it.
+//! The task of one attempt: runs the exchange with the host until the deadline, and reports its end to the balancer, the
+//! metrics and the request.
 
 use crate::attempt_progress::AttemptProgress;
 use crate::data_plane::DataPlane;
-use crate::metrics::CancelledEnd;
+use crate::metrics::EndAfterDisconnect;
 use crate::protocol::{NOT_EXECUTED_TRUE, STATUS_MISDIRECTED, parse_server_load, response_header};
 use crate::upstream::{self, AttemptFailure, UpstreamRequest};
 use archlink_balancer::balancer::{AttemptEnd, SelectedHost};
@@ -12,40 +12,40 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, timeout_at};
 
-/// One attempt that was decided on.
+/// An attempt to be made.
 pub struct Attempt {
-    /// Where it goes.
+    /// The host to send the request to.
     pub host: SelectedHost,
-    /// The host's service.
+    /// Name of the host's service.
     pub service: String,
-    /// When it ends at the latest.
+    /// When the attempt times out.
     pub deadline: Instant,
-    /// The request, shared by its attempts.
+    /// The request, shared by all its attempts.
     pub outgoing: Rc<UpstreamRequest>,
 }
 
-/// What came of an attempt.
+/// The result of an attempt.
 pub struct AttemptResult {
-    /// How far it came.
+    /// How far the attempt progressed.
     pub progress: AttemptProgress,
-    /// Some where the progress is `Responded`.
+    /// The host's response; present if and only if the progress is `Responded`.
     pub response: Option<HostResponse>,
 }
 
-/// Carries one attempt to its end. Where the client has disconnected, `results` may be closed; what is not idempotent is
-/// carried on all the same.
+/// Runs one attempt to its end and sends its result. `results` may be closed if the client has disconnected; an attempt
+/// that is not idempotent continues all the same.
 pub async fn run_attempt(data_plane: Rc<DataPlane>, attempt: Attempt, results: mpsc::Sender<AttemptResult>) {
     let Attempt { host, service, deadline, outgoing } = attempt;
     let started = data_plane.clock.now();
     let exchanged = timeout_at(deadline, upstream::exchange(&data_plane, &host, &outgoing, deadline)).await;
     let (progress, end, response) = match exchanged {
         Ok(Ok(response)) => {
-            let (progress, end) = response_end(&response);
+            let (progress, end) = classify_response(&response);
             (progress, end, Some(response))
         }
         Ok(Err(AttemptFailure { progress, cause })) => {
             log::debug!(host = host.id.as_str(), progress:? = progress, error:% = cause; "attempt failed");
-            (progress, failure_end(progress), None)
+            (progress, end_without_response(progress), None)
         }
         Err(_) => (AttemptProgress::TimedOut, AttemptEnd::TimedOut, None),
     };
@@ -54,9 +54,9 @@
     }
     if let Some(elapsed) = outgoing.client.disconnected_for() {
         let end = match progress {
-            AttemptProgress::CancelledBeforeSend => CancelledEnd::Withdrawn,
-            AttemptProgress::CancelledAfterSend => CancelledEnd::BrokenOff,
-            _ => CancelledEnd::Finished,
+            AttemptProgress::CancelledBeforeSend => EndAfterDisconnect::CancelledBeforeSend,
+            AttemptProgress::CancelledAfterSend => EndAfterDisconnect::CancelledAfterSend,
+            _ => EndAfterDisconnect::Finished,
         };
         data_plane.metrics.attempt_ended_after_disconnect(&service, end, elapsed);
     }
@@ -65,8 +65,8 @@
     results.try_send(AttemptResult { progress, response }).ok();
 }
 
-/// What a response says to the request and to the balancer.
-fn response_end(response: &HostResponse) -> (AttemptProgress, AttemptEnd) {
+/// The progress and the end of an attempt that a response stands for.
+fn classify_response(response: &HostResponse) -> (AttemptProgress, AttemptEnd) {
     let status = response.status;
     let load = response.fields[response_header::SERVER_LOAD].once().and_then(parse_server_load);
     let not_executed = response.fields[response_header::NOT_EXECUTED].once() == Some(NOT_EXECUTED_TRUE);
@@ -79,8 +79,8 @@
     (AttemptProgress::Responded { status, not_executed }, end)
 }
 
-/// What an attempt without a response says to the balancer.
-fn failure_end(progress: AttemptProgress) -> AttemptEnd {
+/// The end of an attempt without a response, as reported to the balancer.
+fn end_without_response(progress: AttemptProgress) -> AttemptEnd {
     match progress {
         AttemptProgress::CancelledBeforeSend => AttemptEnd::CancelledBeforeSend,
         AttemptProgress::CancelledAfterSend => AttemptEnd::CancelledAfterSend,
