--- a/crates/control-plane/src/admin/commands.rs
+++ b/crates/control-plane/src/admin/commands.rs
@@ -3,6 +3,8 @@
 //!
 //! Invariants: only what a quorum holds is acknowledged. A rejection is permanent for the same text, because it depends on the
 //! text alone, or on another text that was accepted under the same version and keeps it.
+//!
+//! The texts of errors are part of the operators' interface: scripts compare them, so they stay the same and keep older words.
 
 use super::calls::{Call, Consistency};
 use super::configuration::{digest, hex, validate};
@@ -42,7 +44,7 @@
     };
     let compressed: Bytes = match patch::compress(text, b"") {
         Ok(compressed) if compressed.len() <= MAX_COMPRESSED => compressed.into(),
-        Ok(_) => return error(413, "the configuration is too large to be sent between control nodes"),
+        Ok(_) => return error(413, "the configuration is too large to be sent between control gateways"),
         Err(e) => return error(413, e),
     };
     let sent = VersionDigest { version, digest: digest(text) };
@@ -88,8 +90,7 @@
         version:% = version, accepted_digest:% = accepted_digest, sent_digest:% = sent_digest;
         "configuration rejected: version conflict"
     );
-    let reason =
-        "another configuration already has this version: read it, and send yours with a higher version";
+    let reason = "another text stands under this number: read it, and send yours under a higher one";
     let body = json!({"Error": reason, "ConfigVersion": version, "Digest": accepted_digest, "YourDigest": sent_digest});
     Response::json(409, body.to_string())
 }
@@ -98,7 +99,7 @@
 pub async fn evacuate(node: &Node, call: Call, zone: &str) -> Response {
     let on = call == Call::BeginEvacuation;
     if !node.settings.zones.contains_key(zone) {
-        return error(404, format_args!("{zone:?} is not a zone of this deployment"));
+        return error(404, format_args!("{zone:?} is no zone of this deployment"));
     }
     let change = Change::Evacuation { zone: zone.to_string(), on };
     let outcome = submit(node, call, OperatorRequest::Change(change)).await;
--- a/crates/control-plane/src/admin/queries.rs
+++ b/crates/control-plane/src/admin/queries.rs
@@ -2,6 +2,8 @@
 //!
 //! Invariant: this node's local state is not presented as confirmed by a quorum. Each response that is based on it has the age
 //! of the last quorum contact.
+//!
+//! The texts of errors are part of the operators' interface: scripts compare them, so they stay the same and keep older words.
 
 use super::configuration::{digest, hex};
 use super::response_names;
@@ -26,9 +28,9 @@
 /// The configuration in force, byte for byte as it was sent. This is a linearizable read.
 pub async fn read_configuration(node: &Node) -> Response {
     let Some(committed) = node.read(Register::Configuration, CLIENT_TIMEOUT).await else {
-        return unavailable("no quorum has confirmed the read in time");
+        return unavailable("no majority confirms what is held here");
     };
-    let Some(accepted) = committed else { return error(404, "no configuration has been put in force yet") };
+    let Some(accepted) = committed else { return error(404, "no configuration was ever taken") };
     match patch::decompress(&accepted.value, b"") {
         Ok(text) => {
             let (version, digest) = (accepted.revision.saturating_sub(1), hex(&digest(&text)));
@@ -61,7 +63,7 @@
         state.event_log.registry.resolve(now, parameter("Zone"), parameter("Region"), MAX_RESOLVED, rotation)
     });
     if data_nodes.is_empty() {
-        return unavailable("no data node is ready");
+        return unavailable("no data gateway is ready");
     }
     let addresses: Vec<String> =
         data_nodes.iter().map(|data_node| data_node.client_address.to_string()).collect();
--- a/crates/control-plane/src/admin/responses.rs
+++ b/crates/control-plane/src/admin/responses.rs
@@ -1,4 +1,5 @@
-//! Responses that several calls share. Their texts are part of the operators' interface.
+//! Responses that several calls share. Their texts are part of the operators' interface: scripts compare them, so they stay
+//! the same and keep older words, such as "gateway" for a node and "order" for a request.
 
 use super::response_names;
 use crate::server::node::NotStarted;
@@ -24,18 +25,18 @@
 pub fn outcome_or_unavailable(result: Result<Outcome, NotStarted>) -> Result<Outcome, Response> {
     match result {
         Ok(Outcome::Unknown) => Err(unavailable(
-            "no quorum has confirmed the request yet: it may or may not take effect; send the same request again to learn its outcome",
+            "no majority has taken it yet: it may or may not come to be; the same order sent again tells",
         )),
         Ok(outcome) => Ok(outcome),
-        Err(NotStarted::NoQuorum) => Err(unavailable(
-            "request not started: this control node has no contact with a quorum; nothing was or will be changed",
-        )),
-        Err(NotStarted::NotBootstrapped) => Err(unavailable(
-            "request not started: the first start has not found the required number of voters yet",
-        )),
-        Err(NotStarted::TooManyPending) => Err(unavailable(
-            "request not started: too many requests are pending; nothing was or will be changed",
-        )),
+        Err(NotStarted::NoQuorum) => {
+            Err(unavailable("not begun: no majority answers this gateway; nothing was altered, nor will be"))
+        }
+        Err(NotStarted::NotBootstrapped) => {
+            Err(unavailable("not begun: the first start has not taken in as many voters as are needed"))
+        }
+        Err(NotStarted::TooManyPending) => {
+            Err(unavailable("not begun: too many orders wait; nothing was altered, nor will be"))
+        }
     }
 }
 
@@ -43,23 +44,21 @@
 fn rejection_message(reason: MembershipError) -> &'static str {
     match reason {
         MembershipError::Unknown => {
-            "this control node does not know the voters yet: retry once it has reached another control node, or ask another one"
+            "who votes is not known here yet: ask again once this gateway has reached another, or ask another"
         }
         MembershipError::ChangeInProgress => {
-            "another change of the voters is in progress: see `voters`, and retry once it has ended"
-        }
-        MembershipError::NotAVoter => {
-            "the node to be removed is not a voter: see `voters` for the current voters"
+            "another change of the voters is under way: see `voters`, and order again once it has ended"
         }
-        MembershipError::AlreadyAVoter => "the node to be added is already a voter: see `voters`",
+        MembershipError::NotAVoter => "the one that is to go has no seat: see `voters` for those that have",
+        MembershipError::AlreadyAVoter => "the one that is to come has a seat already: see `voters`",
         MembershipError::Unreachable => {
-            "the node to be added cannot be reached: start it, and retry once `members` lists it"
+            "the one that is to come is not heard of: start it, and order again once `members` names it"
         }
         MembershipError::NotRecovered => {
-            "too few voters are reachable and have recovered their state: see `voters`, and restore the others first"
+            "too many voters are not there or have not read back their disks: see `voters`, and bring those back first"
         }
         MembershipError::WrongEpoch => {
-            "the epoch given is not the current one: see `voters` for the current epoch"
+            "the epoch that was named is not the one that stands: see `voters`, and name that"
         }
     }
 }
--- a/crates/control-plane/src/admin/server.rs
+++ b/crates/control-plane/src/admin/server.rs
@@ -1,6 +1,8 @@
 //! HTTP server for operators, and for clients that resolve data nodes.
 //!
 //! Invariant: a request is not started if its caller is known to have disconnected.
+//!
+//! The texts of errors are part of the operators' interface: scripts compare them, so they stay the same and keep older words.
 
 use super::calls::Call;
 use super::responses::{error, unavailable};
@@ -96,11 +98,7 @@
 
 /// The response to an invalid request. A body for which there is no memory is not final: the same request may succeed later.
 fn bad_request(status: u16, out_of_memory: bool) -> Response {
-    if out_of_memory {
-        unavailable("not enough memory for the request body now")
-    } else {
-        Response::plain(status)
-    }
+    if out_of_memory { unavailable("too much is being sent at once") } else { Response::plain(status) }
 }
 
 fn path_and_query(target: &str) -> (&str, &str) {
@@ -110,10 +108,10 @@
 /// The call of a request, or the error response if there is none.
 fn route(request: &Request) -> Result<Call, Response> {
     let (path, _) = path_and_query(&request.target);
-    let (call, _) = Call::from_path(path).ok_or_else(|| error(404, "unknown path"))?;
+    let (call, _) = Call::from_path(path).ok_or_else(|| error(404, "no such call"))?;
     let method = call.method();
     if method != request.method {
-        return Err(error(405, format_args!("the method of this call is {method}")));
+        return Err(error(405, format_args!("{method} is the method of this call")));
     }
     Ok(call)
 }
--- a/crates/control-plane/src/admin/voters.rs
+++ b/crates/control-plane/src/admin/voters.rs
@@ -2,6 +2,8 @@
 //!
 //! Invariant: a new generation is not forced while there is contact with a quorum, and only voters that are not heard from and
 //! were named by the operator are given up.
+//!
+//! The texts of errors are part of the operators' interface: scripts compare them, so they stay the same and keep older words.
 
 use super::calls::Call;
 use super::commands::submit;
@@ -76,13 +78,13 @@
 
 fn parse_node_or_error(text: &str) -> Result<NodeId, Response> {
     parse_node(text)
-        .ok_or_else(|| error(400, format_args!("{text:?} is not a node address such as 10.0.0.1")))
+        .ok_or_else(|| error(400, format_args!("{text:?} is no address of a machine, as 10.0.0.1")))
 }
 
 /// Replaces a voter by another node; the parameters are `OLD/NEW`.
 pub async fn replace(node: &Node, path_parameters: &str) -> Response {
     let Some((old, new)) = path_parameters.split_once('/') else {
-        return error(400, "two node addresses are required: OLD/NEW");
+        return error(400, "two addresses are needed: OLD/NEW");
     };
     let (old, new) = match (parse_node_or_error(old), parse_node_or_error(new)) {
         (Ok(old), Ok(new)) => (old, new),
@@ -113,7 +115,7 @@
 pub async fn force_new_generation(node: &Node, body: &[u8]) -> Response {
     let ForceNewGenerationBody { epoch, lose } = match serde_json::from_slice(body) {
         Ok(body) => body,
-        Err(e) => return error(400, format_args!("the body requires Epoch and Lose: {e}")),
+        Err(e) => return error(400, format_args!("the body names Epoch and Lose: {e}")),
     };
     let given_up = match lose.iter().map(|text| parse_node_or_error(text)).collect() {
         Ok(nodes) => nodes,
@@ -135,19 +137,20 @@
     if node.recently_started() {
         return Err(error(
             409,
-            "this control node has just started and may not have reached the others yet: retry in 5 s",
+            "this gateway has only started and may not have reached the others: order again in 5 s",
         ));
     }
     if node.probe_quorum().await {
         return Err(error(
             409,
-            "this control node has contact with a quorum: no new generation is needed; use `voters replace` for a lost node",
+            "a majority answers here: nothing is lost; order `voters replace` for a machine that is gone",
         ));
     }
     let lost = lost_voters(node);
     if *given_up != lost {
         let list: Vec<String> = lost.into_iter().map(|node| Ipv4Addr::from(node).to_string()).collect();
-        let reason = format!("the voters not heard from here are {}: name exactly these", list.join(","));
+        let reason =
+            format!("the seats that nothing is heard of here are {}: name exactly these", list.join(","));
         return Err(error(409, reason));
     }
     Ok(())
--- a/crates/control-plane/src/tests/partitions.rs
+++ b/crates/control-plane/src/tests/partitions.rs
@@ -35,7 +35,7 @@
             let status = response.status;
             assert!(status == 503 && retry_after && took < 0.3, "{call:?}: {status} after {took} s");
             let reason = fields["Error"].as_str();
-            assert!(reason.is_some_and(|reason| reason.contains("request not started")), "{fields}");
+            assert!(reason.is_some_and(|reason| reason.contains("not begun")), "{fields}");
         }
         Consistency::LinearizableRead => {
             assert!(response.status == 503 && retry_after && took < 1.0, "{call:?}: {took} s")
@@ -175,7 +175,7 @@
             let error = fields["Error"].as_str().unwrap();
             assert!(response.status == 409 && error.contains(reason), "{fields}");
         };
-        assert_rejected(r#""10.0.0.2","10.0.0.3""#, "no new generation is needed").await;
+        assert_rejected(r#""10.0.0.2","10.0.0.3""#, "nothing is lost").await;
         cluster.partition(1, true);
         cluster.partition(2, true);
         advance(3.0).await;
--- a/crates/control-plane/src/tests/responses.rs
+++ b/crates/control-plane/src/tests/responses.rs
@@ -128,7 +128,7 @@
             let request =
                 format!("{wrong} {}{path_parameters} HTTP/1.1\r\nConnection: close\r\n\r\n", call.path());
             let (_, response) = serve_caller(request.as_bytes(), false, 3).await;
-            let expected = format!(r#"{{"Error":"the method of this call is {}"}}"#, call.method());
+            let expected = format!(r#"{{"Error":"{} is the method of this call"}}"#, call.method());
             assert!(response.starts_with("HTTP/1.1 405 "), "{response}");
             assert!(
                 response.contains(JSON) && response.ends_with(&format!("\r\n\r\n{expected}")),
@@ -140,7 +140,7 @@
             let (_, response) = serve_caller(request.as_bytes(), false, 3).await;
             assert!(response.starts_with("HTTP/1.1 404 "), "{response}");
             assert!(
-                response.contains(JSON) && response.ends_with("\r\n\r\n{\"Error\":\"unknown path\"}"),
+                response.contains(JSON) && response.ends_with("\r\n\r\n{\"Error\":\"no such call\"}"),
                 "{response}"
             );
         }
@@ -153,19 +153,19 @@
     for (result, error) in [
         (
             Ok(Outcome::Unknown),
-            "no quorum has confirmed the request yet: it may or may not take effect; send the same request again to learn its outcome",
+            "no majority has taken it yet: it may or may not come to be; the same order sent again tells",
         ),
         (
             Err(NotStarted::NoQuorum),
-            "request not started: this control node has no contact with a quorum; nothing was or will be changed",
+            "not begun: no majority answers this gateway; nothing was altered, nor will be",
         ),
         (
             Err(NotStarted::NotBootstrapped),
-            "request not started: the first start has not found the required number of voters yet",
+            "not begun: the first start has not taken in as many voters as are needed",
         ),
         (
             Err(NotStarted::TooManyPending),
-            "request not started: too many requests are pending; nothing was or will be changed",
+            "not begun: too many orders wait; nothing was altered, nor will be",
         ),
     ] {
         let response = responses::outcome_or_unavailable(result).unwrap_err();
--- a/crates/control-plane/src/tests/responses/configurations.rs
+++ b/crates/control-plane/src/tests/responses/configurations.rs
@@ -21,8 +21,7 @@
 
         let other = configuration(11, 7);
         let (response, fields) = cluster.call(0, Call::ReplaceConfiguration, "", &other).await;
-        let error =
-            "another configuration already has this version: read it, and send yours with a higher version";
+        let error = "another text stands under this number: read it, and send yours under a higher one";
         let expected = json!({"Error": error, "ConfigVersion": "0000000b", "Digest": digest(&newer),
             "YourDigest": digest(&other)});
         assert_eq!((response.status, header_lines(&response).as_str(), fields), (409, JSON, expected));
@@ -52,7 +51,7 @@
         let cluster = SimulatedCluster::new();
         advance(1.0).await;
         let (response, fields) = cluster.call(0, Call::ReadConfiguration, "", "").await;
-        let expected = json!({"Error": "no configuration has been put in force yet"});
+        let expected = json!({"Error": "no configuration was ever taken"});
         assert_eq!((response.status, header_lines(&response).as_str(), fields), (404, JSON, expected));
         let text = configuration(10, 5);
         cluster.call(0, Call::ReplaceConfiguration, "", &text).await;
@@ -77,7 +76,7 @@
         assert_eq!(fields, json!({"Zone": "east", "Evacuated": false}));
         for call in [Call::BeginEvacuation, Call::FinishEvacuation] {
             let (response, fields) = cluster.call(0, call, "north", "").await;
-            let expected = json!({"Error": "\"north\" is not a zone of this deployment"});
+            let expected = json!({"Error": "\"north\" is no zone of this deployment"});
             assert_eq!((response.status, header_lines(&response).as_str(), fields), (404, JSON, expected));
         }
     });
--- a/crates/control-plane/src/tests/responses/queries.rs
+++ b/crates/control-plane/src/tests/responses/queries.rs
@@ -11,7 +11,7 @@
         assert_eq!(call_ok(&cluster, Call::Resolve, "?Zone=west&Region=coast", "").await, expected);
         advance(20.0).await;
         let (response, fields) = cluster.call(0, Call::Resolve, "", "").await;
-        let expected = json!({"Error": "no data node is ready"});
+        let expected = json!({"Error": "no data gateway is ready"});
         assert_eq!(
             (response.status, header_lines(&response).as_str(), fields),
             (503, JSON_AND_RETRY_AFTER, expected)
--- a/crates/control-plane/src/tests/responses/voters.rs
+++ b/crates/control-plane/src/tests/responses/voters.rs
@@ -48,33 +48,37 @@
         (
             MembershipError::Unknown,
             "Unknown",
-            "this control node does not know the voters yet: retry once it has reached another control node, or ask another one",
+            "who votes is not known here yet: ask again once this gateway has reached another, or ask another",
         ),
         (
             MembershipError::ChangeInProgress,
             "UnderWay",
-            "another change of the voters is in progress: see `voters`, and retry once it has ended",
+            "another change of the voters is under way: see `voters`, and order again once it has ended",
         ),
         (
             MembershipError::NotAVoter,
             "NoSeat",
-            "the node to be removed is not a voter: see `voters` for the current voters",
+            "the one that is to go has no seat: see `voters` for those that have",
+        ),
+        (
+            MembershipError::AlreadyAVoter,
+            "Seated",
+            "the one that is to come has a seat already: see `voters`",
         ),
-        (MembershipError::AlreadyAVoter, "Seated", "the node to be added is already a voter: see `voters`"),
         (
             MembershipError::Unreachable,
             "Absent",
-            "the node to be added cannot be reached: start it, and retry once `members` lists it",
+            "the one that is to come is not heard of: start it, and order again once `members` names it",
         ),
         (
             MembershipError::NotRecovered,
             "NotWhole",
-            "too few voters are reachable and have recovered their state: see `voters`, and restore the others first",
+            "too many voters are not there or have not read back their disks: see `voters`, and bring those back first",
         ),
         (
             MembershipError::WrongEpoch,
             "Epoch",
-            "the epoch given is not the current one: see `voters` for the current epoch",
+            "the epoch that was named is not the one that stands: see `voters`, and name that",
         ),
     ] {
         let response = responses::rejected(membership_error);
@@ -90,41 +94,41 @@
         advance(1.0).await;
         let force_body = r#"{"Epoch":1,"Lose":["10.0.0.2"]}"#;
         for (call, path_parameters, text, status, error) in [
-            (Call::ReplaceVoter, "10.0.0.3", "", 400, "two node addresses are required: OLD/NEW"),
+            (Call::ReplaceVoter, "10.0.0.3", "", 400, "two addresses are needed: OLD/NEW"),
             (
                 Call::ReplaceVoter,
                 "10.0.0.3/control-4",
                 "",
                 400,
-                "\"control-4\" is not a node address such as 10.0.0.1",
+                "\"control-4\" is no address of a machine, as 10.0.0.1",
             ),
             (
                 Call::ForceNewGeneration,
                 "",
                 r#"{"Epoch":1,"Lose":["control-3"]}"#,
                 400,
-                "\"control-3\" is not a node address such as 10.0.0.1",
+                "\"control-3\" is no address of a machine, as 10.0.0.1",
             ),
             (
                 Call::ForceNewGeneration,
                 "",
                 r#"{"Epoch":1}"#,
                 400,
-                "the body requires Epoch and Lose: missing field `Lose` at line 1 column 11",
+                "the body names Epoch and Lose: missing field `Lose` at line 1 column 11",
             ),
             (
                 Call::ForceNewGeneration,
                 "",
                 r#"{"Lose":[]}"#,
                 400,
-                "the body requires Epoch and Lose: missing field `Epoch` at line 1 column 11",
+                "the body names Epoch and Lose: missing field `Epoch` at line 1 column 11",
             ),
             (
                 Call::ForceNewGeneration,
                 "",
                 force_body,
                 409,
-                "this control node has just started and may not have reached the others yet: retry in 5 s",
+                "this gateway has only started and may not have reached the others: order again in 5 s",
             ),
         ] {
             let (response, fields) = cluster.call(0, call, path_parameters, text).await;
@@ -142,12 +146,13 @@
             );
         };
         assert_rejected(
-            "this control node has contact with a quorum: no new generation is needed; use `voters replace` for a lost node",
+            "a majority answers here: nothing is lost; order `voters replace` for a machine that is gone",
         )
         .await;
         cluster.partition(0, true);
         advance(8.0).await;
-        assert_rejected("the voters not heard from here are 10.0.0.2,10.0.0.3: name exactly these").await;
+        assert_rejected("the seats that nothing is heard of here are 10.0.0.2,10.0.0.3: name exactly these")
+            .await;
     });
 }
 
--- a/crates/control-plane/tests/command_line.rs
+++ b/crates/control-plane/tests/command_line.rs
@@ -72,7 +72,7 @@
     let (address, _requests) = fake_control_node(move |request| match request.starts_with("GET") {
         true => (200, if responds_damaged.load(Ordering::Relaxed) { "{ }" } else { "{}" }.to_string()),
         false => {
-            let response_fields = json!({"Error": "another configuration already has this version", "ConfigVersion": "00000001",
+            let response_fields = json!({"Error": "another text stands under this number", "ConfigVersion": "00000001",
                 "Digest": DIGEST_IN_FORCE, "YourDigest": "22"});
             (409, response_fields.to_string())
         }
--- a/crates/messages/src/patch.rs
+++ b/crates/messages/src/patch.rs
@@ -17,7 +17,8 @@
 const LENGTH_BYTES: usize = 4;
 
 /// Why a text could not be compressed or a patch not be decompressed. The functions return it inside an [`io::Error`];
-/// errors of zstd are returned as they are. Operators see the messages.
+/// errors of zstd are returned as they are. The control plane sends the messages in responses to operators, whose scripts
+/// compare them, so they stay the same and keep older words.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PatchError {
     /// The text is longer than the limit of 64 MiB.
@@ -47,10 +48,10 @@
 impl fmt::Display for PatchError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            PatchError::TextTooLong { .. } => "the text is longer than 64 MiB",
+            PatchError::TextTooLong { .. } => "a text too long",
             PatchError::Truncated { .. }
             | PatchError::LengthAboveLimit { .. }
-            | PatchError::LengthMismatch { .. } => "the compressed text is damaged",
+            | PatchError::LengthMismatch { .. } => "a packed text that is damaged",
         })
     }
 }
--- a/crates/messages/tests/patch.rs
+++ b/crates/messages/tests/patch.rs
@@ -37,6 +37,6 @@
         let error = decompress(&patch, b"").unwrap_err();
         assert_eq!(error.kind(), std::io::ErrorKind::InvalidData);
         assert_eq!(error.get_ref().and_then(|inner| inner.downcast_ref()), Some(&expected));
-        assert_eq!(error.to_string(), "the compressed text is damaged");
+        assert_eq!(error.to_string(), "a packed text that is damaged");
     }
 }
