--- a/crates/config/src/configuration/file_format.rs
+++ b/crates/config/src/configuration/file_format.rs
@@ -2,6 +2,9 @@
 //!
 //! The names of the types that mirror the text appear in parse errors (`expected struct PartialTableFile`), which
 //! operators read: renaming one changes such an error.
+//!
+//! The texts of errors are part of the operators' interface, because the control plane sends them in responses: scripts compare
+//! them, so they stay the same and keep older words.
 
 use crate::error::{ConfigError, invalid_value};
 use error_stack::Report;
@@ -110,7 +113,7 @@
         let loaded = loader.code(text, "configuration.json").and_then(|loader| loader.load());
         let loaded = loaded.map_err(|error| {
             let one_line = error.to_full_string().replace('\n', " ");
-            invalid_value("configuration", one_line, "a complete configuration")
+            invalid_value("configuration", one_line, "a whole configuration")
         })?;
         Ok(loaded.config)
     }
@@ -135,7 +138,7 @@
         }
         let fields = table.column_names.iter().cloned().zip(record).filter(|(_, value)| !value.is_null());
         let row = serde_json::from_value(Value::Object(Map::from_iter(fields)));
-        rows.push(row.map_err(|error| invalid_value(row_key(), error, "a valid row of its table"))?);
+        rows.push(row.map_err(|error| invalid_value(row_key(), error, "the fields of its table"))?);
     }
     Ok(rows)
 }
--- a/crates/config/src/configuration/validation.rs
+++ b/crates/config/src/configuration/validation.rs
@@ -1,4 +1,7 @@
 //! Validates the rows of a configuration and converts them to checked types. Each error names the key at fault.
+//!
+//! The texts of errors are part of the operators' interface, because the control plane sends them in responses: scripts compare
+//! them, so they stay the same and keep older words.
 
 use super::file_format::{Category, LimitsFile, RouteRow, ServiceRow, ShareRow, TenantRow};
 use super::{Route, Service, Tenant, WeightedService};
@@ -107,8 +110,8 @@
     }
     let origin = row.origin.to_ascii_lowercase();
     if !known_prefixes.insert((origin.clone(), row.path_prefix.clone())) {
-        let found = format!("a duplicate of {origin}{}", row.path_prefix);
-        return Err(invalid_value(key("PathPrefix"), found, "a unique origin and path prefix"));
+        let found = format!("{origin}{} a second time", row.path_prefix);
+        return Err(invalid_value(key("PathPrefix"), found, "a host and prefix of its own"));
     }
     Ok(Route {
         origin,
@@ -137,7 +140,7 @@
         (None, Some(rows)) => {
             rows.into_iter().map(|row| WeightedService { service: row.service, weight: row.weight }).collect()
         }
-        _ => return Err(invalid_value(key("Service"), "both or neither", "either Service or Distribution")),
+        _ => return Err(invalid_value(key("Service"), "both or neither", "Service or Distribution")),
     };
     for WeightedService { service, weight } in &distribution {
         if !services.contains_key(service) {
@@ -167,7 +170,11 @@
     for credential in &keys {
         if !known_keys.insert(credential.clone()) {
             // Keys are secret: the error doesn't quote them.
-            return Err(invalid_value(key("Credentials"), "a duplicate key", "unique keys"));
+            return Err(invalid_value(
+                key("Credentials"),
+                "a key a second time",
+                "keys that nobody else holds",
+            ));
         }
     }
     let (rate, burst) = (row.rate_per_s.unwrap_or(0.0), row.burst_size.unwrap_or(0.0));
