--- a/crates/data-plane/src/metrics.rs
+++ b/crates/data-plane/src/metrics.rs
@@ -94,23 +94,24 @@
 }
 
 impl Metrics {
-    /// Creates all metrics at zero. Monitoring systems depend on their names, which have to stay the same.
+    /// Creates all metrics at zero. Their names and help texts are part of the operators' interface: monitoring systems and
+    /// scripts compare them, so they stay the same and keep older words, such as "hand-off" for an attempt.
     pub fn new() -> Metrics {
         let mut registry = Registry::with_prefix("archlink");
         let responses = Family::default();
-        registry.register("answers", "Responses to clients, by status", responses.clone());
+        registry.register("answers", "Answers to clients, by status", responses.clone());
         let connections = Gauge::default();
-        registry.register("client_connections", "Open client connections", connections.clone());
+        registry.register("client_connections", "Open connections of clients", connections.clone());
         let in_flight = Gauge::default();
-        registry.register("requests_at_work", "Requests in flight", in_flight.clone());
+        registry.register("requests_at_work", "Requests that are not answered yet", in_flight.clone());
         let disconnects = Family::default();
-        let help = "Requests whose client disconnected before the response";
+        let help = "Requests whose client closed its connection before the answer";
         registry.register("client_departures", help, disconnects.clone());
         let attempts_after_disconnect = Family::default();
-        let help = "Attempts that ended after their client had disconnected, by how they ended";
+        let help = "Hand-offs to hosts whose client had left, by how they ended";
         registry.register("departed_hand_offs", help, attempts_after_disconnect.clone());
         let seconds_after_disconnect = Family::new_with_constructor(duration_histogram as fn() -> Histogram);
-        let help = "Time from a client's disconnect to the end of an attempt for it";
+        let help = "Time from a client's departure to the end of a hand-off for it";
         registry.register_with_unit(
             "departed_hand_off",
             help,
