--- a/crates/control-plane/src/admin/commands.rs
+++ b/crates/control-plane/src/admin/commands.rs
@@ -1,12 +1,14 @@
-//! Operators' commands about configurations and evacuations: what is checked before anything is proposed, and the answer to
-//! each outcome.
+//! Operators' commands that change the configuration or evacuations: the validation before anything is proposed, and the
+//! response to each outcome.
 //!
-//! Invariants: nothing is acknowledged that no quorum holds; a rejection would not change if the same text came again: it
-//! rests on the text alone, or on another text that has the same version for good.
+//! Invariants: only what a quorum holds is acknowledged. A rejection is permanent for the same text, because it depends on the
+//! text alone, or on another text that was accepted under the same version and keeps it.
+//!
+//! The texts of errors are part of the operators' interface: scripts compare them, so they stay the same and keep older words.
 
-use super::answers::{error, outcome_or_unavailable, rejected};
-use super::calls::{Basis, Call};
-use super::configuration::{check, digest, hex};
+use super::calls::{Call, Consistency};
+use super::configuration::{digest, hex, validate};
+use super::responses::{error, outcome_or_unavailable, rejected};
 use crate::server::node::{Node, NotStarted, OperatorRequest};
 use archlink_consensus::Outcome;
 use archlink_consensus::proposer::Change;
@@ -15,12 +17,16 @@
 use bytes::Bytes;
 use serde_json::{Value, json};
 
-/// Bytes of a compressed configuration: it goes in one frame between control nodes, with the message around it.
+/// Maximum size of a compressed configuration in bytes. It has to fit into one frame between control nodes, with the rest of
+/// its message.
 const MAX_COMPRESSED: usize = 6 << 20;
 
-/// Submits a request, where the basis of its call lets it start.
+/// Submits a request, unless its call requires quorum contact and there is none.
 pub async fn submit(node: &Node, call: Call, request: OperatorRequest) -> Result<Outcome, NotStarted> {
-    if call.basis() == Basis::QuorumContact && !node.recently_started() && !node.probe_quorum().await {
+    if call.consistency() == Consistency::QuorumContact
+        && !node.recently_started()
+        && !node.probe_quorum().await
+    {
         log::warn!(call = call.path(); "operator request not started: no quorum contact");
         return Err(NotStarted::NoQuorum);
     }
@@ -29,7 +35,7 @@
 
 /// Puts a configuration in force.
 pub async fn replace_configuration(node: &Node, text: &Bytes) -> Response {
-    let version = match check(text) {
+    let version = match validate(text) {
         Ok(configuration) => configuration.version,
         Err(reason) => {
             log::warn!(reason:% = reason; "configuration rejected");
@@ -48,7 +54,7 @@
         Ok(Outcome::VersionConflict(accepted)) => version_conflict(sent, accepted),
         Ok(Outcome::Rejected(reason)) => rejected(reason),
         Ok(_) => acknowledged(node, sent),
-        Err(answer) => answer,
+        Err(response) => response,
     }
 }
 
@@ -56,8 +62,8 @@
     json!({"ConfigVersion": format!("{:08x}", version.version), "Digest": hex(&version.digest)})
 }
 
-/// The version in force, as far as this node knows. For a value from before versions were recorded beside it the digest is
-/// computed from the text.
+/// The version in force, as far as this node knows. A value that was stored before versions were recorded with it has no
+/// digest; it is computed from the text.
 fn version_in_force(node: &Node) -> Option<VersionDigest> {
     let accepted = node.with_state(|state, _| state.proposer.committed(Register::Configuration).cloned())?;
     let version = accepted.revision.saturating_sub(1);
@@ -68,23 +74,24 @@
     })
 }
 
-/// `InForce` names the configuration in force, which has a higher version where this one came too late.
+/// The response to an accepted configuration. `InForce` is the configuration in force, which has a higher version if this one
+/// came too late.
 fn acknowledged(node: &Node, sent: VersionDigest) -> Response {
     let mut body = version_fields(sent);
     body["InForce"] = version_fields(version_in_force(node).unwrap_or(sent));
     Response::json(200, body.to_string())
 }
 
-/// Another text has this version, for good.
+/// The response if another text was accepted under this version, which it keeps.
 fn version_conflict(sent: VersionDigest, accepted: VersionDigest) -> Response {
     let version = format!("{:08x}", sent.version);
-    let (theirs, yours) = (hex(&accepted.digest), hex(&sent.digest));
+    let (accepted_digest, sent_digest) = (hex(&accepted.digest), hex(&sent.digest));
     log::warn!(
-        version:% = version, accepted_digest:% = theirs, sent_digest:% = yours;
+        version:% = version, accepted_digest:% = accepted_digest, sent_digest:% = sent_digest;
         "configuration rejected: version conflict"
     );
     let reason = "another text stands under this number: read it, and send yours under a higher one";
-    let body = json!({"Error": reason, "ConfigVersion": version, "Digest": theirs, "YourDigest": yours});
+    let body = json!({"Error": reason, "ConfigVersion": version, "Digest": accepted_digest, "YourDigest": sent_digest});
     Response::json(409, body.to_string())
 }
 
@@ -99,6 +106,6 @@
     match outcome_or_unavailable(outcome) {
         Ok(Outcome::Rejected(reason)) => rejected(reason),
         Ok(_) => Response::json(200, json!({"Zone": zone, "Evacuated": on}).to_string()),
-        Err(answer) => answer,
+        Err(response) => response,
     }
 }
--- a/crates/control-plane/src/admin/voters.rs
+++ b/crates/control-plane/src/admin/voters.rs
@@ -1,12 +1,15 @@
-//! Operators' calls about the voters: their status as this node sees it, and changes of the voter set.
+//! Operators' calls about the voters: their status as this node sees it, and membership changes.
 //!
-//! Invariant: no new generation is forced where a quorum answers, and no voter is given up that is heard of or was not named.
+//! Invariant: a new generation is not forced while there is contact with a quorum, and only voters that are not heard from and
+//! were named by the operator are given up.
+//!
+//! The texts of errors are part of the operators' interface: scripts compare them, so they stay the same and keep older words.
 
-use super::answer_names;
-use super::answers::{error, outcome_or_unavailable, rejected};
 use super::calls::Call;
 use super::commands::submit;
 use super::queries::round_to_milliseconds;
+use super::response_names;
+use super::responses::{error, outcome_or_unavailable, rejected};
 use crate::server::node::{Node, OperatorRequest};
 use archlink_consensus::membership::ChangeResult;
 use archlink_consensus::{MembershipChange, Outcome};
@@ -18,17 +21,17 @@
 use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// Seconds of silence after which a voter may be given up: heartbeats come three times a second, and links reconnect four
+/// Seconds of silence after which a voter may be given up. Heartbeats are sent three times a second, and links reconnect four
 /// times a second.
 const LOST_AFTER: f64 = 5.0;
 
-/// The node of an IPv4 address, also with a port behind it.
+/// The ID of the node at an IPv4 address, which may be followed by a port.
 pub fn parse_node(text: &str) -> Option<NodeId> {
     let with_port = text.parse::<SocketAddrV4>().map(|address| *address.ip()).ok();
     with_port.or_else(|| text.parse::<Ipv4Addr>().ok()).map(archlink_runtime::node_id)
 }
 
-/// Voters that this node has not heard of for [`LOST_AFTER`].
+/// Voters that this node has not heard from for [`LOST_AFTER`] seconds.
 fn lost_voters(node: &Node) -> BTreeSet<NodeId> {
     let members = node.with_state(|state, now| state.voter_set_status(now).members).into_iter();
     let timed_out = |member: &MemberStatus| member.last_message_age.is_none_or(|age| age > LOST_AFTER);
@@ -51,11 +54,11 @@
 fn accepted_fields((register, revision, proposal): (Register, u64, ProposalNumber)) -> Value {
     let version =
         (register == Register::Configuration).then(|| format!("{:08x}", revision.saturating_sub(1)));
-    json!({"Register": answer_names::register(register), "Stamp": revision, "ConfigVersion": version,
+    json!({"Register": response_names::register(register), "Stamp": revision, "ConfigVersion": version,
         "Ballot": [proposal.round, u64::from(proposal.node), u64::from(proposal.nonce)]})
 }
 
-/// The voters, what this node holds, and whom it hears.
+/// The voters, when this node last heard from each, and what it has accepted.
 pub fn status(node: &Node) -> Value {
     let lost: Vec<Ipv4Addr> = lost_voters(node).into_iter().map(Ipv4Addr::from).collect();
     let (status, control_nodes, recovered) = node.with_state(|state, now| {
@@ -78,14 +81,14 @@
         .ok_or_else(|| error(400, format_args!("{text:?} is no address of a machine, as 10.0.0.1")))
 }
 
-/// `OLD/NEW`: gives a voter's seat to another node.
-pub async fn replace(node: &Node, names: &str) -> Response {
-    let Some((old, new)) = names.split_once('/') else {
+/// Replaces a voter by another node; the parameters are `OLD/NEW`.
+pub async fn replace(node: &Node, path_parameters: &str) -> Response {
+    let Some((old, new)) = path_parameters.split_once('/') else {
         return error(400, "two addresses are needed: OLD/NEW");
     };
     let (old, new) = match (parse_node_or_error(old), parse_node_or_error(new)) {
         (Ok(old), Ok(new)) => (old, new),
-        (Err(answer), _) | (_, Err(answer)) => return answer,
+        (Err(response), _) | (_, Err(response)) => return response,
     };
     change_membership(node, Call::ReplaceVoter, MembershipChange::Replace { old, new }).await
 }
@@ -95,11 +98,12 @@
     match outcome_or_unavailable(outcome) {
         Ok(Outcome::Rejected(reason)) => rejected(reason),
         Ok(_) => Response::json(200, status(node).to_string()),
-        Err(answer) => answer,
+        Err(response) => response,
     }
 }
 
-/// What an operator repeats for a forced new generation: the epoch that was shown, and the voters that are lost for good.
+/// What an operator has to confirm to force a new generation: the epoch that was shown, and the voters that are permanently
+/// lost.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase", deny_unknown_fields)]
 struct ForceNewGenerationBody {
@@ -107,7 +111,7 @@
     lose: Vec<String>,
 }
 
-/// Continues with the remaining voters, where a majority is lost for good and all lost ones are named.
+/// Continues with the remaining voters if a majority is permanently lost and the operator names exactly the lost ones.
 pub async fn force_new_generation(node: &Node, body: &[u8]) -> Response {
     let ForceNewGenerationBody { epoch, lose } = match serde_json::from_slice(body) {
         Ok(body) => body,
@@ -115,10 +119,10 @@
     };
     let given_up = match lose.iter().map(|text| parse_node_or_error(text)).collect() {
         Ok(nodes) => nodes,
-        Err(answer) => return answer,
+        Err(response) => return response,
     };
-    if let Err(answer) = check_quorum_is_lost(node, &given_up).await {
-        return answer;
+    if let Err(response) = check_quorum_is_lost(node, &given_up).await {
+        return response;
     }
     let voters = node.with_state(|state, _| state.voter_set().all_voters());
     let voters: Vec<NodeId> = voters.into_iter().filter(|voter| !given_up.contains(voter)).collect();
@@ -127,7 +131,8 @@
     change_membership(node, Call::ForceNewGeneration, change).await
 }
 
-/// An error answers why nothing may be forced: too early, a quorum answers, or other voters are lost than those named.
+/// Checks that a new generation may be forced. The error response says why not: this node has just started, there is contact
+/// with a quorum, or the lost voters are not those named.
 async fn check_quorum_is_lost(node: &Node, given_up: &BTreeSet<NodeId>) -> Result<(), Response> {
     if node.recently_started() {
         return Err(error(
--- a/crates/control-plane/src/cli/mod.rs
+++ b/crates/control-plane/src/cli/mod.rs
@@ -1,6 +1,6 @@
-//! The program's command line: serves as a control node, or sends one operator's command.
+//! The program's command line, which serves as a control node or runs one operator's command.
 //!
-//! Exit statuses: 0 done, 2 failed, 3 rejected because of what is in force.
+//! Exit statuses: 0 success, 2 failure, 3 the request conflicts with the current state.
 
 mod arguments;
 mod client;
@@ -8,16 +8,16 @@
 mod disaster_recovery;
 mod force_new_generation;
 
-use crate::{ControlPlaneError, Outcome, read_settings, serve};
+use crate::{ControlPlaneError, ControlPlaneResult, read_settings, serve};
 use archlink_runtime::until_terminated;
 use clap::ArgMatches;
 use error_stack::ResultExt;
 use std::process::ExitCode;
 use tokio::runtime::LocalOptions;
 
-/// The exit status of a request that conflicts with what is in force: another text of that version, or other voters.
+/// Exit status if the request conflicts with the current state: another text has that version, or the voters are others.
 const EXIT_REJECTED: u8 = 3;
-/// The exit status of every other failure; the same as for a wrong command line.
+/// Exit status of every other failure. It is also clap's exit status for an invalid command line.
 const EXIT_FAILED: u8 = 2;
 
 /// Runs the program with the process's arguments.
@@ -26,20 +26,20 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("archlink-control-plane: {}", archlink_runtime::report_line(&e));
-            let rejected = *e.current_context() == ControlPlaneError::Refused;
+            let rejected = *e.current_context() == ControlPlaneError::Rejected;
             ExitCode::from(if rejected { EXIT_REJECTED } else { EXIT_FAILED })
         }
     }
 }
 
-fn run_command(matches: &ArgMatches) -> Outcome<()> {
+fn run_command(matches: &ArgMatches) -> ControlPlaneResult<()> {
     match matches.subcommand() {
         None | Some(("run", _)) => run_server(),
         Some((name, arguments)) => on_runtime(commands::run(name, arguments)),
     }
 }
 
-fn run_server() -> Outcome<()> {
+fn run_server() -> ControlPlaneResult<()> {
     let settings = read_settings()?;
     let level = std::env::var("ARCHLINK_LOG").ok().and_then(|level| level.parse().ok());
     archlink_runtime::log_to_stderr(&settings.name, level.unwrap_or(log::LevelFilter::Info));
@@ -49,7 +49,7 @@
     })
 }
 
-/// On SIGHUP the settings file is checked; what is in use stays until the next start.
+/// Validates the settings file on SIGHUP. The settings in use stay until the next start.
 fn check_settings_file() {
     match read_settings() {
         Ok(settings) => {
@@ -59,7 +59,7 @@
     }
 }
 
-fn on_runtime<T>(work: impl Future<Output = Outcome<T>>) -> Outcome<T> {
+fn on_runtime<T>(work: impl Future<Output = ControlPlaneResult<T>>) -> ControlPlaneResult<T> {
     let mut builder = tokio::runtime::Builder::new_current_thread();
     let runtime =
         builder.enable_all().build_local(LocalOptions::default()).change_context(ControlPlaneError::Start)?;
--- a/crates/control-plane/src/server/peer_links/incoming.rs
+++ b/crates/control-plane/src/server/peer_links/incoming.rs
@@ -1,4 +1,4 @@
-//! Incoming connections of control nodes, of data nodes' sessions and of counter clients.
+//! Incoming connections of control nodes, data nodes and counter clients.
 
 use super::MAX_QUEUED_MESSAGES;
 use crate::server::node::Node;
@@ -18,23 +18,23 @@
 use tokio::time::{sleep, timeout};
 use tokio_util::codec::Framed;
 
-/// The first message on an incoming connection is due by then.
+/// Time limit for the first message on an incoming connection.
 const FIRST_MESSAGE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Incoming connections at once; further ones are closed. Part of the process's file descriptors.
+/// Maximum number of incoming connections; further ones are closed. They use a part of the process's file descriptors.
 const MAX_CONNECTIONS: usize = 2048;
-/// Pause after a failed `accept`: without descriptors the next one fails as well.
+/// Pause after a failed `accept`. When the process is out of file descriptors the next one would fail as well.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(20);
 
 /// Why an incoming connection is closed.
 #[derive(Debug)]
 enum ConnectionError {
-    /// The bytes are no message, or the socket failed.
+    /// The bytes are not a valid message, or the socket failed.
     Read(io::Error),
-    /// The sender may not send this.
+    /// The sender may not send this message.
     Identity(IdentityError),
-    /// The sender's queue of totals is full.
+    /// The send queue to a counter client is full, because it does not read its totals.
     TotalsNotRead,
-    /// The message is not for a control node, or not from such a sender.
+    /// The message is not meant for a control node, or not valid from this kind of sender.
     UnexpectedMessage,
 }
 
@@ -44,25 +44,27 @@
             ConnectionError::Read(e) => e.fmt(f),
             ConnectionError::Identity(e) => e.fmt(f),
             ConnectionError::TotalsNotRead => f.write_str("the sender does not read its totals"),
-            ConnectionError::UnexpectedMessage => f.write_str("a message that this sender may not send"),
+            ConnectionError::UnexpectedMessage => {
+                f.write_str("this kind of sender may not send such a message")
+            }
         }
     }
 }
 
 impl std::error::Error for ConnectionError {}
 
-/// Accepts connections for ever.
+/// Accepts connections until the process ends.
 pub async fn listen(node: Rc<Node>, listener: TcpListener) {
-    // Each connection holds a clone: the count is the number of open ones, and one.
-    let open = Rc::new(());
+    // Each connection holds a clone, so the strong count is the number of open connections plus one.
+    let open_connections = Rc::new(());
     let connections = Rc::new(RefCell::new(ConnectionTable::default()));
     loop {
         match listener.accept().await {
-            Ok((stream, from)) if Rc::strong_count(&open) <= MAX_CONNECTIONS => {
+            Ok((stream, from)) if Rc::strong_count(&open_connections) <= MAX_CONNECTIONS => {
                 let peer = IncomingPeer::new(&mut connections.borrow_mut());
                 let connection =
                     Connection { node: node.clone(), connections: connections.clone(), peer, from };
-                spawn_local(connection.serve(stream, open.clone()));
+                spawn_local(connection.serve(stream, open_connections.clone()));
             }
             Ok(_) => log::warn!(limit = MAX_CONNECTIONS; "peer connection rejected: limit reached"),
             Err(e) => {
@@ -81,8 +83,8 @@
 }
 
 impl Connection {
-    /// Processes messages until the connection closes or sends what it may not.
-    async fn serve(mut self, stream: TcpStream, _open: Rc<()>) {
+    /// Processes messages until the connection closes or sends a message that is rejected.
+    async fn serve(mut self, stream: TcpStream, _connection_guard: Rc<()>) {
         archlink_runtime::configure_stream(&stream);
         let (sender, mut messages) =
             split_connection(Framed::new(stream, MessageCodec::default()), MAX_QUEUED_MESSAGES);
@@ -109,7 +111,7 @@
         self.dispatch(sender, message)
     }
 
-    /// Processes a message that this sender may send.
+    /// Processes a message whose sender has been verified.
     fn dispatch(&self, sender: &MessageSender, message: Message) -> Result<(), ConnectionError> {
         match (message, self.peer.identity) {
             (Message::SessionHeartbeat { serial, data_node, cluster_clock: clock, leases }, _) => {
@@ -117,10 +119,10 @@
                 Ok(())
             }
             (Message::CounterAdds { serial, term, cluster_clock: clock, adds }, _) => {
-                self.answer_counter_adds(sender, serial, term, clock, &adds)
+                self.handle_counter_adds(sender, serial, term, clock, &adds)
             }
             (Message::UpdateRequest(versions), Some(PeerIdentity::DataNode(_))) => {
-                self.answer_update_request(sender, &versions);
+                self.handle_update_request(sender, &versions);
                 Ok(())
             }
             (message, Some(PeerIdentity::ControlNode(peer))) => {
@@ -145,11 +147,11 @@
             leases.iter().for_each(|&grant| state.leases.learn_holder(now, 0, grant));
             state.record_event(now, Event::SessionRenewed(data_node))
         });
-        // An answer that is lost is asked for again by the next heartbeat, with another serial number.
+        // A lost reply is made up for by the next heartbeat, which has another serial number.
         sender.try_send(self.node.with_state(|state, now| state.heartbeat(now, serial))).ok();
     }
 
-    fn answer_counter_adds(
+    fn handle_counter_adds(
         &self,
         sender: &MessageSender,
         serial: u64,
@@ -163,18 +165,18 @@
         });
         let totals = self.node.count(term, adds);
         let clock = self.node.with_state(|state, now| state.cluster_clock(now));
-        let answer = Message::CounterTotals { serial, cluster_clock: clock, totals };
-        sender.try_send(answer).map_err(|_| ConnectionError::TotalsNotRead)
+        let reply = Message::CounterTotals { serial, cluster_clock: clock, totals };
+        sender.try_send(reply).map_err(|_| ConnectionError::TotalsNotRead)
     }
 
-    fn answer_update_request(&self, sender: &MessageSender, versions: &VersionVector) {
+    fn handle_update_request(&self, sender: &MessageSender, versions: &VersionVector) {
         let updates = self.node.missing_updates(versions);
         if !updates.is_empty() {
             sender.try_send(Message::StateUpdates(updates)).ok();
         }
     }
 
-    /// Ends a data node's session, unless a newer connection serves it.
+    /// Ends a data node's session, unless a newer connection has taken it over.
     fn close(&self) {
         let was_newest = self.peer.close(&mut self.connections.borrow_mut());
         if let (Some(PeerIdentity::DataNode(data_node)), true) = (self.peer.identity, was_newest) {
