--- a/crates/gateway/src/attempts.rs
+++ b/crates/gateway/src/attempts.rs
@@ -1,5 +1,5 @@
-//! The tasks of attempts and probes. Each runs one exchange with one host, for no longer than it was given; an exchange
-//! that is cancelled closes its connection.
+//! The tasks that run attempts and probes. Each runs one exchange with one host, bounded by a deadline. Cancelling an
+//! exchange closes its connection.
 
 use crate::dispatcher::Dispatcher;
 use crate::driver::{Attempt, TaskSpawner};
@@ -15,10 +15,10 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep_until, timeout};
 
-/// Least deadline that is sent to a host, in seconds: a request never names one of 0.
+/// Minimum deadline sent to a host, in seconds, so that a request never carries a deadline of 0.
 const MIN_HOST_DEADLINE: f64 = 0.001;
-/// A probe has as long for its reply as for its connection.
-const PROBE_CONNECT_TIMEOUTS: u32 = 2;
+/// Total time for a probe as a multiple of the connect timeout: as long for the reply as for the connection.
+const PROBE_TIMEOUT_FACTOR: u32 = 2;
 
 impl TaskSpawner for Dispatcher {
     fn spawn_attempt(
@@ -41,23 +41,25 @@
     cancelled: oneshot::Receiver<()>,
 ) {
     let deadline = report.dispatcher.clock.instant(report.attempt.deadline);
-    let Some(message) = message.filter(|_| deadline > Instant::now()) else { return report.never_sent() };
+    let Some(message) = message.filter(|_| deadline > Instant::now()) else {
+        return report.report_never_sent();
+    };
     let reply_started = Cell::new(false);
-    // A reply that started and did not finish is a broken one, whoever stopped waiting for it.
-    let unless_started = |end| match reply_started.get() {
+    // A reply that started but did not finish counts as broken, whether the deadline or a cancellation ended the wait.
+    let unless_reply_started = |end| match reply_started.get() {
         true => AttemptEnd::Failed(ExchangeError::sent(io::ErrorKind::UnexpectedEof.into())),
         false => end,
     };
     let end = tokio::select! {
         biased;
-        reply = send(&report, &message, &reply_started) => match reply {
+        reply = send_attempt(&report, &message, &reply_started) => match reply {
             Ok(reply) => AttemptEnd::Replied(reply),
             Err(error) => AttemptEnd::Failed(error),
         },
-        _ = cancelled => unless_started(AttemptEnd::Cancelled),
-        _ = sleep_until(deadline) => unless_started(AttemptEnd::TimedOut),
+        _ = cancelled => unless_reply_started(AttemptEnd::Cancelled),
+        _ = sleep_until(deadline) => unless_reply_started(AttemptEnd::TimedOut),
     };
-    // The host is unreachable or hangs: its other pooled connections are no better.
+    // The host is unreachable or hangs, so its pooled connections are not reused either.
     let unreachable = matches!(
         &end,
         AttemptEnd::TimedOut | AttemptEnd::Failed(ExchangeError { progress: Progress::NotSent, .. })
@@ -65,10 +67,10 @@
     if unreachable {
         report.dispatcher.connections.forget(report.attempt.host);
     }
-    report.ended(end);
+    report.report_end(end);
 }
 
-async fn send(
+async fn send_attempt(
     report: &AttemptReport,
     request: &ClientRequest,
     reply_started: &Cell<bool>,
@@ -80,27 +82,29 @@
         Some(connection) => connection,
         None => dispatcher.connections.open(address).await.map_err(ExchangeError::not_sent)?,
     };
-    let host = address.to_string();
+    let host_header = address.to_string();
     let remaining = (attempt.deadline - dispatcher.clock.now()).max(MIN_HOST_DEADLINE);
-    let on_start = || {
+    let on_reply_start = || {
         if !reply_started.replace(true) {
             dispatcher.call(|admission, now, driver| {
                 admission.response_started(now, driver, attempt.request, attempt.number);
             });
         }
     };
-    let message = HostMessage::Attempt { request, host: &host, remaining };
-    exchange(&dispatcher.connections, attempt.host, connection, message, on_start).await
+    let message = HostMessage::Attempt { request, host_header: &host_header, remaining };
+    exchange(&dispatcher.connections, attempt.host, connection, message, on_reply_start).await
 }
 
-/// On a connection of its own, so that it shows whether new ones can be opened.
+/// Probes a host on a new connection, which also shows whether the host accepts connections.
 async fn run_probe(report: ProbeReport, address: Option<SocketAddr>) {
     let Some(address) = address else { return };
-    let (connections, host, id) = (report.dispatcher.connections.clone(), address.to_string(), report.host);
+    let (connections, host_header, host) =
+        (report.dispatcher.connections.clone(), address.to_string(), report.host);
     let probe = async {
         let connection = connections.open(address).await.map_err(ExchangeError::not_sent)?;
-        exchange(&connections, id, connection, HostMessage::Probe { host: &host }, || ()).await
+        exchange(&connections, host, connection, HostMessage::Probe { host_header: &host_header }, || ())
+            .await
     };
-    let reply = timeout(connections.connect_timeout() * PROBE_CONNECT_TIMEOUTS, probe).await;
-    report.ended(reply.ok().and_then(Result::ok));
+    let reply = timeout(connections.connect_timeout() * PROBE_TIMEOUT_FACTOR, probe).await;
+    report.report_reply(reply.ok().and_then(Result::ok));
 }
--- a/crates/gateway/src/discovery/host_list.rs
+++ b/crates/gateway/src/discovery/host_list.rs
@@ -79,7 +79,7 @@
         cell: number("cell", 0.0).clamp(0.0, f64::from(u16::MAX)) as u16,
         state,
         size: number("weight", 1.0).max(0.0),
-        started: clock.at_unix(number("started_ms", 0.0) / 1e3),
+        started: clock.clamp_unix_time(number("started_ms", 0.0) / 1e3),
     };
     Ok(ListedHost { id: text("id")?.to_string(), address, entry })
 }
--- a/crates/gateway/src/driver.rs
+++ b/crates/gateway/src/driver.rs
@@ -1,5 +1,5 @@
-//! Carries out what the admission module decides. Invariant: nothing here calls back into the module; what an action
-//! leads to is reported later, by the task that it started.
+//! Executes the actions of the admission module. Invariant: nothing here calls back into the module; the result of an
+//! action is reported later, by the task that the action started.
 
 use crate::clock::Clock;
 use crate::counter::CallQueue;
@@ -13,68 +13,68 @@
 use std::rc::{Rc, Weak};
 use tokio::sync::{Notify, oneshot};
 
-/// Number of an attempt that was started for a request which had ended already.
-const NO_ATTEMPT: u16 = u16::MAX;
+/// Number of an attempt that was started for a request that had already ended.
+const ENDED_REQUEST_ATTEMPT: u16 = u16::MAX;
 
 /// One attempt: a request sent to one host.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempt {
-    /// Number of the request.
+    /// Number of the request in the request table.
     pub request: u32,
-    /// Number of the attempt among the request's, from 0 on.
+    /// Number of the attempt within its request, from 0.
     pub number: u16,
-    /// The host.
+    /// The host that the request is sent to.
     pub host: HostId,
-    /// The host's address; `None` where it is not listed any more.
+    /// The host's address; `None` if the host is no longer listed.
     pub address: Option<SocketAddr>,
-    /// When the attempt has to end, in seconds.
+    /// When the attempt times out, in seconds on the gateway's clock.
     pub deadline: f64,
-    /// When it started, in seconds.
+    /// When the attempt started, in seconds on the gateway's clock.
     pub started: f64,
 }
 
-/// Starts the tasks that attempts and probes run in; each of them reports its result to the module.
+/// Spawns the tasks that run attempts and probes. Each task reports its result to the admission module.
 pub trait TaskSpawner {
-    /// Sends a request to a host. Using or dropping the sender of `cancelled` cancels it. `message` is `None` where the
-    /// request has ended.
+    /// Sends a request to a host. Using or dropping the sender of `cancelled` cancels the attempt. `message` is `None` if
+    /// the request has ended.
     fn spawn_attempt(
         self: Rc<Self>,
         attempt: Attempt,
         message: Option<Rc<ClientRequest>>,
         cancelled: oneshot::Receiver<()>,
     );
-    /// Probes a host.
+    /// Sends a health probe to a host; `address` is `None` if the host is no longer listed.
     fn spawn_probe(self: Rc<Self>, host: HostId, address: Option<SocketAddr>);
 }
 
-/// What the driver acts through.
-pub struct Outputs {
-    /// Calls to the shared counter.
+/// The channels through which the driver acts.
+pub struct DriverOutputs {
+    /// Queue of calls to the shared counter.
     pub counter_calls: Rc<CallQueue>,
-    /// Other gateways, where the settings allow messages to them.
+    /// Socket to the other gateways, if the settings allow peer messages.
     pub peers: Option<Rc<Peers>>,
-    /// Wakes the subscription to host lists.
+    /// Wakes the discovery client to open its next watch.
     pub subscribe: Rc<Notify>,
-    /// The module's timer.
+    /// The admission module's only timer.
     pub timer: Rc<Timer>,
 }
 
-/// Implementation of [`Driver`] on sockets.
+/// Implements [`Driver`] on sockets.
 pub struct GatewayDriver {
     tasks: Weak<dyn TaskSpawner>,
     clock: Clock,
     /// Open requests.
     pub requests: RequestTable,
-    /// Attempts in flight, by request and number; dropping the sender cancels one.
+    /// Attempts in flight by request and attempt number; dropping the sender cancels the attempt.
     pub attempts: HashMap<(u32, u16), oneshot::Sender<()>>,
     /// Addresses of the listed hosts.
     pub hosts: HashMap<HostId, SocketAddr>,
-    outputs: Outputs,
+    outputs: DriverOutputs,
 }
 
 impl GatewayDriver {
-    /// A driver without requests or hosts.
-    pub fn new(tasks: Weak<dyn TaskSpawner>, clock: Clock, outputs: Outputs) -> GatewayDriver {
+    /// Creates a driver without requests or hosts.
+    pub fn new(tasks: Weak<dyn TaskSpawner>, clock: Clock, outputs: DriverOutputs) -> GatewayDriver {
         let requests = RequestTable::new(clock);
         GatewayDriver { tasks, clock, requests, attempts: HashMap::new(), hosts: HashMap::new(), outputs }
     }
@@ -85,12 +85,12 @@
         let Some(tasks) = self.tasks.upgrade() else { return };
         let now = self.clock.now();
         let (number, message, request_deadline) = match self.requests.get_mut(request) {
-            Some(open) => {
-                open.attempts += 1;
-                (open.attempts - 1, Some(open.message.clone()), open.deadline)
+            Some(open_request) => {
+                open_request.attempts += 1;
+                (open_request.attempts - 1, Some(open_request.message.clone()), open_request.deadline)
             }
-            // Ended already: its result is reported like any other, and touches no attempt in flight.
-            None => (NO_ATTEMPT, None, now),
+            // The request has ended. The result is still reported, under a number that no attempt in flight has.
+            None => (ENDED_REQUEST_ATTEMPT, None, now),
         };
         let deadline = if until > 0.0 { until.min(request_deadline) } else { request_deadline };
         let (cancel, cancelled) = oneshot::channel();
--- a/crates/gateway/src/error.rs
+++ b/crates/gateway/src/error.rs
@@ -1,21 +1,21 @@
-//! Why the program does not start.
+//! Errors that prevent the program from starting.
 
 use crate::configuration::ConfigurationError;
 use crate::logger::LoggerError;
 use std::{fmt, io};
 
-/// Why the program does not start. The text begins with the key of the configuration, or the part, that failed.
+/// Why the program does not start. The message begins with the configuration key or the component that failed.
 #[derive(Debug)]
 pub enum StartupError {
-    /// A wrong configuration.
+    /// The configuration is invalid.
     Configuration(ConfigurationError),
     /// The logger could not be started.
     Logger(LoggerError),
-    /// An operating system's resource could not be had.
+    /// A resource of the operating system could not be opened.
     Io {
-        /// What it is for.
+        /// The configuration key, signal or component that the resource is for.
         key: &'static str,
-        /// Why.
+        /// The error of the operating system.
         cause: io::Error,
     },
 }
--- a/crates/gateway/src/http/host_codec.rs
+++ b/crates/gateway/src/http/host_codec.rs
@@ -75,12 +75,12 @@
 
     fn encode(&mut self, message: HostMessage, to: &mut BytesMut) -> io::Result<()> {
         match message {
-            HostMessage::Attempt { request, host, remaining } => {
+            HostMessage::Attempt { request, host_header, remaining } => {
                 let (method, target, body) = (request.method, &request.target, &request.body);
                 to.reserve(REQUEST_HEAD + target.len() + request.forwarded.len() + body.len());
                 write!(
                     to,
-                    "{method} {target} HTTP/1.1\r\nHost: {host}\r\n{REQ_DEADLINE}: {remaining:.3}\r\n"
+                    "{method} {target} HTTP/1.1\r\nHost: {host_header}\r\n{REQ_DEADLINE}: {remaining:.3}\r\n"
                 )
                 .map_err(write_error)?;
                 to.extend_from_slice(&request.forwarded);
@@ -90,8 +90,8 @@
                 to.extend_from_slice(b"\r\n");
                 to.extend_from_slice(body);
             }
-            HostMessage::Probe { host } => {
-                write!(to, "GET {PROBE_PATH} HTTP/1.1\r\nHost: {host}\r\n\r\n").map_err(write_error)?
+            HostMessage::Probe { host_header } => {
+                write!(to, "GET {PROBE_PATH} HTTP/1.1\r\nHost: {host_header}\r\n\r\n").map_err(write_error)?
             }
         }
         Ok(())
--- a/crates/gateway/src/http/mod.rs
+++ b/crates/gateway/src/http/mod.rs
@@ -130,15 +130,15 @@
     Attempt {
         /// The request.
         request: &'a ClientRequest,
-        /// The host's address, for the field `Host`.
-        host: &'a str,
+        /// Value of the header field `Host`: the host's address.
+        host_header: &'a str,
         /// Seconds for which the reply is waited for.
         remaining: f64,
     },
     /// The question whether the host's process runs.
     Probe {
-        /// The host's address, for the field `Host`.
-        host: &'a str,
+        /// Value of the header field `Host`: the host's address.
+        host_header: &'a str,
     },
 }
 
--- a/crates/gateway/src/logger.rs
+++ b/crates/gateway/src/logger.rs
@@ -1,8 +1,8 @@
-//! The logger behind the crate `log`: lines to standard error, written by a thread of their own.
+//! The logger behind the crate `log`: writes lines to standard error on a separate thread.
 //!
-//! The system's programs write through `env_logger`, which writes on the thread that logs. This program serves all its
-//! clients on one thread, and a full pipe or a slow disk behind standard error would stop all of them. So its lines never
-//! block: they go through a bounded queue, at a bounded rate; those beyond either are dropped and counted.
+//! The system's other programs use `env_logger`, which writes on the thread that logs. This program serves all clients on
+//! one thread, so a full pipe or a slow disk behind standard error would stall all of them. Logging therefore never blocks:
+//! lines go through a bounded queue at a bounded rate, and lines beyond either bound are dropped and counted.
 
 use log::{LevelFilter, Log, Metadata, Record, SetLoggerError};
 use std::io::Write;
@@ -12,35 +12,36 @@
 use std::time::{Duration, Instant};
 use std::{fmt, io};
 
-/// Lines a second, and lines at once: far more than a healthy gateway writes, little enough for any disk.
+/// Rate limit in lines per second, and its burst in lines: far more than a healthy gateway writes, and little enough for
+/// any disk.
 const MAX_LINES_PER_SECOND: f64 = 50.0;
-/// Lines that wait to be written at most.
+/// Maximum number of lines waiting to be written.
 const QUEUE_CAPACITY: usize = 256;
-/// A flush looks so often, at this interval, whether all lines are written: 100 ms at most.
-const FLUSH_POLLS: usize = 50;
+/// Number and interval of a flush's checks whether all lines are written; together at most 100 ms.
+const MAX_FLUSH_POLLS: usize = 50;
 const FLUSH_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Why the logger does not start.
+/// Why the logger could not be started.
 #[derive(Debug)]
 pub enum LoggerError {
-    /// Its thread could not be started.
+    /// The writer thread could not be spawned.
     Thread(io::Error),
-    /// Another logger is installed.
-    Installed(SetLoggerError),
+    /// Another logger is already installed.
+    AlreadyInstalled(SetLoggerError),
 }
 
 impl fmt::Display for LoggerError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            LoggerError::Thread(error) => error.fmt(f),
-            LoggerError::Installed(error) => error.fmt(f),
+            LoggerError::Thread(error) => write!(f, "cannot spawn the writer thread: {error}"),
+            LoggerError::AlreadyInstalled(error) => error.fmt(f),
         }
     }
 }
 
 impl std::error::Error for LoggerError {}
 
-/// Token bucket of the rate limit.
+/// Token bucket that limits the rate of lines.
 struct RateLimit {
     tokens: f64,
     refilled: Instant,
@@ -64,14 +65,14 @@
 }
 
 impl QueuedLogger {
-    /// `seconds name LEVEL: text`
+    /// Formats a line as `seconds name LEVEL: text`.
     fn format(&self, now: Instant, record: &Record, dropped: u64) -> String {
-        let at = now.duration_since(self.started).as_secs_f64();
+        let seconds = now.duration_since(self.started).as_secs_f64();
         let dropped = match dropped {
             0 => String::new(),
-            count => format!(" ({count} lines dropped before)"),
+            count => format!(" ({count} earlier lines dropped)"),
         };
-        format!("{at:.3} {} {}: {}{dropped}\n", self.name, record.level(), record.args())
+        format!("{seconds:.3} {} {}: {}{dropped}\n", self.name, record.level(), record.args())
     }
 }
 
@@ -98,9 +99,9 @@
         }
     }
 
-    /// Waits a moment for the lines in the queue. Blocks: only for the end of the program.
+    /// Waits a moment until the queued lines are written. Blocks, so it is only for the end of the program.
     fn flush(&self) {
-        for _ in 0..FLUSH_POLLS {
+        for _ in 0..MAX_FLUSH_POLLS {
             if self.unwritten.load(Ordering::SeqCst) == 0 {
                 return;
             }
@@ -109,23 +110,23 @@
     }
 }
 
-/// Installs the logger and has panics logged; each line has the name.
+/// Installs the logger and a hook that logs panics; each line contains `name`.
 pub fn start(name: &str, level: LevelFilter) -> Result<(), LoggerError> {
     let (queue, lines): (_, Receiver<String>) = sync_channel(QUEUE_CAPACITY);
     let unwritten = Arc::new(AtomicUsize::new(0));
-    let still_unwritten = unwritten.clone();
+    let unwritten_counter = unwritten.clone();
     let write_lines = move || {
         for line in lines {
             io::stderr().write_all(line.as_bytes()).ok();
-            still_unwritten.fetch_sub(1, Ordering::SeqCst);
+            unwritten_counter.fetch_sub(1, Ordering::SeqCst);
         }
     };
     std::thread::Builder::new().name("log".into()).spawn(write_lines).map_err(LoggerError::Thread)?;
     let started = Instant::now();
     let rate_limit = Mutex::new(RateLimit { tokens: MAX_LINES_PER_SECOND, refilled: started, dropped: 0 });
     let logger = QueuedLogger { name: name.to_string(), started, queue, unwritten, rate_limit };
-    log::set_boxed_logger(Box::new(logger)).map_err(LoggerError::Installed)?;
+    log::set_boxed_logger(Box::new(logger)).map_err(LoggerError::AlreadyInstalled)?;
     log::set_max_level(level);
-    std::panic::set_hook(Box::new(|panic| log::error!("{panic}")));
+    std::panic::set_hook(Box::new(|panic_info| log::error!("{panic_info}")));
     Ok(())
 }
--- a/crates/gateway/src/outcome.rs
+++ b/crates/gateway/src/outcome.rs
@@ -1,5 +1,5 @@
 //! Reports the results of attempts and probes to the admission module. Invariant: each attempt or probe is reported
-//! exactly once, also where its task was dropped or panicked; and none is reported as not run unless that is proven.
+//! exactly once, even if its task is dropped or panics, and an attempt is reported as not run only if that is proven.
 
 use crate::dispatcher::Dispatcher;
 use crate::driver::Attempt;
@@ -15,9 +15,9 @@
     Replied(HostReply),
     /// The exchange failed.
     Failed(ExchangeError),
-    /// The deadline passed.
+    /// The attempt's deadline passed.
     TimedOut,
-    /// The module cancelled it, or its client has its answer.
+    /// The admission module cancelled the attempt, or its client already has an answer.
     Cancelled,
 }
 
@@ -37,23 +37,23 @@
     }
 }
 
-/// The report of an attempt that the module waits for. Dropped without one, it reports a reset: the request may have run.
+/// The pending report of an attempt. If dropped unreported, it reports a reset, since the request may have run.
 pub struct AttemptReport {
-    /// The module.
+    /// Dispatcher that receives the report.
     pub dispatcher: Rc<Dispatcher>,
-    /// The attempt.
+    /// The attempt to report on.
     pub attempt: Attempt,
     reported: bool,
 }
 
 impl AttemptReport {
-    /// The report of an attempt that starts now.
+    /// Creates the report of an attempt that is about to start.
     pub fn new(dispatcher: Rc<Dispatcher>, attempt: Attempt) -> AttemptReport {
         AttemptReport { dispatcher, attempt, reported: false }
     }
 
     /// Reports how the attempt ended.
-    pub fn ended(mut self, end: AttemptEnd) {
+    pub fn report_end(mut self, end: AttemptEnd) {
         let outcome = end.outcome();
         if let AttemptEnd::Failed(error) = &end {
             log::debug!("attempt to host {}: {outcome:?}: {error}", self.attempt.host);
@@ -61,8 +61,8 @@
         self.report(outcome, if let AttemptEnd::Replied(reply) = end { Some(reply) } else { None });
     }
 
-    /// Reports that nothing was sent, as the request had ended or its time was up.
-    pub fn never_sent(mut self) {
+    /// Reports that nothing was sent because the request had ended or its deadline had passed.
+    pub fn report_never_sent(mut self) {
         self.report(Outcome::NeverSent, None);
     }
 
@@ -95,9 +95,9 @@
     }
 }
 
-/// The report of a probe that the module waits for. Dropped without one, it reports a failure.
+/// The pending report of a probe. If dropped unreported, it reports a failed probe.
 pub struct ProbeReport {
-    /// The module.
+    /// Dispatcher that receives the report.
     pub dispatcher: Rc<Dispatcher>,
     /// The probed host.
     pub host: HostId,
@@ -105,13 +105,13 @@
 }
 
 impl ProbeReport {
-    /// The report of a probe that starts now.
+    /// Creates the report of a probe that is about to start.
     pub fn new(dispatcher: Rc<Dispatcher>, host: HostId) -> ProbeReport {
         ProbeReport { dispatcher, host, reported: false }
     }
 
-    /// Reports the reply, or that there was none.
-    pub fn ended(mut self, reply: Option<HostReply>) {
+    /// Reports the host's reply, or that there was none.
+    pub fn report_reply(mut self, reply: Option<HostReply>) {
         let healthy = reply.as_ref().is_some_and(|reply| reply.status == 200);
         self.report(healthy, reply.map_or(Load::default(), |reply| reply.load));
     }
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -1,5 +1,5 @@
-//! One exchange with a host: a request or probe written to a connection, and the reply read from it. Nothing is sent a
-//! second time here; how far a failed exchange came is part of its error.
+//! One exchange with a host: writes a request or probe to a connection and reads the reply. Nothing is retried here; the
+//! error of a failed exchange states whether the request may have run.
 
 use crate::http::{HostCodec, HostMessage, HostReply, LARGE_BUFFER};
 use archlink_admission::interface::HostId;
@@ -12,31 +12,31 @@
 /// Pooled connections to hosts.
 pub type HostConnections = ConnectionPool<HostCodec>;
 
-/// How far an exchange came before it failed.
+/// How far an exchange had progressed when it failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// The request was not written completely: the host cannot have begun it.
+    /// The request was not completely written, so the host cannot have started it.
     NotSent,
-    /// Its last byte was written: it may have run.
+    /// The request's last byte was written, so it may have run.
     Sent,
 }
 
-/// A failed exchange.
+/// The error of a failed exchange.
 #[derive(Debug)]
 pub struct ExchangeError {
-    /// How far it came.
+    /// How far the exchange had progressed.
     pub progress: Progress,
     /// Why it failed.
     pub cause: io::Error,
 }
 
 impl ExchangeError {
-    /// Failed before the last byte was written.
+    /// A failure before the request's last byte was written.
     pub fn not_sent(cause: io::Error) -> ExchangeError {
         ExchangeError { progress: Progress::NotSent, cause }
     }
 
-    /// Failed after that.
+    /// A failure after the request's last byte was written.
     pub fn sent(cause: io::Error) -> ExchangeError {
         ExchangeError { progress: Progress::Sent, cause }
     }
@@ -50,8 +50,8 @@
 
 impl std::error::Error for ExchangeError {}
 
-/// Writes the message and reads its reply; the connection goes back to the pool if it can serve another exchange.
-/// `reply_started` is called whenever a part of a reply has arrived and the rest is waited for.
+/// Writes the message and reads its reply. The connection returns to the pool if it can serve another exchange.
+/// `reply_started` is called each time the reply is still incomplete after a part of it has arrived.
 pub async fn exchange(
     connections: &HostConnections,
     host: HostId,
