--- a/crates/gateway/src/discovery/error.rs
+++ b/crates/gateway/src/discovery/error.rs
@@ -1,4 +1,4 @@
-//! Why a watch of the host list ended.
+//! Errors that end a watch of the host list.
 
 use archlink_http::error::ProtocolError;
 use std::{fmt, io};
@@ -9,16 +9,16 @@
 pub enum WatchError {
     /// The connection failed, closed or timed out.
     Io(io::Error),
-    /// The body is not chunked as HTTP/1.1 says.
+    /// The body is not a valid chunked body.
     Framing(ProtocolError),
-    /// The answer does not start a watch: not HTTP, or not status 200.
-    Refused,
-    /// The body ended, or a line is too long.
+    /// The response head is not HTTP, is too large or does not have status 200.
+    UnexpectedResponse,
+    /// The response body ended, or a line is too long.
     Ended,
     /// A line is not JSON.
     Json(serde_json::Error),
-    /// A line is no host list.
-    NoVersion,
+    /// A line has no host list version.
+    MissingVersion,
 }
 
 impl fmt::Display for WatchError {
@@ -26,10 +26,10 @@
         match self {
             WatchError::Io(error) => error.fmt(f),
             WatchError::Framing(error) => error.fmt(f),
-            WatchError::Refused => f.write_str("no watch"),
-            WatchError::Ended => f.write_str("watch ended"),
+            WatchError::UnexpectedResponse => f.write_str("the response is not HTTP with status 200"),
+            WatchError::Ended => f.write_str("the response body ended or a line is too long"),
             WatchError::Json(error) => error.fmt(f),
-            WatchError::NoVersion => f.write_str("a line without a version"),
+            WatchError::MissingVersion => f.write_str("a line has no host list version"),
         }
     }
 }
--- a/crates/gateway/src/discovery/host_list.rs
+++ b/crates/gateway/src/discovery/host_list.rs
@@ -1,4 +1,4 @@
-//! Reads host lists in discovery's JSON form.
+//! Parses host lists from discovery's JSON format.
 
 use crate::clock::Clock;
 use archlink_admission::interface::{HostEntry, HostState};
@@ -7,47 +7,47 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// Index of a zone or kind that the settings do not name.
+/// Index of a zone or kind that is not in the settings.
 const UNKNOWN_INDEX: u8 = u8::MAX;
-/// Largest index of one that they name.
+/// Largest index of a zone or kind that is in the settings.
 const MAX_INDEX: usize = 254;
 
-/// One listed host.
+/// A host in a host list.
 pub struct ListedHost {
-    /// Discovery's identifier of it.
+    /// Discovery's identifier of the host.
     pub id: String,
-    /// Its address.
+    /// The host's address.
     pub address: SocketAddr,
-    /// Its entry, without its number.
+    /// The entry for the admission module; its host number is not assigned yet.
     pub entry: HostEntry,
 }
 
-/// A complete list, or the changed entries of one.
+/// A complete host list, or the changed entries of one.
 pub struct HostList {
     /// Version of the list.
     pub version: u64,
-    /// Whether it is complete.
+    /// Whether the list is complete.
     pub is_full: bool,
-    /// Its entries, in their order.
+    /// The entries in the order received.
     pub hosts: Vec<ListedHost>,
 }
 
-/// The key of a host entry whose value is missing or wrong.
+/// A host entry with a missing or invalid value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InvalidEntry {
-    /// The key.
+    /// Key of the missing or invalid value.
     pub key: &'static str,
 }
 
 impl fmt::Display for InvalidEntry {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(self.key)
+        write!(f, "{}: missing or invalid", self.key)
     }
 }
 
 impl std::error::Error for InvalidEntry {}
 
-/// Reads a list; `None` where it has no version. An invalid entry is left out and logged.
+/// Parses a host list; returns `None` if it has no version. Invalid entries are logged and left out.
 pub fn parse_host_list(value: &Value, settings: &ParsedSettings, clock: Clock) -> Option<HostList> {
     let version = value.get("version")?.as_u64()?;
     let is_full = value.get("full").and_then(Value::as_bool).unwrap_or(false);
@@ -55,7 +55,7 @@
     for entry in value.get("servers").and_then(Value::as_array).into_iter().flatten() {
         match parse_host(entry, settings, clock) {
             Ok(host) => hosts.push(host),
-            Err(error) => log::warn!("discovery: an entry of version {version} is ignored: {error}"),
+            Err(error) => log::warn!("discovery: ignored an entry of host list version {version}: {error}"),
         }
     }
     Some(HostList { version, is_full, hosts })
@@ -84,6 +84,7 @@
     Ok(ListedHost { id: text("id")?.to_string(), address, entry })
 }
 
+/// Returns the index of a name, or [`UNKNOWN_INDEX`] if it is not in the list.
 fn index_of(names: &[String], name: &str) -> u8 {
-    names.iter().position(|n| n == name).map_or(UNKNOWN_INDEX, |index| index.min(MAX_INDEX) as u8)
+    names.iter().position(|known| known == name).map_or(UNKNOWN_INDEX, |index| index.min(MAX_INDEX) as u8)
 }
--- a/crates/gateway/src/discovery/mod.rs
+++ b/crates/gateway/src/discovery/mod.rs
@@ -1,6 +1,6 @@
-//! Discovery's client: starts from the cached list, then watches for changes from its version on. A watch that fails,
-//! times out or whose address has changed is opened again from the last version received. Lists go to the admission
-//! module entry by entry, in their order and uninterpreted.
+//! The client of discovery: starts with the cached host list and watches for changes after its version. A watch that
+//! fails, times out or whose address has changed is reopened from the last version received. The entries of a list are
+//! passed to the admission module in the order received and without interpretation.
 
 mod error;
 mod host_list;
@@ -27,22 +27,22 @@
 use tokio_util::codec::FramedRead;
 use watch_codec::WatchCodec;
 
-/// An empty line comes every 2 s; without any for this long the watch has failed. Short enough that a second watch
-/// receives a list within the 6 s after which gateways are expected to know it.
+/// A watch has failed if no line arrives for this long; discovery sends an empty line every 2 s. Short enough that a
+/// second watch receives a list within the 6 s in which gateways are expected to know it.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(2800);
-/// Longest wait for a connection to discovery.
+/// Timeout of a connection attempt to discovery.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// First and longest wait between two watches while they fail. The longest is short enough for a host that drains while
-/// discovery rejects watches to be known within the same 6 s.
-const FIRST_RETRY: Duration = Duration::from_millis(300);
-const MAX_RETRY: Duration = Duration::from_secs(1);
+/// First and longest delay between watches while they fail. The longest is short enough that a host that starts to drain
+/// while discovery rejects watches is known within the same 6 s.
+const FIRST_RETRY_DELAY: Duration = Duration::from_millis(300);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// The client of discovery.
+/// Watches discovery and applies its host lists.
 pub struct DiscoveryClient {
     dispatcher: Rc<Dispatcher>,
     address: Cell<SocketAddr>,
     address_changed: Notify,
-    /// Numbers of the listed hosts, by discovery's identifiers.
+    /// Host numbers of the listed hosts by discovery's identifiers.
     host_ids: RefCell<HashMap<String, HostId>>,
     next_host: Cell<HostId>,
     version: Cell<u64>,
@@ -50,7 +50,7 @@
 }
 
 impl DiscoveryClient {
-    /// Takes over the list that was cached before the start.
+    /// Creates the client and applies the host list that was cached before the start.
     pub fn start(dispatcher: Rc<Dispatcher>, address: SocketAddr, cached: &Value) -> Rc<DiscoveryClient> {
         let client = DiscoveryClient {
             dispatcher,
@@ -62,22 +62,22 @@
             backoff: Cell::default(),
         };
         let empty = HostList { version: 0, is_full: true, hosts: Vec::new() };
-        client.apply(client.parse(cached).unwrap_or(empty), HostListUpdate::Cached);
+        client.apply_list(client.parse_list(cached).unwrap_or(empty), HostListUpdate::Cached);
         Rc::new(client)
     }
 
-    fn parse(&self, value: &Value) -> Option<HostList> {
+    fn parse_list(&self, value: &Value) -> Option<HostList> {
         parse_host_list(value, &self.dispatcher.settings, self.dispatcher.clock)
     }
 
-    /// Lists come from this address from now on.
+    /// Changes discovery's address; the watch moves to it at once.
     pub fn set_address(&self, address: SocketAddr) {
         if self.address.replace(address) != address {
             self.address_changed.notify_one();
         }
     }
 
-    fn apply(&self, list: HostList, update: HostListUpdate) {
+    fn apply_list(&self, list: HostList, update: HostListUpdate) {
         self.version.set(list.version);
         if update != HostListUpdate::Delta {
             self.forget_unlisted(&list.hosts);
@@ -89,7 +89,7 @@
         });
     }
 
-    /// What a full list leaves out is forgotten, or identifiers of long ago would pile up.
+    /// Forgets hosts that a complete list leaves out; otherwise old identifiers would accumulate.
     fn forget_unlisted(&self, hosts: &[ListedHost]) {
         let listed: HashSet<&str> = hosts.iter().map(|host| host.id.as_str()).collect();
         let mut host_ids = self.host_ids.borrow_mut();
@@ -97,13 +97,14 @@
         unlisted.for_each(|(_, host)| self.forget(host));
     }
 
+    /// Closes the idle connections to a host and removes its address.
     fn forget(&self, host: HostId) {
         self.dispatcher.connections.forget(host);
         self.dispatcher.call(|_, _, driver| driver.hosts.remove(&host));
     }
 
-    /// The entry with its number; `None` for a removed host that was not listed. A removed host is forgotten too: should
-    /// its identifier or its address come again, that is a new host.
+    /// Returns the entry with its host number, or `None` for a removed host that was not listed. A removed host is
+    /// forgotten: if its identifier or address is listed again, that is a new host.
     fn apply_entry(&self, listed: ListedHost) -> Option<HostEntry> {
         let ListedHost { id, address, entry } = listed;
         let is_removed = entry.state == HostState::Removed;
@@ -137,7 +138,7 @@
         Ok(FramedRead::new(stream, WatchCodec::default()))
     }
 
-    /// One watch, until it fails.
+    /// Runs one watch until it fails.
     async fn watch(&self) -> Result<(), WatchError> {
         let mut lines = self.open_watch().await?;
         loop {
@@ -148,52 +149,55 @@
                 continue;
             }
             let value = serde_json::from_slice(&line)?;
-            self.received(self.parse(&value).ok_or(WatchError::NoVersion)?);
+            self.handle_list(self.parse_list(&value).ok_or(WatchError::MissingVersion)?);
         }
     }
 
-    /// Changes from before the list in use would bring back hosts that are draining or removed. A full list is applied
-    /// whatever its version: discovery may have been replaced.
-    fn received(&self, list: HostList) {
+    /// Applies a list unless it is an outdated delta, which would bring back hosts that are draining or removed. A full
+    /// list is applied whatever its version, because discovery may have been replaced.
+    fn handle_list(&self, list: HostList) {
         let current = self.version.get();
         if list.version < current {
-            log::warn!("discovery: version {} after {current}; only a full list is applied", list.version);
+            log::warn!(
+                "discovery: received version {}, older than {current}; it is applied only if it is a full list",
+                list.version
+            );
         }
         if list.is_full || list.version >= current {
             let update = if list.is_full { HostListUpdate::Full } else { HostListUpdate::Delta };
-            self.apply(list, update);
+            self.apply_list(list, update);
         }
     }
 
-    /// Watches for good. Where the settings demand subscriptions, a failed watch is reported to the admission module, and
-    /// opened again when the module subscribes.
-    pub async fn run(self: Rc<DiscoveryClient>, subscribed: Rc<Notify>) {
+    /// Watches discovery; never returns. If the settings require subscriptions, a failed watch is reported to the admission
+    /// module and reopened when the module subscribes.
+    pub async fn run(self: Rc<DiscoveryClient>, subscribe_requested: Rc<Notify>) {
         let must_subscribe = self.dispatcher.settings.admission.must_subscribe;
         let mut address_changed = false;
         loop {
             let started = Instant::now();
             if must_subscribe && !address_changed {
-                subscribed.notified().await;
+                subscribe_requested.notified().await;
             }
-            // With a new address the next watch goes on from the same version there, at once.
+            // After a change of the address the next watch starts there at once, from the same version.
             let error = tokio::select! {
                 biased;
                 _ = self.address_changed.notified() => None,
-                ended = self.watch() => ended.err(),
+                result = self.watch() => result.err(),
             };
             address_changed = error.is_none();
             if let Some(error) = error {
-                self.watch_failed(started, &error).await;
+                self.handle_watch_failure(started, &error).await;
             }
         }
     }
 
-    /// Logs and reports the failure, and waits for the next watch. The module sets the pace where it has to subscribe;
-    /// elsewhere jitter keeps gateways whose watches failed together from coming back together.
-    async fn watch_failed(&self, started: Instant, error: &WatchError) {
+    /// Logs and reports the failure, and waits until the next watch may start. If subscriptions are required, the module
+    /// paces the retries; otherwise jitter spreads out the retries of gateways whose watches failed together.
+    async fn handle_watch_failure(&self, started: Instant, error: &WatchError) {
         let must_subscribe = self.dispatcher.settings.admission.must_subscribe;
         let mut backoff = self.backoff.get();
-        let delay = self.dispatcher.retry_delay(&mut backoff, FIRST_RETRY, MAX_RETRY);
+        let delay = self.dispatcher.retry_delay(&mut backoff, FIRST_RETRY_DELAY, MAX_RETRY_DELAY);
         self.backoff.set(backoff);
         log::warn!("discovery: watch failed after {:.1?}: {error}", started.elapsed());
         if must_subscribe {
@@ -201,6 +205,6 @@
                 admission.host_list_updated(now, driver, HostListUpdate::Failed, &[]);
             });
         }
-        sleep_until(started + if must_subscribe { FIRST_RETRY } else { delay }).await;
+        sleep_until(started + if must_subscribe { FIRST_RETRY_DELAY } else { delay }).await;
     }
 }
--- a/crates/gateway/src/http/client_codec.rs
+++ b/crates/gateway/src/http/client_codec.rs
@@ -1,4 +1,4 @@
-//! The client's side of HTTP: decodes requests, encodes answers.
+//! Codec of client connections: decodes requests, encodes answers.
 
 use super::request_parsing::parse_request;
 use super::{
@@ -15,10 +15,10 @@
 use std::rc::Rc;
 use tokio_util::codec::{Decoder, Encoder};
 
-/// Room for the head of an answer beside the forwarded lines, in bytes.
-const ANSWER_HEAD: usize = 128;
+/// Bytes reserved for the head of an answer in addition to the forwarded lines.
+const ANSWER_HEAD_BYTES: usize = 128;
 
-/// A request whose head is decoded and whose body is awaited.
+/// A request whose head is decoded and whose body is incomplete.
 struct PendingRequest {
     request: Result<ClientRequest, InvalidRequest>,
     is_readiness_check: bool,
@@ -30,35 +30,36 @@
 pub struct ClientCodec {
     settings: Rc<ParsedSettings>,
     pending: Option<PendingRequest>,
+    /// Set by the first message that cannot be framed; further input is discarded.
     failed: bool,
 }
 
 impl ClientCodec {
-    /// A codec of a new connection.
+    /// Creates the codec of a new connection.
     pub fn new(settings: Rc<ParsedSettings>) -> ClientCodec {
         ClientCodec { settings, pending: None, failed: false }
     }
 
-    /// What does not parse as HTTP ends the connection: where the next message starts is not known.
+    /// Fails the connection: after input that does not parse as HTTP, the start of the next message is unknown.
     fn fail(&mut self, reason: InvalidRequest) -> Option<Received> {
         self.failed = true;
         Some(Received { message: ClientMessage::Invalid(reason), close: true })
     }
 
-    /// The head of the next message; `None` where it is incomplete.
-    fn decode_head(&self, from: &mut BytesMut) -> Result<Option<PendingRequest>, InvalidRequest> {
+    /// Decodes the head of the next message; returns `None` if it is incomplete.
+    fn decode_head(&self, src: &mut BytesMut) -> Result<Option<PendingRequest>, InvalidRequest> {
         // Empty lines before a message are allowed.
-        while from.starts_with(b"\r\n") {
-            from.advance(2);
+        while src.starts_with(b"\r\n") {
+            src.advance(2);
         }
-        if from.is_empty() {
+        if src.is_empty() {
             return Ok(None);
         }
         let mut headers = [EMPTY_HEADER; MAX_HEADERS];
         let mut head = httparse::Request::new(&mut headers);
-        let length = match head.parse(from) {
+        let length = match head.parse(src) {
             Ok(Status::Complete(length)) if length <= MAX_HEAD => length,
-            Ok(Status::Partial) if from.len() < MAX_HEAD => return Ok(None),
+            Ok(Status::Partial) if src.len() < MAX_HEAD => return Ok(None),
             Ok(_) | Err(httparse::Error::TooManyHeaders) => {
                 return Err(InvalidRequest::HeadTooLarge);
             }
@@ -74,7 +75,7 @@
             false => BodyLength::Sized(framing.length.unwrap_or(0)),
         };
         let request = parse_request(&self.settings, &head, framing.forwarded);
-        from.advance(length);
+        src.advance(length);
         Ok(Some(PendingRequest { request, is_readiness_check, body, close }))
     }
 }
@@ -94,20 +95,20 @@
     type Item = Received;
     type Error = io::Error;
 
-    fn decode(&mut self, from: &mut BytesMut) -> io::Result<Option<Received>> {
+    fn decode(&mut self, src: &mut BytesMut) -> io::Result<Option<Received>> {
         if self.failed {
-            from.clear();
+            src.clear();
             return Ok(None);
         }
         if self.pending.is_none() {
-            match self.decode_head(from) {
+            match self.decode_head(src) {
                 Ok(Some(pending)) => self.pending = Some(pending),
                 Ok(None) => return Ok(None),
                 Err(reason) => return Ok(self.fail(reason)),
             }
         }
         let Some(pending) = &mut self.pending else { return Ok(None) };
-        Ok(match pending.body.take(from, false, MAX_BODY) {
+        Ok(match pending.body.take(src, false, MAX_BODY) {
             Err(_) => self.fail(InvalidRequest::Malformed),
             Ok(BodyProgress::TooLarge) => self.fail(InvalidRequest::BodyTooLarge),
             Ok(BodyProgress::Partial) => None,
@@ -132,11 +133,11 @@
     }
 }
 
-/// An answer, and whether the connection ends with it.
+/// Encodes an answer; the second element is whether the connection is closed after it.
 impl Encoder<(Answer, bool)> for ClientCodec {
     type Error = io::Error;
 
-    fn encode(&mut self, (answer, close): (Answer, bool), to: &mut BytesMut) -> io::Result<()> {
+    fn encode(&mut self, (answer, close): (Answer, bool), dst: &mut BytesMut) -> io::Result<()> {
         let (status, forwarded, body, retry_after) = match answer {
             Answer::Answered { forwarded, body, .. } => (200, forwarded, body, 0.0),
             Answer::Rejected { retry_after } => (429, Vec::new(), Bytes::new(), retry_after),
@@ -147,18 +148,18 @@
                 (status, Vec::new(), Bytes::from(reason_phrase(status)), 0.0)
             }
         };
-        to.reserve(ANSWER_HEAD + forwarded.len() + body.len());
-        write!(to, "HTTP/1.1 {status} {}\r\nContent-Length: {}\r\n", reason_phrase(status), body.len())
+        dst.reserve(ANSWER_HEAD_BYTES + forwarded.len() + body.len());
+        write!(dst, "HTTP/1.1 {status} {}\r\nContent-Length: {}\r\n", reason_phrase(status), body.len())
             .map_err(write_error)?;
         if retry_after > 0.0 {
-            write!(to, "Retry-After: {retry_after:.3}\r\n").map_err(write_error)?;
+            write!(dst, "Retry-After: {retry_after:.3}\r\n").map_err(write_error)?;
         }
         if close {
-            to.extend_from_slice(b"Connection: close\r\n");
+            dst.extend_from_slice(b"Connection: close\r\n");
         }
-        to.extend_from_slice(&forwarded);
-        to.extend_from_slice(b"\r\n");
-        to.extend_from_slice(&body);
+        dst.extend_from_slice(&forwarded);
+        dst.extend_from_slice(b"\r\n");
+        dst.extend_from_slice(&body);
         Ok(())
     }
 }
--- a/crates/gateway/src/http/host_codec.rs
+++ b/crates/gateway/src/http/host_codec.rs
@@ -1,4 +1,4 @@
-//! The host's side of HTTP: encodes requests and probes, decodes replies.
+//! Codec of connections to hosts: encodes requests and probes, decodes replies.
 
 use super::{HostMessage, HostReply, MAX_BODY, MAX_HEAD, MAX_HEADERS, parse_number, write_error};
 use crate::protocol::{NOT_FORWARDED, PROBE_PATH, REQ_DEADLINE, SRV_DECLINED, SRV_LOAD, SRV_UNITS};
@@ -14,37 +14,37 @@
 use std::rc::Rc;
 use tokio_util::codec::{Decoder, Encoder};
 
-/// Largest body of a reply, in bytes. Hosts may send more than the protocol's limit, as long as the reservations of all
-/// such replies fit.
-const MAX_REPLY: usize = 1 << 20;
-/// Reported units beyond this are taken for damage and cut to it.
+/// Largest body of a reply, in bytes. Hosts may exceed the protocol's limit as long as memory for all such replies can be
+/// reserved.
+const MAX_REPLY_BODY: usize = 1 << 20;
+/// Limit of reported units; a larger value is assumed to be corrupt and is reduced to this.
 const MAX_UNITS: f64 = 1e6;
-/// Room for the head of a request beside its target and forwarded lines, in bytes.
-const REQUEST_HEAD: usize = 256;
+/// Bytes reserved for the head of a request in addition to its target and forwarded lines.
+const REQUEST_HEAD_BYTES: usize = 256;
 
-/// Why a reply is not one.
+/// Why a reply is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplyError {
-    /// The head is not HTTP, or too large.
-    Head,
-    /// The header lines do not say where the reply ends.
-    Headers,
-    /// No bytes are left to reserve for a large body.
-    NoRoom,
+    /// The head is not HTTP or is too large.
+    InvalidHead,
+    /// The header lines do not define where the reply ends.
+    InvalidHeaders,
+    /// No memory is left to reserve for a large body.
+    MemoryExhausted,
     /// The body is larger than any reply may be.
     TooLarge,
-    /// The connection ended before the reply did.
+    /// The connection ended before the reply was complete.
     Truncated,
 }
 
 impl fmt::Display for ReplyError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            ReplyError::Head => "reply head",
-            ReplyError::Headers => "reply headers",
-            ReplyError::NoRoom => "no room for a large reply",
+            ReplyError::InvalidHead => "reply head is not HTTP or too large",
+            ReplyError::InvalidHeaders => "reply headers with an invalid content length or transfer encoding",
+            ReplyError::MemoryExhausted => "no memory left for a large reply",
             ReplyError::TooLarge => "reply body too large",
-            ReplyError::Truncated => "reply cut short",
+            ReplyError::Truncated => "reply truncated",
         })
     }
 }
@@ -57,7 +57,7 @@
     }
 }
 
-/// A reply whose head is decoded and whose body is awaited.
+/// A reply whose head is decoded and whose body is incomplete.
 struct PendingReply {
     reply: HostReply,
     body: BodyLength,
@@ -67,31 +67,33 @@
 #[derive(Default)]
 pub struct HostCodec {
     pending: Option<PendingReply>,
-    large_reply_room: Rc<Cell<usize>>,
+    /// Bytes left for large replies, shared by all connections.
+    available_reply_bytes: Rc<Cell<usize>>,
 }
 
 impl Encoder<HostMessage<'_>> for HostCodec {
     type Error = io::Error;
 
-    fn encode(&mut self, message: HostMessage, to: &mut BytesMut) -> io::Result<()> {
+    fn encode(&mut self, message: HostMessage, dst: &mut BytesMut) -> io::Result<()> {
         match message {
             HostMessage::Attempt { request, host_header, remaining } => {
                 let (method, target, body) = (request.method, &request.target, &request.body);
-                to.reserve(REQUEST_HEAD + target.len() + request.forwarded.len() + body.len());
+                dst.reserve(REQUEST_HEAD_BYTES + target.len() + request.forwarded.len() + body.len());
                 write!(
-                    to,
+                    dst,
                     "{method} {target} HTTP/1.1\r\nHost: {host_header}\r\n{REQ_DEADLINE}: {remaining:.3}\r\n"
                 )
                 .map_err(write_error)?;
-                to.extend_from_slice(&request.forwarded);
+                dst.extend_from_slice(&request.forwarded);
                 if method != "GET" || !body.is_empty() {
-                    write!(to, "Content-Length: {}\r\n", body.len()).map_err(write_error)?;
+                    write!(dst, "Content-Length: {}\r\n", body.len()).map_err(write_error)?;
                 }
-                to.extend_from_slice(b"\r\n");
-                to.extend_from_slice(body);
+                dst.extend_from_slice(b"\r\n");
+                dst.extend_from_slice(body);
             }
             HostMessage::Probe { host_header } => {
-                write!(to, "GET {PROBE_PATH} HTTP/1.1\r\nHost: {host_header}\r\n\r\n").map_err(write_error)?
+                write!(dst, "GET {PROBE_PATH} HTTP/1.1\r\nHost: {host_header}\r\n\r\n")
+                    .map_err(write_error)?
             }
         }
         Ok(())
@@ -109,14 +111,14 @@
 }
 
 impl PendingReply {
-    fn new(status: u16, old_version: bool, headers: &[Header], framing: FramingHeaders) -> PendingReply {
+    fn new(status: u16, is_http_1_0: bool, headers: &[Header], framing: FramingHeaders) -> PendingReply {
         let body = match (framing.chunked, framing.length) {
             _ if status == 204 || status == 304 => BodyLength::Sized(0),
             (true, _) => BodyLength::Chunked(ChunkedDecoder::default(), BytesMut::new()),
             (false, Some(length)) => BodyLength::Sized(length),
             (false, None) => BodyLength::ToEnd,
         };
-        let closes = framing.close || (old_version && !framing.keep) || matches!(body, BodyLength::ToEnd);
+        let must_close = framing.close || (is_http_1_0 && !framing.keep) || matches!(body, BodyLength::ToEnd);
         let units = header(headers, SRV_UNITS).and_then(parse_number);
         let reply = HostReply {
             status,
@@ -126,49 +128,49 @@
             forwarded: framing.forwarded,
             body: Bytes::new(),
             reserved: None,
-            keep_alive: !closes,
+            keep_alive: !must_close,
         };
         PendingReply { reply, body }
     }
 
-    /// Reserves bytes for a body beyond the protocol's limit; what is reserved grows with what is known of the body.
-    fn reserve(&mut self, from: &BytesMut, room: &Rc<Cell<usize>>) -> Result<(), ReplyError> {
-        let known = self.body.known(from).min(MAX_REPLY + 1);
+    /// Reserves memory for a body beyond the protocol's limit; the reservation grows as more of the body becomes known.
+    fn reserve(&mut self, src: &BytesMut, available: &Rc<Cell<usize>>) -> Result<(), ReplyError> {
+        let known = self.body.known(src).min(MAX_REPLY_BODY + 1);
         let reserved = &mut self.reply.reserved;
         if known <= MAX_BODY || reserved.as_ref().is_some_and(|reserved| reserved.bytes >= known) {
             return Ok(());
         }
         *reserved = None;
-        *reserved = ReservedBytes::reserve(room, known.next_power_of_two());
-        if reserved.is_some() { Ok(()) } else { Err(ReplyError::NoRoom) }
+        *reserved = ReservedBytes::reserve(available, known.next_power_of_two());
+        if reserved.is_some() { Ok(()) } else { Err(ReplyError::MemoryExhausted) }
     }
 }
 
 impl HostCodec {
-    /// `large_reply_room`: bytes left for large replies, of all connections together.
-    pub fn new(large_reply_room: Rc<Cell<usize>>) -> HostCodec {
-        HostCodec { pending: None, large_reply_room }
+    /// Creates a codec; `available_reply_bytes` are the bytes left for the large replies of all connections together.
+    pub fn new(available_reply_bytes: Rc<Cell<usize>>) -> HostCodec {
+        HostCodec { pending: None, available_reply_bytes }
     }
 
-    /// The head of a reply is decoded, and its body is awaited.
+    /// Returns whether the head of a reply is decoded and its body incomplete.
     pub fn reply_started(&self) -> bool {
         self.pending.is_some()
     }
 
-    /// Decodes heads up to the final one; interim replies (1xx) come before it. False where the head is incomplete.
-    fn decode_head(&mut self, from: &mut BytesMut) -> Result<bool, ReplyError> {
+    /// Decodes heads up to that of the final reply, skipping interim (1xx) replies. Returns false if the head is incomplete.
+    fn decode_head(&mut self, src: &mut BytesMut) -> Result<bool, ReplyError> {
         while self.pending.is_none() {
             let mut headers = [EMPTY_HEADER; MAX_HEADERS];
             let mut head = httparse::Response::new(&mut headers);
-            let length = match head.parse(from) {
+            let length = match head.parse(src) {
                 Ok(Status::Complete(length)) if length <= MAX_HEAD => length,
-                Ok(Status::Partial) if from.len() < MAX_HEAD => return Ok(false),
-                _ => return Err(ReplyError::Head),
+                Ok(Status::Partial) if src.len() < MAX_HEAD => return Ok(false),
+                _ => return Err(ReplyError::InvalidHead),
             };
-            let framing = framing_headers(head.headers, &NOT_FORWARDED).ok_or(ReplyError::Headers)?;
+            let framing = framing_headers(head.headers, &NOT_FORWARDED).ok_or(ReplyError::InvalidHeaders)?;
             let status = head.code.unwrap_or(0);
             let pending = PendingReply::new(status, head.version == Some(0), head.headers, framing);
-            from.advance(length);
+            src.advance(length);
             if status >= 200 {
                 self.pending = Some(pending);
             }
@@ -176,13 +178,13 @@
         Ok(true)
     }
 
-    fn decode_reply(&mut self, from: &mut BytesMut, ended: bool) -> io::Result<Option<HostReply>> {
-        if !self.decode_head(from)? {
+    fn decode_reply(&mut self, src: &mut BytesMut, ended: bool) -> io::Result<Option<HostReply>> {
+        if !self.decode_head(src)? {
             return Ok(None);
         }
         let Some(pending) = &mut self.pending else { return Ok(None) };
-        pending.reserve(from, &self.large_reply_room)?;
-        match pending.body.take(from, ended, MAX_REPLY)? {
+        pending.reserve(src, &self.available_reply_bytes)?;
+        match pending.body.take(src, ended, MAX_REPLY_BODY)? {
             BodyProgress::TooLarge => Err(ReplyError::TooLarge.into()),
             BodyProgress::Partial => Ok(None),
             BodyProgress::Complete(body) => {
@@ -196,13 +198,13 @@
     type Item = HostReply;
     type Error = io::Error;
 
-    fn decode(&mut self, from: &mut BytesMut) -> io::Result<Option<HostReply>> {
-        self.decode_reply(from, false)
+    fn decode(&mut self, src: &mut BytesMut) -> io::Result<Option<HostReply>> {
+        self.decode_reply(src, false)
     }
 
-    fn decode_eof(&mut self, from: &mut BytesMut) -> io::Result<Option<HostReply>> {
-        match self.decode_reply(from, true)? {
-            None if self.pending.is_some() || !from.is_empty() => Err(ReplyError::Truncated.into()),
+    fn decode_eof(&mut self, src: &mut BytesMut) -> io::Result<Option<HostReply>> {
+        match self.decode_reply(src, true)? {
+            None if self.pending.is_some() || !src.is_empty() => Err(ReplyError::Truncated.into()),
             reply => Ok(reply),
         }
     }
--- a/crates/gateway/src/http/request_parsing.rs
+++ b/crates/gateway/src/http/request_parsing.rs
@@ -1,4 +1,4 @@
-//! Reads a client's request from its parsed head, in the terms of the settings.
+//! Converts the parsed head of a client's request to a [`ClientRequest`], with the classes and plans of the settings.
 
 use super::InvalidRequest::{self, Malformed};
 use super::{ClientRequest, parse_number};
@@ -10,14 +10,14 @@
 use httparse::Header;
 
 /// Longest identifier of a request, in bytes.
-const MAX_ID: usize = 256;
-/// Longest customer number, in hexadecimal digits; and the first number that is out of range.
+const MAX_REQUEST_ID_BYTES: usize = 256;
+/// Maximum number of hexadecimal digits of a customer number, and the first number that is out of range.
 const MAX_CUSTOMER_DIGITS: usize = 16;
 const CUSTOMER_LIMIT: u64 = 1 << 33;
-/// Longest deadline, in seconds: no client waits a day, and a time must stay one that clocks can add.
-const MAX_REMAINING: f64 = 86_400.0;
+/// Longest deadline, in seconds: no client waits for a day, and a longer time could overflow the clock's arithmetic.
+const MAX_DEADLINE: f64 = 86_400.0;
 
-/// The request without its body; `forwarded` are the header lines that go on to the host.
+/// Parses a request without its body; `forwarded` are the header lines to forward to the host.
 pub fn parse_request(
     settings: &ParsedSettings,
     head: &httparse::Request,
@@ -29,14 +29,15 @@
     let method = parse_method(effect, head.method)?;
     let plan = parse_plan(settings, head.headers)?;
     let customer = parse_customer(target)?;
-    let field = |name| header(head.headers, name);
-    let remaining = field(REQ_DEADLINE).and_then(parse_number).ok_or(Malformed)?;
-    let id = field(REQ_ID).filter(|id| (1..=MAX_ID).contains(&id.len())).ok_or(Malformed)?;
-    if effect == Effect::Receipted && field(IDEMPOTENCY_KEY).is_none_or(str::is_empty) {
+    let header_value = |name| header(head.headers, name);
+    let remaining = header_value(REQ_DEADLINE).and_then(parse_number).ok_or(Malformed)?;
+    let id =
+        header_value(REQ_ID).filter(|id| (1..=MAX_REQUEST_ID_BYTES).contains(&id.len())).ok_or(Malformed)?;
+    if effect == Effect::Receipted && header_value(IDEMPOTENCY_KEY).is_none_or(str::is_empty) {
         return Err(Malformed);
     }
     let Weight { units, spread, first } = parse_weight(&settings.admission, head.headers)?;
-    let remaining = remaining.min(MAX_REMAINING);
+    let remaining = remaining.min(MAX_DEADLINE);
     let request = Request { id: 0, class, plan, customer, remaining, units, spread, first };
     Ok(ClientRequest {
         id: id.into(),
@@ -48,7 +49,7 @@
     })
 }
 
-/// The first part of the path names the request class.
+/// Returns the index of the request class, which the first segment of the path names.
 fn parse_class(settings: &ParsedSettings, target: &str) -> Result<usize, InvalidRequest> {
     let path = target.split('?').next().unwrap_or(target);
     let class = path.trim_start_matches('/').split('/').next().unwrap_or("");
@@ -83,31 +84,35 @@
     first: u32,
 }
 
-/// A value out of its range would charge the named customer for what others requested.
+/// Parses the weight of a request. A value out of range is rejected: it would charge the named customer for the requests
+/// of others.
 fn parse_weight(settings: &AdmissionSettings, headers: &[Header]) -> Result<Weight, InvalidRequest> {
-    let text = match headers.iter().any(|h| h.name.eq_ignore_ascii_case(X_WEIGHT)) {
+    let text = match headers.iter().any(|field| field.name.eq_ignore_ascii_case(X_WEIGHT)) {
         true => header(headers, X_WEIGHT).ok_or(Malformed)?,
         false => "",
     };
     let units = list_value(text, "units").map_or(Some(1.0), parse_number);
-    let units = units.filter(|n| *n > 0.0 && *n <= settings.max_units.max(1.0)).ok_or(Malformed)?;
+    let units =
+        units.filter(|units| *units > 0.0 && *units <= settings.max_units.max(1.0)).ok_or(Malformed)?;
     let integer = |name, default: u32| list_value(text, name).map_or(Some(default), |text| text.parse().ok());
-    let spread = integer("spread", 1).filter(|n| (1..=settings.gateways).contains(n)).ok_or(Malformed)?;
-    let first = integer("first", 0).filter(|n| *n < settings.gateways).ok_or(Malformed)?;
+    let spread =
+        integer("spread", 1).filter(|count| (1..=settings.gateways).contains(count)).ok_or(Malformed)?;
+    let first = integer("first", 0).filter(|number| *number < settings.gateways).ok_or(Malformed)?;
     Ok(Weight { units, spread, first })
 }
 
-/// The value of a query parameter that occurs once.
+/// Returns the value of a query parameter, or `None` unless it occurs exactly once.
 fn query_value<'a>(target: &'a str, name: &str) -> Option<&'a str> {
     let (_, query) = target.split_once('?')?;
-    let mut found = query.split('&').filter_map(|pair| pair.split_once('=').filter(|(key, _)| *key == name));
-    let (first, None) = (found.next()?, found.next()) else { return None };
-    Some(first.1)
+    let mut occurrences =
+        query.split('&').filter_map(|pair| pair.split_once('=').filter(|(key, _)| *key == name));
+    let ((_, value), None) = (occurrences.next()?, occurrences.next()) else { return None };
+    Some(value)
 }
 
-/// A value of a list such as `units=2,spread=3,first=1`.
+/// Returns a value of a list such as `units=2,spread=3,first=1`.
 fn list_value<'a>(text: &'a str, name: &str) -> Option<&'a str> {
     text.split(',')
         .find_map(|pair| pair.trim().split_once('=').filter(|(key, _)| *key == name))
-        .map(|(_, v)| v)
+        .map(|(_, value)| value)
 }
--- a/crates/gateway/src/http/tests.rs
+++ b/crates/gateway/src/http/tests.rs
@@ -1,4 +1,4 @@
-//! Generated tests of both codecs: fragmented messages, and damaged bytes.
+//! Property tests of both codecs with fragmented and corrupted messages.
 
 use super::{ClientCodec, HostCodec};
 use archlink_admission_settings::ParsedSettings;
@@ -25,16 +25,23 @@
     abcHTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\n\
     Transfer-Encoding: chunked\r\n\r\n2\r\nde\r\n0\r\n\r\n";
 
-/// All that is decoded when the bytes arrive in fragments of these lengths, until the messages end or break.
-fn decoded<D: Decoder<Error = io::Error>>(mut codec: D, bytes: &[u8], lengths: &[u8]) -> Vec<String>
+/// Decodes bytes that arrive in fragments of the given lengths; returns the items up to the end or the first error.
+fn decode_fragments<D: Decoder<Error = io::Error>>(
+    mut codec: D,
+    bytes: &[u8],
+    fragment_lengths: &[u8],
+) -> Vec<String>
 where
     D::Item: std::fmt::Debug,
 {
-    let (mut buffer, mut items, mut rest, mut lengths) = (BytesMut::new(), Vec::new(), bytes, lengths.iter());
+    let (mut buffer, mut items, mut remaining, mut fragment_lengths) =
+        (BytesMut::new(), Vec::new(), bytes, fragment_lengths.iter());
     loop {
-        let length = lengths.next().map_or(rest.len(), |length| rest.len().min(usize::from(*length)));
-        buffer.extend_from_slice(&rest[..length]);
-        rest = &rest[length..];
+        let length = fragment_lengths
+            .next()
+            .map_or(remaining.len(), |length| remaining.len().min(usize::from(*length)));
+        buffer.extend_from_slice(&remaining[..length]);
+        remaining = &remaining[length..];
         loop {
             match codec.decode(&mut buffer) {
                 Ok(Some(item)) => items.push(format!("{item:?}")),
@@ -42,45 +49,45 @@
                 Err(_) => return items,
             }
         }
-        if rest.is_empty() {
+        if remaining.is_empty() {
             return items;
         }
     }
 }
 
-fn check(seed: u64, property: fn(Vec<u8>, Vec<(u16, u8)>) -> bool) {
+fn check_property(seed: u64, property: fn(Vec<u8>, Vec<(u16, u8)>) -> bool) {
     QuickCheck::new().rng(Gen::from_size_and_seed(120, seed)).tests(2000).quickcheck(property);
 }
 
 #[test]
 fn messages_decode_the_same_however_fragmented() {
-    fn property(lengths: Vec<u8>, _: Vec<(u16, u8)>) -> bool {
-        let requests = decoded(ClientCodec::new(settings()), REQUESTS, &lengths);
-        let replies = decoded(HostCodec::default(), REPLIES, &lengths);
-        requests == decoded(ClientCodec::new(settings()), REQUESTS, &[])
-            && replies == decoded(HostCodec::default(), REPLIES, &[])
+    fn property(fragment_lengths: Vec<u8>, _: Vec<(u16, u8)>) -> bool {
+        let requests = decode_fragments(ClientCodec::new(settings()), REQUESTS, &fragment_lengths);
+        let replies = decode_fragments(HostCodec::default(), REPLIES, &fragment_lengths);
+        requests == decode_fragments(ClientCodec::new(settings()), REQUESTS, &[])
+            && replies == decode_fragments(HostCodec::default(), REPLIES, &[])
             && (requests.len(), replies.len()) == (4, 3)
     }
-    check(1, property);
+    check_property(1, property);
 }
 
-/// Damaged bytes give fewer or other messages, never a panic; and they decode the same however fragmented.
+/// Corrupted bytes may decode to fewer or other messages, but never cause a panic and decode the same however fragmented.
 #[test]
-fn damaged_messages_never_panic_and_decode_the_same_however_fragmented() {
-    fn property(lengths: Vec<u8>, damage: Vec<(u16, u8)>) -> bool {
-        let damaged = |bytes: &[u8]| {
+fn corrupted_messages_never_panic_and_decode_the_same_however_fragmented() {
+    fn property(fragment_lengths: Vec<u8>, corruptions: Vec<(u16, u8)>) -> bool {
+        let corrupted = |bytes: &[u8]| {
             let mut bytes = bytes.to_vec();
-            for (at, byte) in &damage {
-                let at = usize::from(*at) % bytes.len();
-                bytes[at] = *byte;
+            for (offset, byte) in &corruptions {
+                let offset = usize::from(*offset) % bytes.len();
+                bytes[offset] = *byte;
             }
             bytes
         };
-        let (requests, replies) = (damaged(REQUESTS), damaged(REPLIES));
-        decoded(ClientCodec::new(settings()), &requests, &lengths)
-            == decoded(ClientCodec::new(settings()), &requests, &[])
-            && decoded(HostCodec::default(), &replies, &lengths)
-                == decoded(HostCodec::default(), &replies, &[])
+        let (requests, replies) = (corrupted(REQUESTS), corrupted(REPLIES));
+        decode_fragments(ClientCodec::new(settings()), &requests, &fragment_lengths)
+            == decode_fragments(ClientCodec::new(settings()), &requests, &[])
+            && decode_fragments(HostCodec::default(), &replies, &fragment_lengths)
+                == decode_fragments(HostCodec::default(), &replies, &[])
     }
-    check(2, property);
+    check_property(2, property);
 }
