--- a/crates/gateway/src/configuration/error.rs
+++ b/crates/gateway/src/configuration/error.rs
@@ -1,59 +1,60 @@
-//! Why a configuration is refused.
+//! Errors of an invalid configuration.
 
+use super::MAX_LIMIT;
 use archlink_admission_settings::SettingsError;
 use std::{fmt, io};
 
-/// A wrong value in the configuration, named by its key.
+/// An invalid or missing value in the configuration.
 #[derive(Debug)]
 pub struct ConfigurationError {
-    /// Path of the key, as `peers.0`, or name of the variable.
+    /// Path of the key, such as `peers.0`, or name of the environment variable.
     pub key: String,
-    /// What is wrong with its value.
+    /// What is wrong with the value.
     pub problem: ConfigurationProblem,
 }
 
 /// What is wrong with a value.
 #[derive(Debug)]
 pub enum ConfigurationProblem {
-    /// The variable names no file.
-    NoFile,
-    /// The file cannot be read.
+    /// The environment variable that names the configuration file is not set.
+    FileNotNamed,
+    /// The configuration file cannot be read.
     Unreadable {
-        /// Its path.
+        /// Path of the file.
         file: String,
-        /// Why.
+        /// The error of the operating system.
         cause: io::Error,
     },
-    /// The file is not JSON.
+    /// The configuration file is not JSON.
     NotJson {
-        /// Its path.
+        /// Path of the file.
         file: String,
-        /// Where and why.
+        /// Position and kind of the syntax error.
         cause: serde_json::Error,
     },
-    /// The key is needed and absent.
+    /// A required key is missing.
     Missing,
-    /// The key is needed and absent, as the settings allow calls to the counter.
+    /// The counter's address is missing although the settings allow calls to the counter.
     MissingCounter,
-    /// Not an IP address with a port.
-    NotAnAddress(String),
-    /// Not an integer, or out of its range.
+    /// The value is not an IP address with a port.
+    InvalidAddress(String),
+    /// The value is not an integer or out of range.
     OutOfRange {
-        /// The least value.
+        /// The smallest valid value.
         min: u64,
     },
-    /// A text that is not a hexadecimal number.
-    NotHexadecimal,
-    /// Neither a hexadecimal text nor a number.
-    NotASeed,
-    /// Not a log level.
-    NotALevel(String),
-    /// A wrong value in the settings object.
+    /// The seed is a string but not a hexadecimal number of 64 bits.
+    InvalidHexadecimal,
+    /// The seed is neither a string nor a non-negative integer.
+    InvalidSeed,
+    /// The value is not a log level.
+    InvalidLogLevel(String),
+    /// An invalid value in the object `settings`.
     Settings(SettingsError),
 }
 
 impl ConfigurationError {
-    /// A problem with the value of a key.
+    /// Creates an error for the value of a key.
     pub fn new(key: impl Into<String>, problem: ConfigurationProblem) -> ConfigurationError {
         ConfigurationError { key: key.into(), problem }
     }
@@ -74,18 +75,26 @@
 impl fmt::Display for ConfigurationProblem {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ConfigurationProblem::NoFile => f.write_str("names no file"),
+            ConfigurationProblem::FileNotNamed => {
+                f.write_str("not set; it has to name the configuration file")
+            }
             ConfigurationProblem::Unreadable { file, cause } => write!(f, "{file}: {cause}"),
             ConfigurationProblem::NotJson { file, cause } => write!(f, "{file}: {cause}"),
             ConfigurationProblem::Missing => f.write_str("missing"),
             ConfigurationProblem::MissingCounter => {
                 f.write_str("missing, though settings.domain.may-count is true")
             }
-            ConfigurationProblem::NotAnAddress(text) => write!(f, "{text:?} is no address"),
-            ConfigurationProblem::OutOfRange { min } => write!(f, "not a whole number from {min} on"),
-            ConfigurationProblem::NotHexadecimal => f.write_str("not hexadecimal"),
-            ConfigurationProblem::NotASeed => f.write_str("neither hexadecimal nor a number"),
-            ConfigurationProblem::NotALevel(text) => write!(f, "{text:?} is no level"),
+            ConfigurationProblem::InvalidAddress(text) => {
+                write!(f, "{text:?} is not an IP address with a port")
+            }
+            ConfigurationProblem::OutOfRange { min } => write!(f, "not an integer from {min} to {MAX_LIMIT}"),
+            ConfigurationProblem::InvalidHexadecimal => f.write_str("not a hexadecimal number of 64 bits"),
+            ConfigurationProblem::InvalidSeed => {
+                f.write_str("neither a hexadecimal string nor a non-negative integer")
+            }
+            ConfigurationProblem::InvalidLogLevel(text) => {
+                write!(f, "{text:?} is not a log level (off, error, warn, info, debug or trace)")
+            }
             ConfigurationProblem::Settings(error) => error.problem.fmt(f),
         }
     }
--- a/crates/gateway/src/configuration/mod.rs
+++ b/crates/gateway/src/configuration/mod.rs
@@ -1,47 +1,47 @@
-//! The one place where the configuration is read, checked and given its defaults. An error names the key of the wrong
-//! value. On SIGHUP the file is read again with the same checks, for what may change while the gateway runs.
+//! Reads and validates the configuration and applies its defaults; no other module does. An error names the key of the
+//! invalid value. On SIGHUP the file is read again with the same checks, for the values that may change at run time.
 
 mod error;
 
 pub use error::{ConfigurationError, ConfigurationProblem};
 
-use ConfigurationProblem::{Missing, NotAnAddress};
+use ConfigurationProblem::{InvalidAddress, Missing};
 use archlink_admission_settings::ParsedSettings;
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// Limits where the configuration names none: those of the smallest machine the gateway is meant for.
+/// Limits that apply if the configuration sets none: those of the smallest machine that the gateway is meant for.
 const DEFAULT_MEMORY_MB: u64 = 192;
 const DEFAULT_SOCKETS: u64 = 1024;
-/// Least limits with which the gateway works.
+/// Smallest limits with which the gateway works.
 const MIN_MEMORY_MB: u64 = 32;
 const MIN_SOCKETS: u64 = 64;
-/// Largest value of a limit: beyond any machine's.
+/// Largest valid limit, beyond that of any machine.
 const MAX_LIMIT: u64 = 1 << 20;
 
-/// All that a gateway starts with.
+/// The configuration that a gateway starts with.
 pub struct StartupConfiguration {
-    /// Name in the log.
+    /// Name of the gateway in log lines.
     pub name: String,
-    /// Address for clients.
+    /// Address on which clients are accepted.
     pub listen: SocketAddr,
     /// Discovery's address.
     pub discovery: SocketAddr,
-    /// The counter's address; present where the settings allow calls to it.
+    /// The counter's address; always set if the settings allow calls to the counter.
     pub counter: Option<SocketAddr>,
-    /// Address for messages of other gateways.
+    /// Address on which messages of other gateways are received.
     pub peer_listen: Option<SocketAddr>,
-    /// Addresses of the gateways, by number.
+    /// Addresses of the gateways, indexed by gateway number.
     pub peers: Vec<SocketAddr>,
-    /// Address that reaches all gateways.
+    /// Broadcast address of all gateways.
     pub peer_broadcast: Option<SocketAddr>,
-    /// Seed of the admission module's random draws.
+    /// Seed of the admission module's random number generator.
     pub seed: u64,
     /// Memory that the gateway may use, in megabytes.
     pub memory_mb: usize,
-    /// Descriptors that it may use.
+    /// File descriptors that the gateway may use.
     pub max_sockets: usize,
-    /// The host list that was known before the start.
+    /// The host list that was cached before the start.
     pub cached_hosts: Value,
     /// Settings of the admission module.
     pub settings: ParsedSettings,
@@ -49,11 +49,11 @@
     pub log_level: log::LevelFilter,
 }
 
-/// What may change while the gateway runs; all else waits for the next start.
+/// The values that may change while the gateway runs; all others take effect at the next start.
 pub struct ReloadedConfiguration {
     /// Discovery's address.
     pub discovery: SocketAddr,
-    /// The counter's address.
+    /// The counter's address; `None` leaves it unchanged.
     pub counter: Option<SocketAddr>,
     /// Log level.
     pub log_level: log::LevelFilter,
@@ -65,19 +65,20 @@
     Err(ConfigurationError::new(key, problem))
 }
 
-/// Reads the file that `LB_CONFIG` names; other variables override its keys.
+/// Reads the file that `LB_CONFIG` names; other environment variables override its keys.
 pub fn read() -> Result<StartupConfiguration> {
-    Source { file: &read_file()?, variable: &variable }.check()
+    ConfigurationSource { file: &read_file()?, variable: &variable }.parse()
 }
 
-/// Reads it again. The variables are still those of the start, so here the file's own values override them.
+/// Reads the file again. The environment variables are still those of the start, so values in the file override them.
 pub fn reload() -> Result<ReloadedConfiguration> {
-    const RELOADED: [(&str, &str); 2] = [("LB_DISCOVERY", "discovery"), ("LB_LOG", "log")];
+    const RELOADABLE: [(&str, &str); 2] = [("LB_DISCOVERY", "discovery"), ("LB_LOG", "log")];
     let file = read_file()?;
-    let in_file = |name: &str| RELOADED.iter().any(|(n, key)| *n == name && file.get(key).is_some());
+    let in_file =
+        |name: &str| RELOADABLE.iter().any(|(variable, key)| *variable == name && file.get(key).is_some());
     let variable = |name: &str| variable(name).filter(|_| !in_file(name));
     let StartupConfiguration { discovery, counter, log_level, .. } =
-        Source { file: &file, variable: &variable }.check()?;
+        ConfigurationSource { file: &file, variable: &variable }.parse()?;
     Ok(ReloadedConfiguration { discovery, counter, log_level })
 }
 
@@ -87,7 +88,7 @@
 
 fn read_file() -> Result<Value> {
     const KEY: &str = "LB_CONFIG";
-    let Some(file) = variable(KEY) else { return fail(KEY, ConfigurationProblem::NoFile) };
+    let Some(file) = variable(KEY) else { return fail(KEY, ConfigurationProblem::FileNotNamed) };
     let text = match std::fs::read_to_string(&file) {
         Ok(text) => text,
         Err(cause) => return fail(KEY, ConfigurationProblem::Unreadable { file, cause }),
@@ -97,17 +98,17 @@
 }
 
 fn parse_address(key: &str, text: &str) -> Result<SocketAddr> {
-    text.parse().or_else(|_| fail(key, NotAnAddress(text.to_string())))
+    text.parse().or_else(|_| fail(key, InvalidAddress(text.to_string())))
 }
 
-/// Where values come from.
-struct Source<'a> {
+/// The sources of configuration values: the file, and environment variables that override it.
+struct ConfigurationSource<'a> {
     file: &'a Value,
     variable: &'a dyn Fn(&str) -> Option<String>,
 }
 
-impl Source<'_> {
-    fn check(&self) -> Result<StartupConfiguration> {
+impl ConfigurationSource<'_> {
+    fn parse(&self) -> Result<StartupConfiguration> {
         let seed = self.seed()?;
         let peers = self.peers()?;
         let settings = self.settings()?;
@@ -155,7 +156,7 @@
         let Some(value) = self.file.get("limits").and_then(|limits| limits.get(key)) else {
             return Ok(default);
         };
-        match value.as_u64().filter(|n| (min..=MAX_LIMIT).contains(n)) {
+        match value.as_u64().filter(|limit| (min..=MAX_LIMIT).contains(limit)) {
             Some(limit) => Ok(limit),
             None => fail(&format!("limits.{key}"), ConfigurationProblem::OutOfRange { min }),
         }
@@ -165,17 +166,16 @@
         const KEY: &str = "seed";
         match self.file.get(KEY) {
             None => Ok(std::process::id().into()),
-            Some(Value::String(digits)) => {
-                u64::from_str_radix(digits, 16).or_else(|_| fail(KEY, ConfigurationProblem::NotHexadecimal))
-            }
-            Some(other) => other.as_u64().map_or_else(|| fail(KEY, ConfigurationProblem::NotASeed), Ok),
+            Some(Value::String(digits)) => u64::from_str_radix(digits, 16)
+                .or_else(|_| fail(KEY, ConfigurationProblem::InvalidHexadecimal)),
+            Some(other) => other.as_u64().map_or_else(|| fail(KEY, ConfigurationProblem::InvalidSeed), Ok),
         }
     }
 
     fn peers(&self) -> Result<Vec<SocketAddr>> {
         let peers = self.file.get("peers").and_then(Value::as_array).into_iter().flatten();
-        let parse = |(n, peer): (usize, &Value)| {
-            parse_address(&format!("peers.{n}"), peer.as_str().unwrap_or_default())
+        let parse = |(index, peer): (usize, &Value)| {
+            parse_address(&format!("peers.{index}"), peer.as_str().unwrap_or_default())
         };
         peers.enumerate().map(parse).collect()
     }
@@ -189,6 +189,6 @@
 
     fn log_level(&self) -> Result<log::LevelFilter> {
         let text = self.text("log", "LB_LOG").unwrap_or_else(|| "info".into());
-        text.parse().or_else(|_| fail("log", ConfigurationProblem::NotALevel(text)))
+        text.parse().or_else(|_| fail("log", ConfigurationProblem::InvalidLogLevel(text)))
     }
 }
--- a/crates/gateway/src/counter/calls.rs
+++ b/crates/gateway/src/counter/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the counter that have no reply yet.
+//! Calls to the counter that have not been answered yet.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -7,33 +7,34 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Bounds of the time that a call gets for its reply, in seconds.
+/// Bounds of a call's timeout, in seconds.
 const MIN_TIMEOUT: f64 = 0.001;
 const MAX_TIMEOUT: f64 = 60.0;
 
-/// One add to a counter key.
+/// An addition to a counter key.
 pub(super) struct Call {
-    /// The key, which the admission module numbers.
+    /// The key, a number chosen by the admission module.
     pub key: u64,
-    /// What is added.
+    /// The amount to add.
     pub amount: f64,
-    /// Seconds for which the key lives from its first add on.
+    /// Lifetime of the key in seconds, counted from the first addition to it.
     pub lifetime: f64,
-    /// When the call has timed out.
+    /// When the call times out.
     pub deadline: Instant,
-    /// The module has its reply.
+    /// Whether a result was reported to the admission module.
     pub reported: bool,
 }
 
-/// What is written to the counter.
+/// A command to the counter.
 pub(super) enum Command {
+    /// Adds to a key.
     Add(Call),
-    /// Keeps an idle connection open, and shows whether it works.
+    /// Keeps an idle connection open and checks whether it still works.
     Ping,
 }
 
 impl Command {
-    /// The call, if it is one that waits for its reply.
+    /// Returns the call if no result was reported for it yet.
     pub fn unreported_mut(&mut self) -> Option<&mut Call> {
         match self {
             Command::Add(call) if !call.reported => Some(call),
@@ -41,36 +42,38 @@
         }
     }
 
-    /// Whether it is a call that waits for its reply.
+    /// Returns whether this is a call for which no result was reported yet.
     pub fn is_unreported(&self) -> bool {
         matches!(self, Command::Add(call) if !call.reported)
     }
 }
 
+/// The calls by how far they have come.
 #[derive(Default)]
 pub(super) struct Calls {
-    /// Not written yet.
+    /// Calls that are not written yet.
     pub waiting: VecDeque<Call>,
-    /// Written and unanswered, with the time of writing, in the order of the replies.
+    /// Written, unanswered commands with their time of writing, in the order in which replies are due.
     pub written: VecDeque<(Command, Instant)>,
 }
 
-/// The queue of calls, which the driver fills and the client empties.
+/// The queue of calls: filled by the driver, emptied by the client.
 pub struct CallQueue {
     pub(super) calls: RefCell<Calls>,
+    /// Wakes the client when a call was added.
     pub(super) added: Notify,
-    /// Time that a call gets for its reply.
+    /// Time in which a call has to be answered.
     pub(super) timeout: Duration,
 }
 
 impl CallQueue {
-    /// An empty queue; `timeout` in seconds.
+    /// Creates an empty queue; `timeout` is in seconds.
     pub fn new(timeout: f64) -> Rc<CallQueue> {
         let timeout = Duration::from_secs_f64(timeout.clamp(MIN_TIMEOUT, MAX_TIMEOUT));
         Rc::new(CallQueue { calls: RefCell::default(), added: Notify::new(), timeout })
     }
 
-    /// Adds a call, to be written as soon as the client runs. `lifetime` in seconds.
+    /// Adds a call, which the client writes when it next runs. `lifetime` is in seconds.
     pub fn push(&self, key: u64, amount: f64, lifetime: f64) {
         let deadline = Instant::now() + self.timeout;
         let call = Call { key, amount, lifetime, deadline, reported: false };
--- a/crates/gateway/src/counter/client.rs
+++ b/crates/gateway/src/counter/client.rs
@@ -1,5 +1,5 @@
-//! The connection to the counter: writes waiting calls, reports replies and time-outs to the admission module,
-//! reconnects. Invariant: the replies for a key are reported in the order of its calls.
+//! The connection to the counter: writes waiting calls, reports replies and timeouts to the admission module, and
+//! reconnects. Invariant: the results for a key are reported in the order of its calls.
 
 use super::calls::{CallQueue, Command};
 use super::error::CounterError;
@@ -19,36 +19,36 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
 use tokio_util::codec::{Encoder, Framed};
 
-/// An idle connection is pinged after this long: several times in the ten seconds or less after which the counter closes
-/// one.
-const PING_AFTER: Duration = Duration::from_secs(2);
-/// A connection that has brought nothing for so many call time-outs while a call waits is closed: a busy counter's
-/// replies come late, but they come.
-const REPLY_TIMEOUT_CALLS: u32 = 2;
-/// Bounds of that time.
+/// Idle time after which a connection is pinged. The counter closes idle connections after ten seconds or less, so this
+/// leaves room for several pings.
+const PING_AFTER_IDLE: Duration = Duration::from_secs(2);
+/// A connection is closed if no reply arrives for this multiple of the call timeout while a call is unanswered. A multiple
+/// above 1, because a busy counter's replies are late but do arrive.
+const REPLY_TIMEOUT_FACTOR: u32 = 2;
+/// Bounds of the reply timeout.
 const MIN_REPLY_TIMEOUT: Duration = Duration::from_millis(50);
 const MAX_REPLY_TIMEOUT: Duration = Duration::from_secs(1);
-/// First and longest wait between two connections that brought nothing, so that a counter that comes back isn't met by a
-/// storm, and is called again within seconds.
-const FIRST_RETRY: Duration = Duration::from_millis(200);
-const MAX_RETRY: Duration = Duration::from_secs(1);
-/// Most calls unanswered on the connection.
+/// First and longest delay between connections on which no reply arrived: long enough that a recovering counter does not
+/// face a connection storm, and short enough that it is used again within seconds.
+const FIRST_RETRY_DELAY: Duration = Duration::from_millis(200);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Maximum number of unanswered commands on the connection.
 const MAX_UNANSWERED: usize = 4096;
-/// Bounds of the connect time-out, in seconds.
+/// Bounds of the connect timeout, in seconds.
 const MIN_CONNECT_TIMEOUT: f64 = 0.01;
 const MAX_CONNECT_TIMEOUT: f64 = 10.0;
 
 type Connection = Framed<TcpStream, RespCodec>;
 
-/// Encodes into the connection's buffer; the next flush writes it.
-fn buffer(connection: &mut Connection, command: &Command) -> Result<(), CounterError> {
+/// Encodes a command into the connection's write buffer; the next flush writes it.
+fn buffer_command(connection: &mut Connection, command: &Command) -> Result<(), CounterError> {
     let mut bytes = std::mem::take(connection.write_buffer_mut());
     let encoded = connection.codec_mut().encode(command, &mut bytes);
     *connection.write_buffer_mut() = bytes;
     encoded
 }
 
-/// The client of the counter.
+/// Sends the queued calls to the counter and reports their results.
 pub struct CounterClient {
     dispatcher: Rc<Dispatcher>,
     queue: Rc<CallQueue>,
@@ -57,13 +57,13 @@
 }
 
 impl CounterClient {
-    /// A client that is not connected yet.
+    /// Creates a client that is not connected yet.
     pub fn new(dispatcher: Rc<Dispatcher>, queue: Rc<CallQueue>, address: SocketAddr) -> Rc<CounterClient> {
         let address = Cell::new(address);
         Rc::new(CounterClient { dispatcher, queue, address, address_changed: Notify::new() })
     }
 
-    /// Calls go to this address from now on; replies still due from the old one are awaited first.
+    /// Changes the counter's address. Replies that are still due from the old address are awaited first.
     pub fn set_address(&self, address: SocketAddr) {
         if self.address.replace(address) != address {
             self.address_changed.notify_one();
@@ -71,21 +71,21 @@
     }
 
     fn reply_timeout(&self) -> Duration {
-        (self.queue.timeout * REPLY_TIMEOUT_CALLS).clamp(MIN_REPLY_TIMEOUT, MAX_REPLY_TIMEOUT)
+        (self.queue.timeout * REPLY_TIMEOUT_FACTOR).clamp(MIN_REPLY_TIMEOUT, MAX_REPLY_TIMEOUT)
     }
 
-    /// Reports a reply to the module; no borrow of the calls may be held, since the module may call again.
+    /// Reports a result to the admission module. No borrow of the calls may be held, because the module may add a call.
     fn report(&self, key: u64, reply: CounterReply) {
         self.dispatcher.call(|admission, now, driver| admission.counter_replied(now, driver, key, reply));
     }
 
-    /// Reports the calls that have timed out, oldest first. The module's timer comes here before the module: a timer for
-    /// each call would double the cost of a request.
+    /// Reports the calls that have timed out, oldest first. Called on each expiry of the admission module's timer, because
+    /// a timer per call would double the cost of a request.
     pub fn expire_calls(&self) {
         self.expire(false);
     }
 
-    /// Waiting calls are reported after the written ones before them.
+    /// Reports the calls that are due, or all calls. Waiting calls are reported after the written calls before them.
     fn expire(&self, all: bool) {
         self.expire_written(all);
         loop {
@@ -100,6 +100,7 @@
         }
     }
 
+    /// Reports the written calls that are due, or all written calls.
     fn expire_written(&self, all: bool) {
         let now = Instant::now();
         loop {
@@ -113,9 +114,9 @@
         }
     }
 
-    /// A reply without a number says nothing of its call, and the connection is of no further use: what is read there
-    /// next may belong to any call.
-    fn received(&self, reply: Reply) -> Result<(), CounterError> {
+    /// Matches a reply to the oldest written command and reports it. A reply without a number is an error that ends the
+    /// connection: the replies after it can no longer be matched to calls with certainty.
+    fn handle_reply(&self, reply: Reply) -> Result<(), CounterError> {
         let command = self.queue.calls.borrow_mut().written.pop_front();
         let call = match command {
             Some((Command::Add(call), _)) => call,
@@ -135,7 +136,7 @@
     }
 
     /// Writes the waiting calls.
-    async fn write(&self, connection: &mut Connection) -> Result<(), CounterError> {
+    async fn write_waiting(&self, connection: &mut Connection) -> Result<(), CounterError> {
         let now = Instant::now();
         loop {
             let mut calls = self.queue.calls.borrow_mut();
@@ -144,7 +145,7 @@
             }
             let Some(call) = calls.waiting.pop_front() else { break };
             let command = Command::Add(call);
-            buffer(connection, &command)?;
+            buffer_command(connection, &command)?;
             calls.written.push_back((command, now));
         }
         let flushed = timeout(self.reply_timeout(), connection.flush()).await;
@@ -155,16 +156,16 @@
         Err(io::ErrorKind::BrokenPipe.into())
     }
 
-    /// The last calls, whose bytes did not all go, are known not to be added. They wait again, and are reported as not
-    /// added after those before them.
+    /// Moves the last calls, whose bytes were not all sent and which are therefore certainly not added, back to the
+    /// waiting ones. They are reported as not added after the calls before them.
     fn requeue_unsent(&self, connection: &mut Connection) -> Result<(), CounterError> {
-        let mut unsent = connection.write_buffer().len();
+        let mut unsent_bytes = connection.write_buffer().len();
         let mut calls = self.queue.calls.borrow_mut();
-        while unsent > 0 {
+        while unsent_bytes > 0 {
             let Some((command, _)) = calls.written.pop_back() else { break };
             let mut bytes = BytesMut::new();
             connection.codec_mut().encode(&command, &mut bytes)?;
-            unsent = unsent.saturating_sub(bytes.len());
+            unsent_bytes = unsent_bytes.saturating_sub(bytes.len());
             if let Command::Add(call) = command {
                 calls.waiting.push_front(call);
             }
@@ -172,50 +173,50 @@
         Ok(())
     }
 
-    /// Serves one connection until it fails, times out or the address changes. `replied` is set by the first reply.
+    /// Serves one connection until it fails, times out or the address changes. The first reply sets `replied`.
     async fn serve(&self, connection: &mut Connection, replied: &mut bool) -> CounterError {
-        let (check, mut last_reply) = (sleep(self.queue.timeout), Instant::now());
-        tokio::pin!(check);
+        let (check_timer, mut last_reply) = (sleep(self.queue.timeout), Instant::now());
+        tokio::pin!(check_timer);
         loop {
-            if let Err(e) = self.write(connection).await {
-                return e;
+            if let Err(error) = self.write_waiting(connection).await {
+                return error;
             }
             tokio::select! {
                 biased;
                 reply = connection.next() => {
                     let reply = reply.unwrap_or_else(|| Err(io::ErrorKind::UnexpectedEof.into()));
-                    match reply.and_then(|reply| self.received(reply)) {
+                    match reply.and_then(|reply| self.handle_reply(reply)) {
                         Ok(()) => (*replied, last_reply) = (true, Instant::now()),
-                        Err(e) => return e,
+                        Err(error) => return error,
                     }
                 }
-                _ = self.address_changed.notified() => return self.finish(connection).await,
+                _ = self.address_changed.notified() => return self.await_due_replies(connection).await,
                 _ = self.queue.added.notified() => {}
-                _ = &mut check => {
+                _ = &mut check_timer => {
                     let now = Instant::now();
-                    check.as_mut().reset(now + self.queue.timeout);
-                    if let Err(e) = self.check_connection(connection, last_reply, now) {
-                        return e;
+                    check_timer.as_mut().reset(now + self.queue.timeout);
+                    if let Err(error) = self.check_connection(connection, last_reply, now) {
+                        return error;
                     }
                 }
             }
         }
     }
 
-    /// Gives up a connection whose oldest call waits for too long; pings an idle one.
+    /// Fails if the oldest command on the connection has waited for too long; pings an idle connection.
     fn check_connection(
         &self,
         connection: &mut Connection,
         last_reply: Instant,
         now: Instant,
     ) -> Result<(), CounterError> {
-        let oldest = self.queue.calls.borrow().written.front().map(|(_, at)| *at);
+        let oldest = self.queue.calls.borrow().written.front().map(|(_, written_at)| *written_at);
         match oldest {
-            Some(at) if at.max(last_reply) + self.reply_timeout() <= now => {
+            Some(written_at) if written_at.max(last_reply) + self.reply_timeout() <= now => {
                 Err(io::ErrorKind::TimedOut.into())
             }
-            None if last_reply + PING_AFTER <= now => {
-                buffer(connection, &Command::Ping)?;
+            None if last_reply + PING_AFTER_IDLE <= now => {
+                buffer_command(connection, &Command::Ping)?;
                 self.queue.calls.borrow_mut().written.push_back((Command::Ping, now));
                 Ok(())
             }
@@ -223,27 +224,27 @@
         }
     }
 
-    /// Awaits the replies still due from the old address, for as long as a call lives; new calls wait for the next
-    /// connection.
-    async fn finish(&self, connection: &mut Connection) -> CounterError {
+    /// Awaits the replies that are still due from the old address, for at most the call timeout. New calls wait for the
+    /// next connection.
+    async fn await_due_replies(&self, connection: &mut Connection) -> CounterError {
         let deadline = Instant::now() + self.queue.timeout;
         while !self.queue.calls.borrow().written.is_empty() {
             let Ok(Some(Ok(reply))) = timeout_at(deadline, connection.next()).await else { break };
-            if self.received(reply).is_err() {
+            if self.handle_reply(reply).is_err() {
                 break;
             }
         }
         CounterError::AddressChanged
     }
 
-    /// Written to a connection that ended: such calls may have been added. The waiting ones were not; they go to the next
-    /// connection.
+    /// Reports the calls that were written to a connection that has ended: they may have been added. The waiting calls were
+    /// not added and go to the next connection.
     fn abandon_written(&self) {
         self.expire_written(true);
         self.queue.calls.borrow_mut().written.clear();
     }
 
-    /// Connects, serves, and connects again; never ends. `connect_timeout` in seconds.
+    /// Connects, serves the connection and reconnects; never returns. `connect_timeout` is in seconds.
     pub async fn run(self: Rc<CounterClient>, connect_timeout: f64) {
         let connect_timeout =
             Duration::from_secs_f64(connect_timeout.clamp(MIN_CONNECT_TIMEOUT, MAX_CONNECT_TIMEOUT));
@@ -264,15 +265,15 @@
                     stream.set_nodelay(true).ok();
                     self.serve(&mut Framed::new(stream, RespCodec), &mut replied).await
                 }
-                Err(e) => e.into(),
+                Err(error) => error.into(),
             };
-            log::debug!("counter: {error}");
+            log::debug!("counter: connection to {address} ended: {error}");
             if replied {
                 backoff.reset();
             } else if self.address.get() == address {
                 self.expire(true);
                 self.queue.calls.borrow_mut().written.clear();
-                let delay = self.dispatcher.retry_delay(&mut backoff, FIRST_RETRY, MAX_RETRY);
+                let delay = self.dispatcher.retry_delay(&mut backoff, FIRST_RETRY_DELAY, MAX_RETRY_DELAY);
                 tokio::select! {
                     _ = sleep_until(started + delay) => {}
                     _ = self.address_changed.notified() => {}
--- a/crates/gateway/src/counter/error.rs
+++ b/crates/gateway/src/counter/error.rs
@@ -1,4 +1,4 @@
-//! Why a connection to the counter ended.
+//! Errors that end a connection to the counter.
 
 use std::{fmt, io};
 
@@ -7,15 +7,15 @@
 pub enum CounterError {
     /// The connection failed, closed or timed out.
     Io(io::Error),
-    /// A call could not be written into the connection's buffer.
+    /// A call could not be formatted into the connection's write buffer.
     Format(fmt::Error),
-    /// What arrived is not RESP2.
+    /// The received bytes are not RESP2.
     NotResp,
-    /// A reply that neither has a number nor rejects the call.
+    /// A reply neither contains a number nor rejects the call.
     NoNumber,
-    /// More calls are unanswered than are allowed.
+    /// The limit of unanswered calls is reached.
     TooManyCalls,
-    /// The counter has another address now.
+    /// The counter's address has changed.
     AddressChanged,
 }
 
@@ -24,9 +24,9 @@
         match self {
             CounterError::Io(error) => error.fmt(f),
             CounterError::Format(error) => error.fmt(f),
-            CounterError::NotResp => f.write_str("not RESP2"),
-            CounterError::NoNumber => f.write_str("reply without a number"),
-            CounterError::TooManyCalls => f.write_str("too many calls unanswered"),
+            CounterError::NotResp => f.write_str("reply is not RESP2"),
+            CounterError::NoNumber => f.write_str("reply contains no number"),
+            CounterError::TooManyCalls => f.write_str("too many unanswered calls"),
             CounterError::AddressChanged => f.write_str("address changed"),
         }
     }
--- a/crates/gateway/src/counter/mod.rs
+++ b/crates/gateway/src/counter/mod.rs
@@ -1,7 +1,7 @@
-//! Client of the shared counter: RESP2 on one pipelined connection, replies matched to calls in their order.
+//! The client of the shared counter: RESP2 on one pipelined connection, with replies matched to calls by their order.
 //!
-//! Each call gets one reply within the time that the settings give; what arrives later is dropped. A call is never
-//! repeated, and is reported as not added only where its last byte was never written or the counter rejected it.
+//! One result is reported for each call within the timeout of the settings; later replies are dropped. A call is never
+//! repeated. It is reported as not added only if its last byte was never written or the counter rejected it.
 
 mod calls;
 mod client;
