--- a/crates/gateway/examples/toy.rs
+++ b/crates/gateway/examples/toy.rs
@@ -1,6 +1,6 @@
-//! A toy deployment to try the gateway with, all on loopback: two hosts, discovery and a counter in one program.
-//! Start it, then the gateway with `crates/gateway/examples/gateway.json`. A line typed here changes the host list:
-//! `drain 1`, `gone 1` or `ready 1`.
+//! A toy deployment for trying out the gateway: two hosts, discovery and a counter in one program, all on loopback.
+//! Start it, and then the gateway with `crates/gateway/examples/gateway.json`. Typing `drain 1`, `gone 1` or `ready 1`
+//! changes the state of host 1 in the host list.
 
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Error, ErrorKind, Read, Result, Write, stdin};
@@ -13,9 +13,9 @@
 const DISCOVERY: &str = "127.0.0.1:9100";
 const COUNTER: &str = "127.0.0.1:9103";
 
-/// Time that a host takes for a request.
+/// Time that a host takes to serve a request.
 const SERVICE_TIME: Duration = Duration::from_millis(50);
-/// Time between two lines of a watch; the gateway expects one every 2 s.
+/// Interval between lines on a watch; the gateway expects one every 2 s.
 const WATCH_INTERVAL: Duration = Duration::from_millis(500);
 
 struct HostList {
@@ -25,12 +25,13 @@
 
 type SharedHostList = Arc<Mutex<HostList>>;
 
-/// Serves each connection to an address on a thread of its own.
+/// Accepts connections on an address and serves each on its own thread.
 fn listen(
     address: &str,
     serve: impl Fn(TcpStream) -> Result<()> + Send + Sync + Clone + 'static,
 ) -> Result<()> {
-    let listener = TcpListener::bind(address).map_err(|e| Error::new(e.kind(), format!("{address}: {e}")))?;
+    let listener = TcpListener::bind(address)
+        .map_err(|error| Error::new(error.kind(), format!("{address}: {error}")))?;
     spawn(move || {
         for stream in listener.incoming().flatten() {
             let serve = serve.clone();
@@ -40,15 +41,15 @@
     Ok(())
 }
 
-/// The first line of a message and its body; an error where the connection ends.
-fn read_message(from: &mut BufReader<TcpStream>) -> Result<(String, Vec<u8>)> {
-    let (mut first, mut length) = (String::new(), 0);
-    if from.read_line(&mut first)? == 0 {
+/// Reads a message; returns its first line and body, or an error if the connection ends.
+fn read_message(reader: &mut BufReader<TcpStream>) -> Result<(String, Vec<u8>)> {
+    let (mut first_line, mut length) = (String::new(), 0);
+    if reader.read_line(&mut first_line)? == 0 {
         return Err(ErrorKind::UnexpectedEof.into());
     }
     loop {
         let mut line = String::new();
-        from.read_line(&mut line)?;
+        reader.read_line(&mut line)?;
         match line.trim_end().split_once(": ") {
             Some((name, value)) if name.eq_ignore_ascii_case("content-length") => {
                 length = value.parse().unwrap_or(0);
@@ -58,29 +59,29 @@
         }
     }
     let mut body = vec![0; length];
-    from.read_exact(&mut body)?;
-    Ok((first.trim_end().to_string(), body))
+    reader.read_exact(&mut body)?;
+    Ok((first_line.trim_end().to_string(), body))
 }
 
 fn serve_host(name: &'static str, mut stream: TcpStream) -> Result<()> {
-    let mut from = BufReader::new(stream.try_clone()?);
+    let mut reader = BufReader::new(stream.try_clone()?);
     loop {
-        let (first, body) = read_message(&mut from)?;
-        println!("{name} gets {first}");
+        let (first_line, body) = read_message(&mut reader)?;
+        println!("{name} received {first_line}");
         sleep(SERVICE_TIME);
-        let target = first.split('?').next().unwrap_or("");
-        let text = format!("{name} did {target} with {} bytes\n", body.len());
+        let target = first_line.split('?').next().unwrap_or("");
+        let text = format!("{name} served {target} with {} body bytes\n", body.len());
         write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len())?;
     }
 }
 
-/// The words of one RESP2 command.
+/// Reads the words of a RESP2 command.
 fn read_command(lines: &mut impl Iterator<Item = Result<String>>) -> Result<Vec<String>> {
     let mut next_line = || lines.next().ok_or_else(|| Error::from(ErrorKind::UnexpectedEof))?;
     let count: usize = next_line()?.trim_start_matches('*').parse().unwrap_or(0);
     let mut words = Vec::new();
     for _ in 0..count {
-        // The length of the word.
+        // Skips the length of the word.
         next_line()?;
         words.push(next_line()?);
     }
@@ -91,7 +92,7 @@
     let mut lines = BufReader::new(stream.try_clone()?).lines();
     loop {
         let words = read_command(&mut lines)?;
-        // A toy: keys are kept for good, the lifetime is ignored.
+        // A simplification: keys never expire, and the lifetime is ignored.
         let [_, key, amount, _lifetime] = words.as_slice() else {
             stream.write_all(b"+PONG\r\n")?;
             continue;
@@ -107,10 +108,10 @@
 }
 
 fn host_list_line(version: u64, states: [&str; 2]) -> String {
-    let entry = |n: usize| {
+    let entry = |index: usize| {
         format!(
-            r#"{{"id":"s-{n}","addr":"{}","zone":"a","kind":"toy","cell":0,"state":"{}","weight":1.0,"started_ms":0}}"#,
-            HOSTS[n], states[n]
+            r#"{{"id":"s-{index}","addr":"{}","zone":"a","kind":"toy","cell":0,"state":"{}","weight":1.0,"started_ms":0}}"#,
+            HOSTS[index], states[index]
         )
     };
     format!(r#"{{"version":{version},"full":true,"servers":[{},{}]}}"#, entry(0), entry(1))
@@ -135,7 +136,7 @@
     }
 }
 
-/// Changes the state of a host as the typed line says; other lines are ignored.
+/// Applies a typed command to the host list; other lines are ignored.
 fn apply_command(line: &str, list: &SharedHostList) {
     let mut words = line.split_whitespace();
     let state = match words.next() {
@@ -144,10 +145,11 @@
         Some("ready") => "ready",
         _ => return,
     };
-    if let Some(n) = words.next().and_then(|n| n.parse::<usize>().ok()).filter(|n| *n < HOSTS.len()) {
+    let index = words.next().and_then(|word| word.parse::<usize>().ok());
+    if let Some(index) = index.filter(|index| *index < HOSTS.len()) {
         let mut list = list.lock().unwrap_or_else(PoisonError::into_inner);
         list.version += 1;
-        list.states[n] = state;
+        list.states[index] = state;
     }
 }
 
@@ -159,11 +161,11 @@
     listen(COUNTER, move |stream| serve_counter(&totals, stream))?;
     let watched = list.clone();
     listen(DISCOVERY, move |stream| serve_discovery(&watched, stream))?;
-    println!("two hosts, discovery and a counter are up; type `drain 1`, `gone 1` or `ready 1`");
+    println!("two hosts, discovery and a counter are running; type `drain 1`, `gone 1` or `ready 1`");
     for line in stdin().lines().map_while(Result::ok) {
         apply_command(&line, &list);
     }
-    // Without a terminal it stays up until it is ended.
+    // Without standard input the program runs until it is killed.
     loop {
         sleep(Duration::from_secs(60));
     }
--- a/crates/gateway/tests/sockets/clients.rs
+++ b/crates/gateway/tests/sockets/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that disconnect, pipeline, send invalid requests, or nothing.
+//! Clients that disconnect, pipeline, send invalid requests or send nothing.
 
 use super::*;
 
@@ -13,21 +13,21 @@
     wait_until("the attempt is cancelled", || hosts[0].observed.open.load(Ordering::SeqCst) == 0);
 }
 
-/// Its connection was not watched any more once its next request had been read ahead.
+/// Guards against missing a disconnect after the next, pipelined request has been read ahead.
 #[test]
 fn disconnect_after_pipelined_request_cancels_the_attempt() {
     let hosts = [Host::start(HostBehavior::Hangs)];
     let gateway = start_gateway("early", CounterBehavior::Counts, &hosts);
     let mut stream = TcpStream::connect(gateway.address).unwrap();
-    let patient = |id| request("GET", "look", "team", id, 30.0, b"");
-    stream.write_all(&[patient(1), patient(2)].concat()).unwrap();
+    let long_request = |id| request("GET", "look", "team", id, 30.0, b"");
+    stream.write_all(&[long_request(1), long_request(2)].concat()).unwrap();
     wait_until("the attempt has started", || hosts[0].request_count() == 1);
     drop(stream);
     wait_until("the attempt is cancelled", || hosts[0].observed.open.load(Ordering::SeqCst) == 0);
     assert_eq!(hosts[0].request_count(), 1, "the pipelined request was started");
 }
 
-/// Requests that are answered with these statuses by the gateway itself.
+/// Invalid requests, with the status that the gateway itself answers them with.
 fn invalid_requests() -> Vec<(u16, Vec<u8>)> {
     let lookup_with =
         |from: &str, to: &str| String::from_utf8(lookup_request(1)).unwrap().replace(from, to).into_bytes();
@@ -98,8 +98,8 @@
     assert_eq!(read_message(&mut answers).unwrap().2, b"found");
 }
 
-/// The identifier of an open request is another client's: what a host replies to it would be that client's answer. The
-/// same holds for a while after it is closed, as that client may not have read its answer yet.
+/// Guards against answering a client with the reply to another client's request of the same identifier. The identifier of
+/// a closed request stays in use for a while, because its client may not have read the answer yet.
 #[test]
 fn duplicate_request_id_gets_409_and_reaches_no_host() {
     let hosts = [Host::start(HostBehavior::AnswersSlowly)];
@@ -114,8 +114,8 @@
     assert_eq!(gateway.send(&lookup_request(unused_id())).0, 200);
 }
 
-/// Guards against clients that hold a connection for long by sending nothing or a part of a message, and against floods
-/// of invalid requests that are answered one by one.
+/// Guards against clients that occupy a connection by sending nothing or a part of a message, and against answering each
+/// request of a flood of invalid ones.
 #[test]
 fn idle_partial_and_invalid_input_closes_the_connection() {
     let hosts = [Host::start(HostBehavior::Answers)];
@@ -127,11 +127,11 @@
     {
         let mut stream = TcpStream::connect(gateway.address).unwrap();
         stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
-        let begun = Instant::now();
+        let started = Instant::now();
         stream.write_all(bytes).ok();
         let mut answers = Vec::new();
         stream.read_to_end(&mut answers).ok();
-        assert!(begun.elapsed() < ms(3000), "{:?}", begun.elapsed());
+        assert!(started.elapsed() < ms(3000), "{:?}", started.elapsed());
         assert_eq!(String::from_utf8_lossy(&answers).matches("HTTP/1.1 404").count(), max_answers);
     }
     assert_eq!(hosts[0].request_count(), 0);
--- a/crates/gateway/tests/sockets/counter.rs
+++ b/crates/gateway/tests/sockets/counter.rs
@@ -1,13 +1,13 @@
-//! Counters that count, hang, reply nonsense or late; and the quotas that depend on them.
+//! Counters that count, hang, reject, reply garbage or reply late, and the quotas that depend on them.
 
 use super::*;
 
 #[test]
 fn requests_are_answered_while_the_counter_is_down_hangs_or_rejects() {
     let hosts = [Host::start(HostBehavior::Answers)];
-    let dead = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let unreachable = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     for (name, address) in [
-        ("dead", dead),
+        ("dead", unreachable),
         ("hangs", start_counter(CounterBehavior::Hangs).0),
         ("busy", start_counter(CounterBehavior::Rejects).0),
     ] {
@@ -21,17 +21,17 @@
 #[test]
 fn counter_that_returns_is_called_again() {
     let hosts = [Host::start(HostBehavior::Answers)];
-    // An address of its own: on the common one another test may bind the port before the counter is back.
-    let dead = TcpListener::bind("127.0.0.2:0").unwrap().local_addr().unwrap();
-    let gateway = start_gateway_with_counter("back", dead, &hosts);
+    // On the shared loopback address another test could bind the port before the counter returns.
+    let address = TcpListener::bind("127.0.0.2:0").unwrap().local_addr().unwrap();
+    let gateway = start_gateway_with_counter("back", address, &hosts);
     (0..5).for_each(|id| assert_eq!(gateway.send(&lookup_request(id)).0, 200));
-    let (_, calls) = start_counter_at(dead, CounterBehavior::Counts);
-    wait_until("it is called", || {
+    let (_, calls) = start_counter_at(address, CounterBehavior::Counts);
+    wait_until("the counter is called", || {
         gateway.send(&lookup_request(unused_id())).0 == 200 && calls.load(Ordering::SeqCst) > 5
     });
 }
 
-/// Guards against calls written to a connection that replies nothing more, and a decoder that panics on garbage.
+/// Guards against writing calls to a connection that no longer replies, and against a decoder that panics on garbage.
 #[test]
 fn counter_reply_without_number_closes_the_connection_and_costs_one_call() {
     let hosts = [Host::start(HostBehavior::Answers)];
@@ -41,18 +41,18 @@
     assert!(calls.load(Ordering::SeqCst) >= 12, "{calls:?} calls reached the counter");
 }
 
-/// Guards against seconds without a counter because one connection to a healthy counter hangs.
+/// Guards against being without a counter for seconds because one connection to a healthy counter hangs.
 #[test]
 fn hanging_counter_connection_is_replaced_within_two_seconds() {
     let hosts = [Host::start(HostBehavior::Answers)];
     let (address, calls) = start_counter(CounterBehavior::HangsAfterTwo);
     let gateway = start_gateway_with_counter("hanging-count", address, &hosts);
     (0..3).for_each(|id| assert_eq!(gateway.send(&lookup_request(id)).0, 200));
-    let begun = Instant::now();
-    wait_until("it is called on a new connection", || {
+    let started = Instant::now();
+    wait_until("the counter is called on a new connection", || {
         gateway.send(&lookup_request(unused_id())).0 == 200 && calls.load(Ordering::SeqCst) > 4
     });
-    assert!(begun.elapsed() < ms(1800), "{:?}", begun.elapsed());
+    assert!(started.elapsed() < ms(1800), "{:?}", started.elapsed());
 }
 
 #[test]
@@ -67,7 +67,7 @@
     (3..20).for_each(|id| assert_eq!(gateway.send(&lookup_request(id)).0, 200));
 }
 
-/// Uses up the quota of the plan `tiny`; the headers of the 429 that follows.
+/// Exhausts the quota of the plan `tiny` and returns the headers of the 429 that follows.
 fn exhaust_tiny_quota(gateway: &Gateway) -> HashMap<String, String> {
     (0..2).for_each(|id| assert_eq!(gateway.send(&request("GET", "look", "tiny", id, 2.5, b"")).0, 200));
     let mut stream = TcpStream::connect(gateway.address).unwrap();
@@ -86,10 +86,10 @@
     assert_eq!(hosts[0].request_count(), 2);
 }
 
-/// With `settles` quotas count the units that hosts report; without `retry-after` a 429 gives no advice.
+/// With `settles`, quotas count the units that hosts report. Without `retry-after`, a 429 has no `Retry-After`.
 #[test]
 fn settings_decide_on_settled_units_and_retry_after() {
-    let granted = |settles: bool| {
+    let granted_count = |settles: bool| {
         let hosts = [Host::start(HostBehavior::ReportsMoreUnits)];
         let discovery = Discovery::default();
         let mut configuration =
@@ -109,26 +109,26 @@
     let gateway = start_with_configuration("no-advice", &configuration, discovery);
     let headers = exhaust_tiny_quota(&gateway);
     assert!(!headers.contains_key("retry-after"), "{headers:?}");
-    let (expected, settled) = (granted(false), granted(true));
-    assert!(settled * 2 < expected, "{expected} of one unit each, {settled} of four units");
+    let (expected, settled) = (granted_count(false), granted_count(true));
+    assert!(settled * 2 < expected, "granted {expected} of one unit each, {settled} of four units each");
 }
 
-/// Quota windows have the same numbers at every gateway, or each would grant the quota by itself.
+/// Guards against gateways that number quota windows differently: each would then grant the whole quota by itself.
 #[test]
 fn two_gateways_enforce_one_quota_together() {
     let hosts = [Host::start(HostBehavior::Answers)];
-    let (count, _) = start_counter(CounterBehavior::Counts);
+    let (counter, _) = start_counter(CounterBehavior::Counts);
     let gateways = ["first", "second"].map(|name| {
         let discovery = Discovery::default();
-        let mut configuration = gateway_configuration(count, discovery.start(), &hosts);
+        let mut configuration = gateway_configuration(counter, discovery.start(), &hosts);
         configuration["settings"]["peers-total"] = json!(2);
         start_with_configuration(name, &configuration, discovery)
     });
-    let tiny = |id: u32| {
+    let send_tiny = |id: u32| {
         let text = String::from_utf8(request("GET", "look", "tiny", id, 2.5, b"")).unwrap();
         gateways[id as usize % 2].send(text.replace("spread=1", "spread=2").as_bytes()).0
     };
-    let granted = (0..8).filter(|id| tiny(*id) == 200).count();
-    assert!((1..=2).contains(&granted), "{granted}");
+    let granted = (0..8).filter(|id| send_tiny(*id) == 200).count();
+    assert!((1..=2).contains(&granted), "{granted} requests granted");
     assert_eq!(hosts[0].request_count(), granted);
 }
--- a/crates/gateway/tests/sockets/main.rs
+++ b/crates/gateway/tests/sockets/main.rs
@@ -1,5 +1,5 @@
-//! The program itself, started against stand-ins for hosts, the counter and discovery, and driven over sockets.
-//! Everything is on loopback; times are far from any bound, so that a slow machine changes no verdict.
+//! Integration tests of the gateway process, driven over loopback sockets against fake hosts, a fake counter and a fake
+//! discovery. Measured times are far from their bounds, so that a slow machine does not change a result.
 
 mod attempts;
 mod clients;
--- a/crates/gateway/tests/sockets/process.rs
+++ b/crates/gateway/tests/sockets/process.rs
@@ -1,4 +1,4 @@
-//! The process: suspended, killed, terminated, reloaded.
+//! The process under signals (suspend, kill, terminate, reload) and with invalid configurations.
 
 use super::*;
 
@@ -12,7 +12,7 @@
         stream.write_all(&lookup_request(id)).unwrap();
         streams.push(stream);
     }
-    wait_until("the attempt has started", || hosts[0].request_count() == 2);
+    wait_until("the attempts have started", || hosts[0].request_count() == 2);
     gateway.signal(Signal::STOP);
     sleep(ms(1200));
     gateway.signal(Signal::CONT);
@@ -20,7 +20,7 @@
         let (first, ..) = read_message(&mut BufReader::new(stream)).unwrap();
         assert!(first.contains(" 200 "), "{first}");
     }
-    assert_eq!(hosts[0].request_count(), 2, "what was answered meanwhile is not retried");
+    assert_eq!(hosts[0].request_count(), 2, "a request answered during the suspension was retried");
     assert_eq!(gateway.send(&lookup_request(3)).0, 200);
 }
 
@@ -67,14 +67,14 @@
     kept.write_all(&lookup_request(1)).unwrap();
     wait_until("the attempt has started", || hosts[0].request_count() == 1);
     gateway.signal(Signal::TERM);
-    let begun = Instant::now();
+    let started = Instant::now();
     let (first, headers, _) = read_message(&mut answers).unwrap();
     assert!(first.contains(" 200 ") && headers["connection"] == "close");
-    while begun.elapsed() < ms(400) {
+    while started.elapsed() < ms(400) {
         assert_eq!(gateway.send(&lookup_request(unused_id())).0, 200);
     }
     assert_eq!(gateway.child.wait().unwrap().code(), Some(0));
-    assert!(begun.elapsed() > ms(700));
+    assert!(started.elapsed() > ms(700));
 }
 
 #[test]
@@ -87,16 +87,16 @@
         stream.write_all(&request("POST", "pay", "team", id, 1.5, b"once")).unwrap();
         streams.push(stream);
     }
-    wait_until("the attempt has started", || hosts[0].request_count() >= 1);
+    wait_until("an attempt has started", || hosts[0].request_count() >= 1);
     gateway.signal(Signal::TERM);
     for stream in streams {
-        assert!(read_message(&mut BufReader::new(stream)).is_some(), "each gets its final answer");
+        assert!(read_message(&mut BufReader::new(stream)).is_some(), "a client got no final answer");
     }
     assert_eq!(gateway.child.wait().unwrap().code(), Some(0));
 }
 
-/// Guards against a program that ends on SIGHUP, keeps the old addresses (its variables still name one), loses calls
-/// that wait for the old counter, or replaces a valid configuration by an invalid one.
+/// Guards against a process that ends on SIGHUP, keeps the old addresses (its environment still names one), loses calls
+/// that wait for the old counter, or replaces a valid configuration with an invalid one.
 #[test]
 fn sighup_reloads_the_file_and_moves_discovery_and_counter() {
     let hosts = [Host::start(HostBehavior::Answers), Host::start(HostBehavior::Answers)];
@@ -113,7 +113,7 @@
     write_configuration("again", &configuration.to_string());
     gateway.signal(Signal::HUP);
     assert!(read_message(&mut BufReader::new(waiting)).unwrap().0.contains(" 200 "));
-    wait_until("the new list applies", || {
+    wait_until("the new list is applied", || {
         gateway.send(&lookup_request(unused_id())).0 == 200 && hosts[1].request_count() > 0
     });
     assert!(discoveries[1].watch_requests.lock().unwrap()[0].contains("after=1 "));
@@ -121,23 +121,23 @@
         gateway.send(&lookup_request(unused_id())).0 == 200 && new.1.load(Ordering::SeqCst) > 0
     });
     let (removed_host_requests, old_counter_calls) = (hosts[0].request_count(), old.1.load(Ordering::SeqCst));
-    for (nth, text) in ["{", &configuration.to_string().replace("127.0.0.1", "there")].iter().enumerate() {
+    for (reload, text) in ["{", &configuration.to_string().replace("127.0.0.1", "there")].iter().enumerate() {
         write_configuration("again", text);
         gateway.signal(Signal::HUP);
         sleep(ms(50));
-        (0..5).for_each(|id| assert_eq!(gateway.send(&lookup_request(10 * nth as u32 + 10 + id)).0, 200));
+        (0..5).for_each(|id| assert_eq!(gateway.send(&lookup_request(10 * reload as u32 + 10 + id)).0, 200));
     }
     assert_eq!(
         (hosts[0].request_count(), old.1.load(Ordering::SeqCst)),
         (removed_host_requests, old_counter_calls),
-        "back to the old addresses"
+        "the gateway returned to the old addresses"
     );
 }
 
 #[test]
-fn wrong_configuration_is_rejected_with_its_key() {
-    let dead = "127.0.0.1:1".parse().unwrap();
-    for (key, place, value) in [
+fn invalid_configuration_is_rejected_with_its_key() {
+    let unreachable = "127.0.0.1:1".parse().unwrap();
+    for (key, pointer, value) in [
         ("listen", "/listen", json!("here")),
         ("seed", "/seed", json!("xyz")),
         ("counter", "/counter", json!(null)),
@@ -147,9 +147,9 @@
         ("settings.classes.0.late-share", "/settings/classes/0/late-share", json!(1.5)),
         ("settings.contracts.0.max-out", "/settings/contracts/0/max-out", json!(3)),
     ] {
-        let mut wrong = gateway_configuration(dead, dead, &[]);
-        *wrong.pointer_mut(place).unwrap() = value;
-        let output = gateway_command(&key.replace('.', "-"), &wrong).output().unwrap();
+        let mut invalid = gateway_configuration(unreachable, unreachable, &[]);
+        *invalid.pointer_mut(pointer).unwrap() = value;
+        let output = gateway_command(&key.replace('.', "-"), &invalid).output().unwrap();
         let text = String::from_utf8_lossy(&output.stderr).to_string();
         assert!(!output.status.success() && text.contains(&format!("{key}: ")), "{key}: {text}");
     }
--- a/crates/gateway/tests/sockets/support/discovery.rs
+++ b/crates/gateway/tests/sockets/support/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: publishes host lists to watches.
+//! A fake discovery that publishes host lists to watches.
 
 use super::host::Host;
 use super::{ms, read_message};
@@ -9,20 +9,20 @@
 use std::sync::{Arc, Mutex};
 use std::thread::{sleep, spawn};
 
-/// Each new watch receives the published lines after the version that it names.
+/// A discovery whose watches each receive the published lines after the version that they name.
 #[derive(Clone, Default)]
 pub struct Discovery {
-    /// Lines with the versions by which they are ordered.
+    /// Published lines, each with the version that orders it.
     pub published: Arc<Mutex<Vec<(u64, String)>>>,
-    /// First lines of the watches' requests.
+    /// Request lines of the watches.
     pub watch_requests: Arc<Mutex<Vec<String>>>,
-    /// Each increase ends all open watches.
+    /// Incremented to close all open watches.
     pub breaks: Arc<AtomicUsize>,
-    /// Sends nothing on open watches.
+    /// While set, nothing is sent on open watches.
     pub hangs: Arc<AtomicBool>,
-    /// Rejects each new watch at once.
+    /// While set, new watches are rejected.
     pub rejects: Arc<AtomicBool>,
-    /// Ends each watch in the middle of its first line.
+    /// While set, each watch is closed in the middle of its first line.
     pub truncates: Arc<AtomicBool>,
 }
 
@@ -40,9 +40,9 @@
     }
 
     fn serve(&self, mut stream: TcpStream) -> Option<()> {
-        let (first, ..) = read_message(&mut BufReader::new(stream.try_clone().ok()?))?;
-        let mut after: u64 = first.split("after=").nth(1)?.split(' ').next()?.parse().ok()?;
-        self.watch_requests.lock().unwrap().push(first);
+        let (request_line, ..) = read_message(&mut BufReader::new(stream.try_clone().ok()?))?;
+        let mut after: u64 = request_line.split("after=").nth(1)?.split(' ').next()?.parse().ok()?;
+        self.watch_requests.lock().unwrap().push(request_line);
         if self.rejects.load(Ordering::SeqCst) {
             return stream.write_all(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n").ok();
         }
@@ -53,8 +53,14 @@
                 sleep(ms(20));
                 continue;
             }
-            let lines: Vec<_> =
-                self.published.lock().unwrap().iter().filter(|l| l.0 > after).cloned().collect();
+            let lines: Vec<_> = self
+                .published
+                .lock()
+                .unwrap()
+                .iter()
+                .filter(|(version, _)| *version > after)
+                .cloned()
+                .collect();
             for (version, line) in lines {
                 after = version;
                 if self.truncates.load(Ordering::SeqCst) {
@@ -75,7 +81,7 @@
     }
 }
 
-/// Host `s-n` in cell `n`.
+/// The host list entry of host `s-n` in cell `n`.
 pub fn host_entry(n: usize, host: &Host, state: &str) -> Value {
     json!({"id": format!("s-{n}"), "addr": host.address.to_string(), "zone": "a", "kind": "k", "cell": n,
         "state": state, "weight": 1.0, "started_ms": 0})
--- a/crates/gateway/tests/sockets/support/gateway.rs
+++ b/crates/gateway/tests/sockets/support/gateway.rs
@@ -1,4 +1,4 @@
-//! The gateway's process, its configuration, and requests to it.
+//! The gateway process, its configuration, and requests to it.
 
 use super::counter::{CounterBehavior, start_counter};
 use super::discovery::{Discovery, host_entry};
@@ -25,13 +25,15 @@
     }
 }
 
+/// A configuration with a free port to listen on and one gateway; the hosts are cached as ready.
 pub fn gateway_configuration(counter: SocketAddr, discovery: SocketAddr, hosts: &[Host]) -> Value {
     let listen = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let class = |name: &str, effect: &str, scope: &str| {
         json!({"name": name, "on-time-us": 300_000, "deadline-us": 3_000_000, "effect": effect,
             "key-scope": scope, "memory-span-us": 10_000_000, "late-share": 1})
     };
-    let entries: Vec<Value> = hosts.iter().enumerate().map(|(n, h)| host_entry(n, h, "ready")).collect();
+    let entries: Vec<Value> =
+        hosts.iter().enumerate().map(|(n, host)| host_entry(n, host, "ready")).collect();
     json!({"name": "n0", "listen": listen.to_string(), "discovery": discovery.to_string(),
         "counter": counter.to_string(), "seed": "92094eb940cf389a", "peers": [],
         "known": {"version": 1, "full": true, "servers": entries},
@@ -47,13 +49,14 @@
                 "tip-multiple": 4.0, "overload-for-us": 2_000_000}}})
 }
 
-/// Writes the configuration file of that name.
+/// Writes the configuration file of the gateway called `name` and returns its path.
 pub fn write_configuration(name: &str, text: &str) -> std::path::PathBuf {
-    let file = std::env::temp_dir().join(format!("archlink-{}-{name}.json", std::process::id()));
-    std::fs::write(&file, text).unwrap();
-    file
+    let path = std::env::temp_dir().join(format!("archlink-{}-{name}.json", std::process::id()));
+    std::fs::write(&path, text).unwrap();
+    path
 }
 
+/// The command that runs the gateway; its environment names the configuration file and discovery's address.
 pub fn gateway_command(name: &str, configuration: &Value) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_archlink-gateway"));
     command.env("LB_CONFIG", write_configuration(name, &configuration.to_string())).stderr(Stdio::piped());
@@ -75,20 +78,23 @@
     let address = configuration["listen"].as_str().unwrap().parse().unwrap();
     let child = gateway_command(name, configuration).stderr(Stdio::null()).spawn().unwrap();
     let gateway = Gateway { child, address, discovery };
-    wait_until("up", || {
-        TcpStream::connect(address).is_ok_and(|s| exchange(s, b"GET /up HTTP/1.1\r\n\r\n").0 == 200)
+    wait_until("the gateway is ready", || {
+        TcpStream::connect(address).is_ok_and(|stream| exchange(stream, b"GET /up HTTP/1.1\r\n\r\n").0 == 200)
     });
     gateway
 }
 
+/// Sends bytes and returns the status and body of the first answer; status 0 if there is none.
 fn exchange(mut stream: TcpStream, bytes: &[u8]) -> (u16, Vec<u8>) {
     stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     stream.write_all(bytes).ok();
-    let Some((first, _, body)) = read_message(&mut BufReader::new(stream)) else { return (0, Vec::new()) };
-    (first.split(' ').nth(1).unwrap().parse().unwrap(), body)
+    let Some((first_line, _, body)) = read_message(&mut BufReader::new(stream)) else {
+        return (0, Vec::new());
+    };
+    (first_line.split(' ').nth(1).unwrap().parse().unwrap(), body)
 }
 
-/// An identifier that no request has had, for requests that are repeated until a condition holds.
+/// A new request identifier, for requests that are repeated until a condition holds.
 pub fn unused_id() -> u32 {
     static NEXT: AtomicUsize = AtomicUsize::new(1_000_000);
     NEXT.fetch_add(1, Ordering::SeqCst) as u32
@@ -99,7 +105,7 @@
     request("GET", "look", "team", id, 2.5, b"")
 }
 
-/// A request; `deadline` in seconds.
+/// An encoded request; `deadline` is in seconds.
 pub fn request(method: &str, class: &str, plan: &str, id: u32, deadline: f64, body: &[u8]) -> Vec<u8> {
     let head = format!(
         "{method} /{class}/x?customer=0000000000000007&y=1 HTTP/1.1\r\nHost: api\r\nReq-Id: {id:016x}\r\nX-Tariff: {plan}\r\n\
@@ -111,18 +117,20 @@
 }
 
 impl Gateway {
-    /// Sends bytes on a new connection; the status and body of the first answer, status 0 where there is none.
+    /// Sends bytes on a new connection and returns the status and body of the first answer; status 0 if there is none.
     pub fn send(&self, bytes: &[u8]) -> (u16, Vec<u8>) {
         exchange(TcpStream::connect(self.address).unwrap(), bytes)
     }
 
+    /// Returns the number of open file descriptors of the process.
     pub fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count()
     }
 
+    /// Returns the resident memory of the process, in KiB.
     pub fn resident_kb(&self) -> usize {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
-        let line = status.lines().find(|l| l.starts_with("VmRSS")).unwrap();
+        let line = status.lines().find(|line| line.starts_with("VmRSS")).unwrap();
         line.split_whitespace().nth(1).unwrap().parse().unwrap()
     }
 
--- a/crates/gateway/tests/sockets/support/host.rs
+++ b/crates/gateway/tests/sockets/support/host.rs
@@ -1,4 +1,4 @@
-//! Hosts that answer, fail, hang or break off.
+//! Fake hosts that answer, fail, hang or close their connections.
 
 use super::{ms, read_message};
 use std::collections::HashMap;
@@ -9,7 +9,7 @@
 use std::thread::{sleep, spawn};
 use std::time::Duration;
 
-/// What a host does with requests; it answers all probes.
+/// How a host responds to requests; probes are always answered with 200.
 #[derive(Clone, Copy, PartialEq)]
 pub enum HostBehavior {
     Answers,
@@ -28,11 +28,11 @@
     ResetsOnAccept,
     ResetsAfterRequest,
     ResetsMidReply,
-    /// Serves one connection, and declines what arrives on any further one.
+    /// Serves one connection at a time and declines requests on any further one.
     AllowsOneConnection,
 }
 
-/// What a host has seen.
+/// What a host has observed.
 #[derive(Default)]
 pub struct Observed {
     /// Connections accepted so far.
@@ -49,7 +49,7 @@
     pub observed: Arc<Observed>,
 }
 
-/// Makes the close of the stream a reset.
+/// Makes closing the stream reset the connection.
 fn reset_on_close(stream: &TcpStream) {
     let socket = socket2::SockRef::from(stream);
     socket.set_linger(Some(Duration::ZERO)).unwrap();
@@ -87,15 +87,15 @@
             reset_on_close(&stream);
             return None;
         }
-        let mut from = BufReader::new(stream.try_clone().unwrap());
-        let mut to = stream.try_clone().unwrap();
+        let mut reader = BufReader::new(stream.try_clone().unwrap());
+        let mut writer = stream.try_clone().unwrap();
         loop {
-            let (first, headers, mut body) = read_message(&mut from)?;
-            if first.contains("/alive") {
-                to.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").ok()?;
+            let (first_line, headers, mut body) = read_message(&mut reader)?;
+            if first_line.contains("/alive") {
+                writer.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").ok()?;
                 continue;
             }
-            observed.heads.lock().unwrap().push((first, headers));
+            observed.heads.lock().unwrap().push((first_line, headers));
             if body.is_empty() {
                 body = b"found".to_vec();
             }
@@ -103,55 +103,55 @@
             if behavior == HostBehavior::AnswersLarge {
                 body = (0..400_000).map(|n| (n % 251) as u8).collect();
             }
-            Host::reply(behavior, &body, &stream, &mut from, &mut to, observed)?;
+            Host::reply(behavior, &body, &stream, &mut reader, &mut writer, observed)?;
         }
     }
 
-    /// `None` where the connection ends with it.
+    /// Replies to a request; returns `None` if the connection ends with the reply.
     fn reply(
         behavior: HostBehavior,
         body: &[u8],
         stream: &TcpStream,
-        from: &mut BufReader<TcpStream>,
-        to: &mut TcpStream,
+        reader: &mut BufReader<TcpStream>,
+        writer: &mut TcpStream,
         observed: &Observed,
     ) -> Option<()> {
         let reply = |status: &str| [head(status, body.len()).as_bytes(), body].concat();
         match behavior {
             HostBehavior::Answers | HostBehavior::AnswersLarge => {
-                to.write_all(&reply("200 OK\r\nSrv-Load: util=0.5,latency_ms=7")).ok()
+                writer.write_all(&reply("200 OK\r\nSrv-Load: util=0.5,latency_ms=7")).ok()
             }
-            HostBehavior::ReportsMoreUnits => to.write_all(&reply("200 OK\r\nSrv-Units: 4")).ok(),
+            HostBehavior::ReportsMoreUnits => writer.write_all(&reply("200 OK\r\nSrv-Units: 4")).ok(),
             HostBehavior::AllowsOneConnection if observed.open.load(Ordering::SeqCst) > 1 => {
-                to.write_all(&reply("503 Busy\r\nSrv-Declined: 1\r\nConnection: close")).ok();
+                writer.write_all(&reply("503 Busy\r\nSrv-Declined: 1\r\nConnection: close")).ok();
                 None
             }
             HostBehavior::AnswersSlowly | HostBehavior::AllowsOneConnection => {
                 sleep(ms(400));
-                to.write_all(&reply("200 OK")).ok()
+                writer.write_all(&reply("200 OK")).ok()
             }
-            HostBehavior::AnswersChunked => Host::reply_chunked(body, to),
+            HostBehavior::AnswersChunked => Host::reply_chunked(body, writer),
             HostBehavior::AnswersUntilClose => {
-                to.write_all(&[b"HTTP/1.1 200 OK\r\n\r\n", body].concat()).ok();
+                writer.write_all(&[b"HTTP/1.1 200 OK\r\n\r\n", body].concat()).ok();
                 None
             }
             HostBehavior::ClosesAfterReply => {
-                to.write_all(&reply("200 OK")).ok();
+                writer.write_all(&reply("200 OK")).ok();
                 None
             }
-            HostBehavior::Declines => to.write_all(&reply("503 Busy\r\nSrv-Declined: 1")).ok(),
-            HostBehavior::Fails => to.write_all(&reply("500 Error")).ok(),
-            HostBehavior::Hangs => from.read(&mut [0]).ok().filter(|n| *n > 0).map(drop),
+            HostBehavior::Declines => writer.write_all(&reply("503 Busy\r\nSrv-Declined: 1")).ok(),
+            HostBehavior::Fails => writer.write_all(&reply("500 Error")).ok(),
+            HostBehavior::Hangs => reader.read(&mut [0]).ok().filter(|length| *length > 0).map(drop),
             HostBehavior::StopsMidReply => {
-                to.write_all(&[head("200 OK", 50).as_bytes(), b"part"].concat()).ok()
+                writer.write_all(&[head("200 OK", 50).as_bytes(), b"part"].concat()).ok()
             }
-            HostBehavior::RepliesGarbage => to.write_all(b"what is this?\r\n\r\n").ok(),
+            HostBehavior::RepliesGarbage => writer.write_all(b"what is this?\r\n\r\n").ok(),
             HostBehavior::ResetsOnAccept | HostBehavior::ResetsAfterRequest => {
                 reset_on_close(stream);
                 None
             }
             HostBehavior::ResetsMidReply => {
-                to.write_all(&[head("200 OK", 50).as_bytes(), b"part"].concat()).ok()?;
+                writer.write_all(&[head("200 OK", 50).as_bytes(), b"part"].concat()).ok()?;
                 sleep(ms(20));
                 reset_on_close(stream);
                 None
@@ -159,16 +159,16 @@
         }
     }
 
-    fn reply_chunked(body: &[u8], to: &mut TcpStream) -> Option<()> {
-        to.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").ok()?;
-        // Some 500 pieces at most: twenty thousand writes took longer than a latency target at times.
-        for piece in body.chunks(3.max(body.len() / 500)) {
-            to.write_all(&[format!("{:x}\r\n", piece.len()).as_bytes(), piece, b"\r\n"].concat()).ok()?;
+    fn reply_chunked(body: &[u8], writer: &mut TcpStream) -> Option<()> {
+        writer.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").ok()?;
+        // About 500 chunks at most: 20,000 writes sometimes took longer than a latency target.
+        for chunk in body.chunks(3.max(body.len() / 500)) {
+            writer.write_all(&[format!("{:x}\r\n", chunk.len()).as_bytes(), chunk, b"\r\n"].concat()).ok()?;
         }
-        to.write_all(b"0\r\n\r\n").ok()
+        writer.write_all(b"0\r\n\r\n").ok()
     }
 
-    /// Requests received so far.
+    /// Returns the number of requests received so far.
     pub fn request_count(&self) -> usize {
         self.observed.heads.lock().unwrap().len()
     }
--- a/crates/gateway/tests/sockets/support/mod.rs
+++ b/crates/gateway/tests/sockets/support/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for what surrounds the gateway, and the gateway's process.
+//! Fake hosts, counter and discovery, and the gateway process under test.
 
 pub mod counter;
 pub mod discovery;
@@ -11,34 +11,34 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// Longest wait for anything; far beyond what any of it takes.
+/// Timeout of all waits, far beyond what any of them takes.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 pub fn ms(count: u64) -> Duration {
     Duration::from_millis(count)
 }
 
-/// Waits for a condition.
-pub fn wait_until(what: &str, mut done: impl FnMut() -> bool) {
-    let begun = Instant::now();
-    while !done() {
-        assert!(begun.elapsed() < TEST_TIMEOUT, "timed out: {what}");
+/// Waits until a condition holds; fails with its description after [`TEST_TIMEOUT`].
+pub fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
+    let started = Instant::now();
+    while !condition() {
+        assert!(started.elapsed() < TEST_TIMEOUT, "timed out waiting: {description}");
         sleep(ms(5));
     }
 }
 
-/// One HTTP message: its first line, headers and body; `None` where the connection ends.
-pub fn read_message(from: &mut BufReader<TcpStream>) -> Option<(String, HashMap<String, String>, Vec<u8>)> {
-    let mut line = || {
+/// Reads an HTTP message: its first line, headers and body. Returns `None` if the connection ends.
+pub fn read_message(reader: &mut BufReader<TcpStream>) -> Option<(String, HashMap<String, String>, Vec<u8>)> {
+    let mut next_line = || {
         let mut text = String::new();
-        from.read_line(&mut text).ok().filter(|n| *n > 0).map(|_| text.trim_end().to_string())
+        reader.read_line(&mut text).ok().filter(|length| *length > 0).map(|_| text.trim_end().to_string())
     };
-    let first = line()?;
+    let first_line = next_line()?;
     let mut headers = HashMap::new();
-    while let Some((name, value)) = line()?.split_once(": ") {
+    while let Some((name, value)) = next_line()?.split_once(": ") {
         headers.insert(name.to_ascii_lowercase(), value.to_string());
     }
-    let mut body = vec![0; headers.get("content-length").map_or(0, |n| n.parse().unwrap())];
-    from.read_exact(&mut body).ok()?;
-    Some((first, headers, body))
+    let mut body = vec![0; headers.get("content-length").map_or(0, |length| length.parse().unwrap())];
+    reader.read_exact(&mut body).ok()?;
+    Some((first_line, headers, body))
 }
