--- a/crates/bench-adapter/src/driver.rs
+++ b/crates/bench-adapter/src/driver.rs
@@ -1,27 +1,29 @@
-//! The admission module's actions, written as the simulator's.
+//! Writes the admission module's actions as actions of the simulator's protocol.
 
-use crate::reader::MICROSECONDS;
+use crate::reader::MICROSECONDS_PER_SECOND;
 use crate::writer::{Reply, code};
 use archlink_admission::interface::{Driver, HostId};
 
-/// Longest time that is written, in microseconds: it has to fit into 32 bits.
+/// Longest duration that is written, in microseconds; it has to fit into 32 bits.
 const MAX_MICROSECONDS: f64 = 4.2e9;
 
-/// Writes the actions of one instance.
+/// Writes the actions of one instance to the reply.
 pub struct InstanceDriver<'a> {
+    /// Number of the instance.
     pub instance: u16,
-    /// Seconds on the simulator's clock.
+    /// Current time on the simulator's clock, in seconds.
     pub now: f64,
+    /// The reply that receives the actions.
     pub reply: &'a mut Reply,
 }
 
 fn microseconds(seconds: f64) -> u32 {
-    (seconds * MICROSECONDS).round().clamp(0.0, MAX_MICROSECONDS) as u32
+    (seconds * MICROSECONDS_PER_SECOND).round().clamp(0.0, MAX_MICROSECONDS) as u32
 }
 
 impl Driver for InstanceDriver<'_> {
     fn start_attempt(&mut self, request: u32, host: HostId, until: f64) {
-        let until = if until > 0.0 { (until * MICROSECONDS).round() as u64 } else { 0 };
+        let until = if until > 0.0 { (until * MICROSECONDS_PER_SECOND).round() as u64 } else { 0 };
         self.reply.action(code::START_ATTEMPT, self.instance).u32(request).host(host).u64(until);
     }
 
@@ -56,8 +58,8 @@
     }
 
     fn set_timer(&mut self, after: f64) {
-        let name = (self.now * MICROSECONDS) as u64;
-        self.reply.action(code::SET_TIMER, self.instance).u32(microseconds(after).max(1)).u64(name);
+        let timer_id = (self.now * MICROSECONDS_PER_SECOND) as u64;
+        self.reply.action(code::SET_TIMER, self.instance).u32(microseconds(after).max(1)).u64(timer_id);
     }
 
     fn log(&mut self, line: &str) {
--- a/crates/bench-adapter/src/error.rs
+++ b/crates/bench-adapter/src/error.rs
@@ -1,41 +1,41 @@
-//! Why a batch is refused: the program ends with one line.
+//! Errors of malformed batches and of I/O; each ends the program with one line.
 
 use archlink_admission_settings::SettingsError;
 use std::fmt;
 use std::io;
 
-/// A record or frame that does not follow the protocol.
+/// A violation of the wire protocol, invalid settings, or an I/O error. `field` is the protocol's name of the field.
 #[derive(Debug)]
 pub enum WireError {
-    /// A field is cut short.
-    Short { field: &'static str },
-    /// A number that is not finite.
+    /// A record or header ends before or within a field.
+    Truncated { field: &'static str },
+    /// A number is not finite.
     NotFinite { field: &'static str },
-    /// A number below 0.
+    /// A number is negative.
     Negative { field: &'static str },
-    /// An index outside its list.
-    OutsideList { field: &'static str, index: usize },
-    /// A code that is not defined.
+    /// An index is outside its list.
+    IndexOutOfRange { field: &'static str, index: usize },
+    /// A code is not defined.
     UnknownCode { field: &'static str, code: u64 },
-    /// A reference to bytes outside the frame.
-    OutsideFrame { field: &'static str },
-    /// Text that is not UTF-8.
-    NotUtf8 { field: &'static str },
-    /// A load report with more values than the protocol allows.
-    LongReport,
-    /// A host list that was never given.
-    UnknownList { list: u8 },
-    /// A frame whose length cannot hold its records.
-    BadLength { batch: u32, length: usize, records: usize },
-    /// A frame that ends early.
-    ShortFrame { batch: u32 },
-    /// The settings of an instance are wrong.
+    /// A record refers to bytes outside the frame.
+    OutOfFrame { field: &'static str },
+    /// A text is not UTF-8.
+    InvalidUtf8 { field: &'static str },
+    /// A load report has more values than the protocol allows.
+    ReportTooLong,
+    /// An update names a host list that was not received.
+    UnknownHostList { list: u8 },
+    /// The length of a frame is too large, or too small for its records.
+    InvalidLength { batch: u32, length: usize, records: usize },
+    /// The input ends within a frame.
+    TruncatedFrame { batch: u32 },
+    /// The settings of an instance are invalid.
     Settings(SettingsError),
     /// Standard input or output failed.
     Io(io::Error),
 }
 
-/// An error with the number of the batch that it belongs to, where it is known.
+/// An error with the number of its batch, if known.
 #[derive(Debug)]
 pub struct BatchError {
     pub batch: Option<u32>,
@@ -45,19 +45,21 @@
 impl fmt::Display for WireError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            WireError::Short { field } => write!(f, "{field}: cut short"),
+            WireError::Truncated { field } => write!(f, "{field}: truncated"),
             WireError::NotFinite { field } => write!(f, "{field}: not a finite number"),
-            WireError::Negative { field } => write!(f, "{field}: below 0"),
-            WireError::OutsideList { field, index } => write!(f, "{field}: {index} is outside its list"),
-            WireError::UnknownCode { field, code } => write!(f, "{field}: {code} is unknown"),
-            WireError::OutsideFrame { field } => write!(f, "{field}: outside the frame"),
-            WireError::NotUtf8 { field } => write!(f, "{field}: not UTF-8"),
-            WireError::LongReport => f.write_str("report: more than four values"),
-            WireError::UnknownList { list } => write!(f, "list: {list} was never given"),
-            WireError::BadLength { batch, length, records } => {
-                write!(f, "batch {batch}: length {length} does not hold {records} records")
+            WireError::Negative { field } => write!(f, "{field}: negative"),
+            WireError::IndexOutOfRange { field, index } => {
+                write!(f, "{field}: index {index} is out of range")
             }
-            WireError::ShortFrame { batch } => write!(f, "batch {batch}: frame cut short"),
+            WireError::UnknownCode { field, code } => write!(f, "{field}: {code} is not a known code"),
+            WireError::OutOfFrame { field } => write!(f, "{field}: refers to bytes outside the frame"),
+            WireError::InvalidUtf8 { field } => write!(f, "{field}: not UTF-8"),
+            WireError::ReportTooLong => f.write_str("report: more than four values"),
+            WireError::UnknownHostList { list } => write!(f, "list: host list {list} was not received"),
+            WireError::InvalidLength { batch, length, records } => {
+                write!(f, "batch {batch}: length {length} is invalid for {records} records")
+            }
+            WireError::TruncatedFrame { batch } => write!(f, "batch {batch}: frame truncated"),
             WireError::Settings(error) => error.fmt(f),
             WireError::Io(error) => error.fmt(f),
         }
--- a/crates/bench-adapter/src/instances.rs
+++ b/crates/bench-adapter/src/instances.rs
@@ -1,8 +1,8 @@
-//! The instances of the admission module that one process hosts, and the events that reach them.
+//! The instances of the admission module in one process, and the delivery of events to them.
 
 use crate::driver::InstanceDriver;
 use crate::error::WireError;
-use crate::reader::{Frame, MICROSECONDS, Record};
+use crate::reader::{Frame, MICROSECONDS_PER_SECOND, Record};
 use crate::writer::Reply;
 use archlink_admission::admission::Admission;
 use archlink_admission::interface::{
@@ -11,68 +11,78 @@
 use archlink_admission_settings::{from_lines, set_load_field};
 use std::collections::BTreeMap;
 
-/// Codes of events.
+/// Codes of the simulator's events.
 mod code {
-    /// A new instance, with its settings and seed.
+    /// Starts an instance with its settings and seed.
     pub const START: u8 = 0;
-    /// A host list for an instance, or the failure of its subscription.
+    /// An instance received a host list, or its subscription failed.
     pub const HOST_LIST_UPDATE: u8 = 1;
-    /// A client's request.
+    /// A client sent a request.
     pub const REQUEST: u8 = 2;
-    /// A streamed response has started.
+    /// A host has started a streamed response.
     pub const ATTEMPT_STARTED: u8 = 3;
-    /// The end of an attempt.
+    /// An attempt ended.
     pub const ATTEMPT_ENDED: u8 = 4;
     /// A client disconnected.
     pub const CLIENT_DISCONNECTED: u8 = 5;
     /// An instance's timer fired.
     pub const TIMER: u8 = 6;
-    /// The end of a probe.
+    /// A probe finished.
     pub const PROBE_FINISHED: u8 = 7;
-    /// Bytes from another gateway.
+    /// Another gateway sent bytes.
     pub const PEER_MESSAGE: u8 = 8;
-    /// An instance ends.
+    /// Stops an instance.
     pub const STOP: u8 = 9;
-    /// The counter's reply to one add.
+    /// The counter replied to an addition.
     pub const COUNTER_REPLY: u8 = 10;
-    /// A host list that later updates name.
+    /// Defines a host list, to which later updates refer by its number.
     pub const HOST_LIST: u8 = 11;
 }
 
-/// Most values in a load report.
-const MAX_REPORT: usize = 4;
-/// Where the load report stands in the records that have one, in bytes.
+/// Maximum number of values in a load report.
+const MAX_REPORT_VALUES: usize = 4;
+/// Offsets of the load report in the records that contain one, in bytes.
 const REPORT_IN_ATTEMPT_ENDED: usize = 26;
 const REPORT_IN_PROBE_FINISHED: usize = 15;
-/// Bounds of the numbers of gateways that a customer uses.
+/// Upper bound of the number of gateways that a customer uses, and of the number of the first one.
 const MAX_SPREAD: f64 = 1e6;
 
 struct Instance {
     admission: Admission,
+    /// Number of request classes in the settings.
     classes: usize,
+    /// Number of plans in the settings.
     plans: usize,
-    /// Names of the values in a load report.
+    /// Names of the values in a load report, in their order.
     load_report_fields: Vec<String>,
 }
 
-/// All instances, by the simulator's numbers, and the host lists that they share.
+/// All instances by the simulator's instance numbers, and the host lists that they share.
 #[derive(Default)]
 pub struct Instances {
     instances: BTreeMap<u16, Instance>,
     host_lists: BTreeMap<u8, Vec<HostEntry>>,
 }
 
-fn outcome(code: u16) -> Result<Outcome, WireError> {
+/// Decodes the outcome of an attempt.
+fn parse_outcome(code: u16) -> Result<Outcome, WireError> {
     use Outcome::*;
-    let all = [Answered, Error, Full, TimedOut, ConnectFailed, Reset, Cancelled, NeverSent];
-    let known = usize::from(code).checked_sub(1).and_then(|n| all.get(n)).copied();
-    known.ok_or(WireError::UnknownCode { field: "rc", code: code.into() })
+    let by_code = [Answered, Error, Full, TimedOut, ConnectFailed, Reset, Cancelled, NeverSent];
+    let outcome = usize::from(code).checked_sub(1).and_then(|index| by_code.get(index)).copied();
+    outcome.ok_or(WireError::UnknownCode { field: "rc", code: code.into() })
 }
 
 impl Instances {
-    /// Handles the event at an index of a batch; actions go to `reply`.
-    pub fn handle(&mut self, now: f64, frame: &Frame, at: usize, reply: &mut Reply) -> Result<(), WireError> {
-        let mut record = frame.record(at);
+    /// Handles the event at the given index of a batch and writes the resulting actions to `reply`. Events for unknown
+    /// instances are ignored.
+    pub fn handle(
+        &mut self,
+        now: f64,
+        frame: &Frame,
+        index: usize,
+        reply: &mut Reply,
+    ) -> Result<(), WireError> {
+        let mut record = frame.record(index);
         let code = record.u8("event code")?;
         if code == code::HOST_LIST {
             return self.store_host_list(frame, &mut record);
@@ -90,9 +100,11 @@
             _ => {}
         }
         let load = match code {
-            code::ATTEMPT_ENDED => self.load(number, &mut frame.record(at).skip(REPORT_IN_ATTEMPT_ENDED))?,
+            code::ATTEMPT_ENDED => {
+                self.parse_load(number, &mut frame.record(index).skip(REPORT_IN_ATTEMPT_ENDED))?
+            }
             code::PROBE_FINISHED => {
-                self.load(number, &mut frame.record(at).skip(REPORT_IN_PROBE_FINISHED))?
+                self.parse_load(number, &mut frame.record(index).skip(REPORT_IN_PROBE_FINISHED))?
             }
             _ => Load::default(),
         };
@@ -103,21 +115,23 @@
                 update_host_list(&self.host_lists, &mut instance.admission, now, &mut record, &mut driver)
             }
             code::PEER_MESSAGE => {
-                // The module takes no messages from other gateways; the record is checked all the same.
-                let _from = record.u16("src")?;
+                // The module accepts no messages from other gateways, but the record is still checked.
+                let _sender = record.u16("src")?;
                 frame.bytes(&mut record, "raw").map(drop)
             }
             _ => instance.handle(now, code, &mut record, load, &mut driver),
         }
     }
 
+    /// Stores a host list for later updates.
     fn store_host_list(&mut self, frame: &Frame, record: &mut Record) -> Result<(), WireError> {
         let number = record.u8("list")?;
-        let (from, count) = (record.u32("nodes-list")?, record.u32("nodes-list")?);
-        self.host_lists.insert(number, frame.host_entries(from, count)?);
+        let (start, count) = (record.u32("nodes-list")?, record.u32("nodes-list")?);
+        self.host_lists.insert(number, frame.host_entries(start, count)?);
         Ok(())
     }
 
+    /// Starts an instance, replacing one with the same number.
     fn start(
         &mut self,
         now: f64,
@@ -136,16 +150,17 @@
         Ok(())
     }
 
-    fn load(&self, number: u16, record: &mut Record) -> Result<Load, WireError> {
+    /// Decodes a load report, whose fields are named by the settings of the instance.
+    fn parse_load(&self, number: u16, record: &mut Record) -> Result<Load, WireError> {
         let count = usize::from(record.u8("report")?);
-        if count > MAX_REPORT {
-            return Err(WireError::LongReport);
+        if count > MAX_REPORT_VALUES {
+            return Err(WireError::ReportTooLong);
         }
         let mut load = Load::default();
-        for n in 0..count {
+        for index in 0..count {
             let value = f64::from(record.f32("report")?);
             let instance = self.instances.get(&number);
-            if let Some(name) = instance.and_then(|instance| instance.load_report_fields.get(n)) {
+            if let Some(name) = instance.and_then(|instance| instance.load_report_fields.get(index)) {
                 set_load_field(&mut load, name, value);
             }
         }
@@ -153,8 +168,9 @@
     }
 }
 
+/// Passes a host list, or the failure of the subscription, to an instance.
 fn update_host_list(
-    lists: &BTreeMap<u8, Vec<HostEntry>>,
+    host_lists: &BTreeMap<u8, Vec<HostEntry>>,
     admission: &mut Admission,
     now: f64,
     record: &mut Record,
@@ -169,16 +185,17 @@
         code => return Err(WireError::UnknownCode { field: "how", code: code.into() }),
     };
     let list = record.u8("list")?;
-    let entries = match lists.get(&list) {
+    let entries = match host_lists.get(&list) {
         _ if update == HostListUpdate::Failed => &[][..],
         Some(entries) => entries,
-        None => return Err(WireError::UnknownList { list }),
+        None => return Err(WireError::UnknownHostList { list }),
     };
     admission.host_list_updated(now, driver, update, entries);
     Ok(())
 }
 
 impl Instance {
+    /// Handles an event for this instance.
     fn handle(
         &mut self,
         now: f64,
@@ -190,7 +207,7 @@
         let admission = &mut self.admission;
         match code {
             code::REQUEST => {
-                let request = self.request(record)?;
+                let request = self.parse_request(record)?;
                 self.admission.request_arrived(now, driver, request);
             }
             code::ATTEMPT_STARTED => {
@@ -199,15 +216,15 @@
                 admission.attempt_started(now, request, record.host("host")?);
             }
             code::ATTEMPT_ENDED => {
-                let result = attempt_result(record, load)?;
+                let result = parse_attempt_result(record, load)?;
                 admission.attempt_ended(now, driver, result);
             }
             code::CLIENT_DISCONNECTED => admission.client_disconnected(now, driver, record.u32("ticket")?),
             code::TIMER => admission.timer_fired(now, driver),
             code::PROBE_FINISHED => {
                 let host = record.host("host")?;
-                let well = record.u16("rc")? == 1;
-                admission.probe_finished(now, driver, host, well, load);
+                let healthy = record.u16("rc")? == 1;
+                admission.probe_finished(now, driver, host, healthy, load);
             }
             code::COUNTER_REPLY => {
                 let total = record.f32("now-at")?;
@@ -224,26 +241,28 @@
         Ok(())
     }
 
-    fn request(&self, record: &mut Record) -> Result<Request, WireError> {
+    /// Decodes a request.
+    fn parse_request(&self, record: &mut Record) -> Result<Request, WireError> {
         Ok(Request {
             id: record.u32("ticket")?,
             class: record.index(self.classes, "grade")?,
             plan: record.index(self.plans, "package")?,
             customer: record.u64("holder")?,
             remaining: record.seconds("budget-us")?,
-            units: record.number("cost-units")?,
-            spread: record.number("set-size")?.clamp(1.0, MAX_SPREAD) as u32,
-            first: record.number("first")?.clamp(0.0, MAX_SPREAD) as u32,
+            units: record.non_negative("cost-units")?,
+            spread: record.non_negative("set-size")?.clamp(1.0, MAX_SPREAD) as u32,
+            first: record.non_negative("first")?.clamp(0.0, MAX_SPREAD) as u32,
         })
     }
 }
 
-fn attempt_result(record: &mut Record, load: Load) -> Result<AttemptResult, WireError> {
+/// Decodes the end of an attempt.
+fn parse_attempt_result(record: &mut Record, load: Load) -> Result<AttemptResult, WireError> {
     let request = record.u32("ticket")?;
     let final_attempt = record.u8("no-more")? & 1 != 0;
     let attempt = record.u16("go")?;
-    let elapsed = f64::from(record.u32("took-us")?) / MICROSECONDS;
-    let outcome = outcome(record.u16("rc")?)?;
+    let elapsed = f64::from(record.u32("took-us")?) / MICROSECONDS_PER_SECOND;
+    let outcome = parse_outcome(record.u16("rc")?)?;
     let true_units = f64::from(record.u16("true-units")?);
     let _used = record.u16("used")?;
     let host = record.host("host")?;
--- a/crates/bench-adapter/src/main.rs
+++ b/crates/bench-adapter/src/main.rs
@@ -1,6 +1,7 @@
-//! `archlink-bench-adapter`: the admission module on the simulator's wire. It reads batches of events from standard input,
-//! calls the module, and writes its actions to standard output; it decides nothing. A malformed batch ends it with status
-//! 2 and one line; a panic of the module is reported as an action of its instance.
+//! `archlink-bench-adapter` connects the admission module to the simulator's wire protocol. It reads batches of events from
+//! standard input, passes them to the module and writes the module's actions to standard output; it makes no decisions
+//! itself. A malformed batch ends the process with status 2 and one line on standard error. A panic of the module is
+//! reported as an action of its instance.
 
 mod driver;
 mod error;
@@ -10,33 +11,37 @@
 
 use error::BatchError;
 use instances::Instances;
-use reader::{Frame, HEADER, MICROSECONDS};
+use reader::{Frame, HEADER_BYTES, MICROSECONDS_PER_SECOND};
 use std::any::Any;
 use std::io::{BufReader, BufWriter, Read, Write, stdin, stdout};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use writer::{Reply, code};
 
-/// Bytes buffered in each direction.
-const BUFFER: usize = 1 << 20;
-/// Exit status for a malformed batch.
-const MALFORMED: i32 = 2;
+/// Size of the input and the output buffer, in bytes.
+const BUFFER_BYTES: usize = 1 << 20;
+/// Size of the event code at the start of each record, in bytes.
+const EVENT_CODE_BYTES: usize = 1;
+/// Exit status on malformed input or an I/O error.
+const EXIT_FAILURE: i32 = 2;
 
-fn panic_text(panic: &(dyn Any + Send)) -> String {
+/// Returns the message of a panic.
+fn panic_message(panic: &(dyn Any + Send)) -> String {
     let text = panic.downcast_ref::<String>().cloned();
     let text = text.or_else(|| panic.downcast_ref::<&str>().map(ToString::to_string));
     text.unwrap_or_else(|| "panic".into())
 }
 
-fn answer(instances: &mut Instances, frame: &Frame) -> Result<Reply, BatchError> {
-    let now = frame.clock as f64 / MICROSECONDS;
+/// Handles the events of a batch in order and returns the actions that they cause.
+fn handle_batch(instances: &mut Instances, frame: &Frame) -> Result<Reply, BatchError> {
+    let now = frame.clock as f64 / MICROSECONDS_PER_SECOND;
     let mut reply = Reply::default();
-    for at in 0..frame.count {
-        let event = AssertUnwindSafe(|| instances.handle(now, frame, at, &mut reply));
-        match catch_unwind(event) {
-            Ok(handled) => handled.map_err(|error| BatchError { batch: Some(frame.batch), error })?,
+    for index in 0..frame.count {
+        let handle_event = AssertUnwindSafe(|| instances.handle(now, frame, index, &mut reply));
+        match catch_unwind(handle_event) {
+            Ok(result) => result.map_err(|error| BatchError { batch: Some(frame.batch), error })?,
             Err(panic) => {
-                let instance = frame.record(at).skip(1).u16("who")?;
-                reply.action(code::PANIC, instance).bytes(panic_text(&*panic).as_bytes());
+                let instance = frame.record(index).skip(EVENT_CODE_BYTES).u16("who")?;
+                reply.action(code::PANIC, instance).bytes(panic_message(&*panic).as_bytes());
             }
         }
     }
@@ -44,18 +49,18 @@
 }
 
 fn run() -> Result<(), BatchError> {
-    let mut input = BufReader::with_capacity(BUFFER, stdin().lock());
-    let mut output = BufWriter::with_capacity(BUFFER, stdout().lock());
+    let mut input = BufReader::with_capacity(BUFFER_BYTES, stdin().lock());
+    let mut output = BufWriter::with_capacity(BUFFER_BYTES, stdout().lock());
     let mut instances = Instances::default();
     std::panic::set_hook(Box::new(|_| {}));
     loop {
         let mut header = Vec::new();
-        input.by_ref().take(HEADER as u64).read_to_end(&mut header)?;
+        input.by_ref().take(HEADER_BYTES as u64).read_to_end(&mut header)?;
         if header.is_empty() {
             return Ok(());
         }
         let frame = Frame::read(&header, &mut input)?;
-        let reply = answer(&mut instances, &frame)?;
+        let reply = handle_batch(&mut instances, &frame)?;
         output.write_all(&reply.into_bytes(frame.batch))?;
         output.flush()?;
     }
@@ -64,6 +69,6 @@
 fn main() {
     if let Err(error) = run() {
         eprintln!("archlink-bench-adapter: {error}");
-        std::process::exit(MALFORMED);
+        std::process::exit(EXIT_FAILURE);
     }
 }
--- a/crates/bench-adapter/src/reader.rs
+++ b/crates/bench-adapter/src/reader.rs
@@ -1,90 +1,90 @@
-//! Frames and records as the simulator sends them, read with every length checked.
+//! Decodes frames and records in the simulator's binary format, checking every length.
 
 use crate::error::WireError;
 use archlink_admission::interface::{HostEntry, HostId, HostState};
 use std::io::Read;
 
-/// Bytes of a frame's header.
-pub const HEADER: usize = 20;
-/// Bytes of a record.
-const RECORD: usize = 48;
-/// Bytes of an entry of a host list.
-const HOST_ENTRY: usize = 23;
-/// Largest frame; batches run to megabytes at most.
-const MAX_FRAME: usize = 1 << 28;
-/// Microseconds in a second: times on the wire are in microseconds.
-pub const MICROSECONDS: f64 = 1e6;
-
-/// A record, read field by field.
+/// Size of a frame's header, in bytes.
+pub const HEADER_BYTES: usize = 20;
+/// Size of a record, in bytes.
+const RECORD_BYTES: usize = 48;
+/// Size of a host list entry, in bytes.
+const HOST_ENTRY_BYTES: usize = 23;
+/// Largest body of a frame, in bytes; batches have a few megabytes at most.
+const MAX_FRAME_BYTES: usize = 1 << 28;
+/// Microseconds per second; times in the protocol are in microseconds.
+pub const MICROSECONDS_PER_SECOND: f64 = 1e6;
+
+/// A record that is read field by field, from its start.
 pub struct Record<'a> {
     bytes: &'a [u8],
 }
 
 impl<'a> Record<'a> {
     fn take<const N: usize>(&mut self, field: &'static str) -> Result<[u8; N], WireError> {
-        let (head, rest) = self.bytes.split_first_chunk::<N>().ok_or(WireError::Short { field })?;
+        let (value, rest) = self.bytes.split_first_chunk::<N>().ok_or(WireError::Truncated { field })?;
         self.bytes = rest;
-        Ok(*head)
+        Ok(*value)
     }
 
-    /// The record without its first `count` bytes.
+    /// Skips the next `count` bytes.
     pub fn skip(mut self, count: usize) -> Self {
         self.bytes = self.bytes.get(count..).unwrap_or(&[]);
         self
     }
 
-    /// One byte.
+    /// Reads one byte.
     pub fn u8(&mut self, field: &'static str) -> Result<u8, WireError> {
         Ok(self.take::<1>(field)?[0])
     }
 
-    /// Two bytes, little-endian.
+    /// Reads two bytes, little-endian.
     pub fn u16(&mut self, field: &'static str) -> Result<u16, WireError> {
         Ok(u16::from_le_bytes(self.take(field)?))
     }
 
-    /// Four bytes, little-endian.
+    /// Reads four bytes, little-endian.
     pub fn u32(&mut self, field: &'static str) -> Result<u32, WireError> {
         Ok(u32::from_le_bytes(self.take(field)?))
     }
 
-    /// Eight bytes, little-endian.
+    /// Reads eight bytes, little-endian.
     pub fn u64(&mut self, field: &'static str) -> Result<u64, WireError> {
         Ok(u64::from_le_bytes(self.take(field)?))
     }
 
-    /// A finite number.
+    /// Reads a finite number: four bytes, IEEE 754, little-endian.
     pub fn f32(&mut self, field: &'static str) -> Result<f32, WireError> {
         let value = f32::from_le_bytes(self.take(field)?);
         if value.is_finite() { Ok(value) } else { Err(WireError::NotFinite { field }) }
     }
 
-    /// A finite number of 0 or more.
-    pub fn number(&mut self, field: &'static str) -> Result<f64, WireError> {
+    /// Reads a finite number of at least 0.
+    pub fn non_negative(&mut self, field: &'static str) -> Result<f64, WireError> {
         let value = f64::from(self.f32(field)?);
         if value >= 0.0 { Ok(value) } else { Err(WireError::Negative { field }) }
     }
 
-    /// A time in microseconds, as seconds.
+    /// Reads a duration in microseconds and returns it in seconds.
     pub fn seconds(&mut self, field: &'static str) -> Result<f64, WireError> {
-        Ok(f64::from(self.u32(field)?) / MICROSECONDS)
+        Ok(f64::from(self.u32(field)?) / MICROSECONDS_PER_SECOND)
     }
 
-    /// An index into a list of `count` entries.
+    /// Reads an index into a list of `count` entries.
     pub fn index(&mut self, count: usize, field: &'static str) -> Result<usize, WireError> {
         let index = usize::from(self.u16(field)?);
-        if index < count { Ok(index) } else { Err(WireError::OutsideList { field, index }) }
+        if index < count { Ok(index) } else { Err(WireError::IndexOutOfRange { field, index }) }
     }
 
-    /// A host, six bytes wide.
+    /// Reads a host: six bytes, little-endian.
     pub fn host(&mut self, field: &'static str) -> Result<HostId, WireError> {
-        let mut wide = [0; 8];
-        wide[..6].copy_from_slice(&self.take::<6>(field)?);
-        Ok(u64::from_le_bytes(wide))
+        let mut padded = [0; 8];
+        padded[..6].copy_from_slice(&self.take::<6>(field)?);
+        Ok(u64::from_le_bytes(padded))
     }
 }
 
-/// An entry of a host list.
+/// Decodes an entry of a host list.
 pub fn host_entry(bytes: &[u8]) -> Result<HostEntry, WireError> {
     let mut entry = Record { bytes };
     let host = entry.host("host")?;
@@ -96,68 +96,69 @@
         2 => HostState::Draining,
         code => return Err(WireError::UnknownCode { field: "availability", code: code.into() }),
     };
-    let size = entry.number("nominal")?;
-    let started = entry.u64("online-since-us")? as f64 / MICROSECONDS;
+    let size = entry.non_negative("nominal")?;
+    let started = entry.u64("online-since-us")? as f64 / MICROSECONDS_PER_SECOND;
     Ok(HostEntry { host, zone, kind, cell, state, size, started })
 }
 
-/// A batch of records, with the bytes that they refer to behind them.
+/// A batch of records, followed by the payload bytes that they refer to.
 pub struct Frame {
     /// The simulator's clock, in microseconds.
     pub clock: u64,
     /// Number of the batch.
     pub batch: u32,
-    /// Records in it.
+    /// Number of records.
     pub count: usize,
     body: Vec<u8>,
 }
 
 impl Frame {
-    /// Reads the frame behind a header.
+    /// Decodes a frame's header and reads its body from the input.
     pub fn read(header: &[u8], input: &mut impl Read) -> Result<Frame, WireError> {
-        let mut head = Record { bytes: header };
-        let clock = head.u64("clock")?;
-        let length = head.u32("length")? as usize;
-        let count = head.u32("record count")? as usize;
-        let batch = head.u32("batch number")?;
-        if length > MAX_FRAME || count > length / RECORD {
-            return Err(WireError::BadLength { batch, length, records: count });
+        let mut header_fields = Record { bytes: header };
+        let clock = header_fields.u64("clock")?;
+        let length = header_fields.u32("length")? as usize;
+        let count = header_fields.u32("record count")? as usize;
+        let batch = header_fields.u32("batch number")?;
+        if length > MAX_FRAME_BYTES || count > length / RECORD_BYTES {
+            return Err(WireError::InvalidLength { batch, length, records: count });
         }
         let mut body = Vec::new();
         input.take(length as u64).read_to_end(&mut body)?;
         if body.len() < length {
-            return Err(WireError::ShortFrame { batch });
+            return Err(WireError::TruncatedFrame { batch });
         }
         Ok(Frame { clock, batch, count, body })
     }
 
-    /// The record at an index below `count`.
-    pub fn record(&self, at: usize) -> Record<'_> {
-        Record { bytes: &self.body[at * RECORD..(at + 1) * RECORD] }
+    /// Returns the record at an index below `count`.
+    pub fn record(&self, index: usize) -> Record<'_> {
+        Record { bytes: &self.body[index * RECORD_BYTES..(index + 1) * RECORD_BYTES] }
     }
 
-    fn tail(&self, from: u32, length: usize, field: &'static str) -> Result<&[u8], WireError> {
-        let tail = &self.body[self.count * RECORD..];
-        let from = from as usize;
-        let end = from.checked_add(length);
-        end.and_then(|end| tail.get(from..end)).ok_or(WireError::OutsideFrame { field })
+    /// Returns `length` payload bytes from the offset `start`.
+    fn payload(&self, start: u32, length: usize, field: &'static str) -> Result<&[u8], WireError> {
+        let payload = &self.body[self.count * RECORD_BYTES..];
+        let start = start as usize;
+        let end = start.checked_add(length);
+        end.and_then(|end| payload.get(start..end)).ok_or(WireError::OutOfFrame { field })
     }
 
-    /// Bytes behind the records, as the next two fields of a record name them.
+    /// Returns the payload bytes whose offset and length are the next two fields of a record.
     pub fn bytes(&self, record: &mut Record, field: &'static str) -> Result<&[u8], WireError> {
-        let (from, length) = (record.u32(field)?, record.u32(field)?);
-        self.tail(from, length as usize, field)
+        let (start, length) = (record.u32(field)?, record.u32(field)?);
+        self.payload(start, length as usize, field)
     }
 
-    /// The same, as text.
+    /// Returns the payload text whose offset and length are the next two fields of a record.
     pub fn text(&self, record: &mut Record, field: &'static str) -> Result<String, WireError> {
         let bytes = self.bytes(record, field)?;
-        String::from_utf8(bytes.to_vec()).map_err(|_| WireError::NotUtf8 { field })
+        String::from_utf8(bytes.to_vec()).map_err(|_| WireError::InvalidUtf8 { field })
     }
 
-    /// Entries of a host list.
-    pub fn host_entries(&self, from: u32, count: u32) -> Result<Vec<HostEntry>, WireError> {
-        let bytes = self.tail(from, count as usize * HOST_ENTRY, "nodes-list")?;
-        bytes.chunks(HOST_ENTRY).map(host_entry).collect()
+    /// Decodes `count` entries of a host list from the payload offset `start`.
+    pub fn host_entries(&self, start: u32, count: u32) -> Result<Vec<HostEntry>, WireError> {
+        let bytes = self.payload(start, count as usize * HOST_ENTRY_BYTES, "nodes-list")?;
+        bytes.chunks(HOST_ENTRY_BYTES).map(host_entry).collect()
     }
 }
