--- a/crates/gateway/src/attempts.rs
+++ b/crates/gateway/src/attempts.rs
@@ -35,6 +35,7 @@
     }
 }
 
+/// Runs an attempt until the host replies, the exchange fails, the attempt is cancelled or its deadline passes.
 async fn run_attempt(
     report: AttemptReport,
     message: Option<Rc<ClientRequest>>,
@@ -70,6 +71,7 @@
     report.report_end(end);
 }
 
+/// Sends the request on a pooled or new connection and reads the reply.
 async fn send_attempt(
     report: &AttemptReport,
     request: &ClientRequest,
--- a/crates/gateway/src/listener.rs
+++ b/crates/gateway/src/listener.rs
@@ -101,16 +101,16 @@
 }
 
 /// Counts a connection as idle without a message so far; the count ends when the guard is dropped.
-struct IdleUnusedGuard<'a>(&'a ClientListener);
+struct IdleWithoutMessageGuard<'a>(&'a ClientListener);
 
-impl IdleUnusedGuard<'_> {
-    fn count(listener: &ClientListener) -> IdleUnusedGuard<'_> {
+impl IdleWithoutMessageGuard<'_> {
+    fn count(listener: &ClientListener) -> IdleWithoutMessageGuard<'_> {
         listener.idle_without_message.set(listener.idle_without_message.get() + 1);
-        IdleUnusedGuard(listener)
+        IdleWithoutMessageGuard(listener)
     }
 }
 
-impl Drop for IdleUnusedGuard<'_> {
+impl Drop for IdleWithoutMessageGuard<'_> {
     fn drop(&mut self) {
         self.0.idle_without_message.set(self.0.idle_without_message.get() - 1);
     }
@@ -159,6 +159,7 @@
 
 type ClientStream = Framed<TcpStream, ClientCodec>;
 
+/// Serves the messages of one connection in order until the connection is closed.
 async fn serve_connection(connection: OpenConnectionGuard, stream: TcpStream) {
     let listener = connection.0.clone();
     stream.set_nodelay(true).ok();
@@ -195,7 +196,7 @@
     state: &mut watch::Receiver<ServingState>,
     has_sent_message: bool,
 ) -> Option<Received> {
-    let _idle_guard = (!has_sent_message).then(|| IdleUnusedGuard::count(listener));
+    let _idle_guard = (!has_sent_message).then(|| IdleWithoutMessageGuard::count(listener));
     let close_idle = if has_sent_message {
         &listener.close_idle_with_messages
     } else {
--- a/crates/gateway/src/request_table.rs
+++ b/crates/gateway/src/request_table.rs
@@ -27,6 +27,7 @@
 #[derive(Default)]
 struct RequestIds {
     in_use: HashSet<Rc<str>>,
+    /// Identifiers of closed requests with the time of closing, oldest first.
     closed: VecDeque<(f64, Rc<str>)>,
 }
 
--- a/crates/gateway/src/startup.rs
+++ b/crates/gateway/src/startup.rs
@@ -118,6 +118,7 @@
     }
 }
 
+/// Opens the socket for peer messages, if the configuration names its address and the settings allow such messages.
 async fn open_peers(configuration: &StartupConfiguration) -> io::Result<Option<Rc<Peers>>> {
     let may_message_peers = configuration.settings.admission.may_message_peers;
     let Some(listen) = configuration.peer_listen.filter(|_| may_message_peers) else { return Ok(None) };
@@ -133,6 +134,7 @@
     dispatcher: Rc<Dispatcher>,
     discovery: Rc<DiscoveryClient>,
     counter: Rc<CounterClient>,
+    /// Notified when the admission module subscribes to host lists.
     subscribe_requested: Rc<Notify>,
     timer: Rc<Timer>,
 }
@@ -164,6 +166,7 @@
         Gateway { dispatcher, discovery, counter, subscribe_requested, timer }
     }
 
+    /// Spawns all tasks except the listener.
     fn spawn_tasks(&self, hangup: Signal) {
         let (discovery, subscribe_requested) = (self.discovery.clone(), self.subscribe_requested.clone());
         spawn_local(restart_on_panic("discovery", move || {
@@ -183,6 +186,7 @@
         spawn_local(close_idle_connections(self.dispatcher.connections.clone()));
     }
 
+    /// Spawns the listener; its task ends when `state` is [`ServingState::Closed`].
     fn listen(
         &self,
         socket: TcpListener,
@@ -208,6 +212,7 @@
     }
 }
 
+/// Reloads the configuration on each SIGHUP; never returns.
 async fn reload_on_hangup(mut hangup: Signal, discovery: Rc<DiscoveryClient>, counter: Rc<CounterClient>) {
     while hangup.recv().await.is_some() {
         match configuration::reload() {
@@ -228,6 +233,7 @@
     }
 }
 
+/// Closes pooled connections that have been idle too long; never returns.
 async fn close_idle_connections(connections: Rc<HostConnections>) {
     loop {
         sleep(POOL_CLEANUP_INTERVAL).await;
