--- a/crates/bench-adapter/src/main.rs
+++ b/crates/bench-adapter/src/main.rs
@@ -1,7 +1,7 @@
-//! `archlink-bench-adapter` connects the admission module to the simulator's wire protocol. It reads batches of events from
-//! standard input, passes them to the module and writes the module's actions to standard output; it makes no decisions
-//! itself. A malformed batch ends the process with status 2 and one line on standard error. A panic of the module is
-//! reported as an action of its instance.
+//! `archlink-bench-adapter` connects the admission module to the simulator's wire protocol. It reads batches of
+//! events from standard input, passes them to the module and writes the module's actions to standard output; it makes
+//! no decisions itself. A malformed batch ends the process with status 2 and one line on standard error. A panic of
+//! the module is reported as an action of its instance.
 
 mod driver;
 mod error;
--- a/crates/gateway/src/admit.rs
+++ b/crates/gateway/src/admit.rs
@@ -5,8 +5,8 @@
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// An open request, held by its client's connection. Dropping the guard before the final answer reports to the admission
-/// module that the client has disconnected.
+/// An open request, held by its client's connection. Dropping the guard before the final answer reports to the
+/// admission module that the client has disconnected.
 pub struct OpenRequestGuard {
     dispatcher: Rc<Dispatcher>,
     request: u32,
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -2,8 +2,8 @@
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Furthest time in the future that is converted to an instant, in seconds. Times come from clients, and adding a larger
-/// one to an instant could overflow.
+/// Furthest time in the future that is converted to an instant, in seconds. Times come from clients, and adding a
+/// larger one to an instant could overflow.
 const MAX_SECONDS_AHEAD: f64 = 86_400.0;
 
 /// A monotonic clock, set to Unix time once at the start so that all gateways number quota windows alike. Times are in
--- a/crates/gateway/src/counter/client.rs
+++ b/crates/gateway/src/counter/client.rs
@@ -22,14 +22,14 @@
 /// Idle time after which a connection is pinged. The counter closes idle connections after ten seconds or less, so this
 /// leaves room for several pings.
 const PING_AFTER_IDLE: Duration = Duration::from_secs(2);
-/// A connection is closed if no reply arrives for this multiple of the call timeout while a call is unanswered. A multiple
-/// above 1, because a busy counter's replies are late but do arrive.
+/// A connection is closed if no reply arrives for this multiple of the call timeout while a call is unanswered. A
+/// multiple above 1, because a busy counter's replies are late but do arrive.
 const REPLY_TIMEOUT_FACTOR: u32 = 2;
 /// Bounds of the reply timeout.
 const MIN_REPLY_TIMEOUT: Duration = Duration::from_millis(50);
 const MAX_REPLY_TIMEOUT: Duration = Duration::from_secs(1);
-/// First and longest delay between connections on which no reply arrived: long enough that a recovering counter does not
-/// face a connection storm, and short enough that it is used again within seconds.
+/// First and longest delay between connections on which no reply arrived: long enough that a recovering counter does
+/// not face a connection storm, and short enough that it is used again within seconds.
 const FIRST_RETRY_DELAY: Duration = Duration::from_millis(200);
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
 /// Maximum number of unanswered commands on the connection.
@@ -79,8 +79,8 @@
         self.dispatcher.call(|admission, now, driver| admission.counter_replied(now, driver, key, reply));
     }
 
-    /// Reports the calls that have timed out, oldest first. Called on each expiry of the admission module's timer, because
-    /// a timer per call would double the cost of a request.
+    /// Reports the calls that have timed out, oldest first. Called on each expiry of the admission module's timer,
+    /// because a timer per call would double the cost of a request.
     pub fn expire_calls(&self) {
         self.expire(false);
     }
@@ -237,8 +237,8 @@
         CounterError::AddressChanged
     }
 
-    /// Reports the calls that were written to a connection that has ended: they may have been added. The waiting calls were
-    /// not added and go to the next connection.
+    /// Reports the calls that were written to a connection that has ended: they may have been added. The waiting
+    /// calls were not added and go to the next connection.
     fn abandon_written(&self) {
         self.expire_written(true);
         self.queue.calls.borrow_mut().written.clear();
--- a/crates/gateway/src/counter/resp.rs
+++ b/crates/gateway/src/counter/resp.rs
@@ -87,8 +87,8 @@
     if text.starts_with("BUSY") || text.starts_with("ERR") { Reply::Rejected } else { Reply::Other }
 }
 
-/// Parses the bulk string that begins at `start` and whose length is given by the text `length`. Returns the reply and the
-/// total length of its bytes, or `None` if the reply is incomplete.
+/// Parses the bulk string that begins at `start` and whose length is given by the text `length`. Returns the reply
+/// and the total length of its bytes, or `None` if the reply is incomplete.
 fn parse_bulk_string(src: &[u8], start: usize, length: &str) -> Result<Option<(Reply, usize)>, CounterError> {
     let length: usize =
         length.parse().ok().filter(|length| *length <= MAX_LINE_BYTES).ok_or(CounterError::NotResp)?;
--- a/crates/gateway/src/discovery/mod.rs
+++ b/crates/gateway/src/discovery/mod.rs
@@ -32,8 +32,8 @@
 const WATCH_TIMEOUT: Duration = Duration::from_millis(2800);
 /// Timeout of a connection attempt to discovery.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// First and longest delay between watches while they fail. The longest is short enough that a host that starts to drain
-/// while discovery rejects watches is known within the same 6 s.
+/// First and longest delay between watches while they fail. The longest is short enough that a host that starts to
+/// drain while discovery rejects watches is known within the same 6 s.
 const FIRST_RETRY_DELAY: Duration = Duration::from_millis(300);
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
 
@@ -169,8 +169,8 @@
         }
     }
 
-    /// Watches discovery; never returns. If the settings require subscriptions, a failed watch is reported to the admission
-    /// module and reopened when the module subscribes.
+    /// Watches discovery; never returns. If the settings require subscriptions, a failed watch is reported to the
+    /// admission module and reopened when the module subscribes.
     pub async fn run(self: Rc<DiscoveryClient>, subscribe_requested: Rc<Notify>) {
         let must_subscribe = self.dispatcher.settings.admission.must_subscribe;
         let mut address_changed = false;
@@ -192,8 +192,8 @@
         }
     }
 
-    /// Logs and reports the failure, and waits until the next watch may start. If subscriptions are required, the module
-    /// paces the retries; otherwise jitter spreads out the retries of gateways whose watches failed together.
+    /// Logs and reports the failure, and waits until the next watch may start. If subscriptions are required, the
+    /// module paces the retries; otherwise jitter spreads out the retries of gateways whose watches failed together.
     async fn handle_watch_failure(&self, started: Instant, error: &WatchError) {
         let must_subscribe = self.dispatcher.settings.admission.must_subscribe;
         let mut backoff = self.backoff.get();
--- a/crates/gateway/src/driver.rs
+++ b/crates/gateway/src/driver.rs
@@ -35,8 +35,8 @@
 
 /// Spawns the tasks that run attempts and probes. Each task reports its result to the admission module.
 pub trait TaskSpawner {
-    /// Sends a request to a host. Using or dropping the sender of `cancelled` cancels the attempt. `message` is `None` if
-    /// the request has ended.
+    /// Sends a request to a host. Using or dropping the sender of `cancelled` cancels the attempt. `message` is
+    /// `None` if the request has ended.
     fn spawn_attempt(
         self: Rc<Self>,
         attempt: Attempt,
--- a/crates/gateway/src/http/host_codec.rs
+++ b/crates/gateway/src/http/host_codec.rs
@@ -14,8 +14,8 @@
 use std::rc::Rc;
 use tokio_util::codec::{Decoder, Encoder};
 
-/// Largest body of a reply, in bytes. Hosts may exceed the protocol's limit as long as memory for all such replies can be
-/// reserved.
+/// Largest body of a reply, in bytes. Hosts may exceed the protocol's limit as long as memory for all such replies
+/// can be reserved.
 const MAX_REPLY_BODY: usize = 1 << 20;
 /// Limit of reported units; a larger value is assumed to be corrupt and is reduced to this.
 const MAX_UNITS: f64 = 1e6;
@@ -157,7 +157,8 @@
         self.pending.is_some()
     }
 
-    /// Decodes heads up to that of the final reply, skipping interim (1xx) replies. Returns false if the head is incomplete.
+    /// Decodes heads up to that of the final reply, skipping interim (1xx) replies. Returns false if the head is
+    /// incomplete.
     fn decode_head(&mut self, src: &mut BytesMut) -> Result<bool, ReplyError> {
         while self.pending.is_none() {
             let mut headers = [EMPTY_HEADER; MAX_HEADERS];
--- a/crates/gateway/src/http/mod.rs
+++ b/crates/gateway/src/http/mod.rs
@@ -1,6 +1,6 @@
-//! Two HTTP/1.1 codecs: [`ClientCodec`] decodes client requests and encodes answers, [`HostCodec`] encodes requests to
-//! hosts and decodes their replies. Each message is decoded once into a typed value and encoded once. Nothing here holds a
-//! connection, reads a clock or makes decisions about a request.
+//! Two HTTP/1.1 codecs: [`ClientCodec`] decodes client requests and encodes answers, [`HostCodec`] encodes requests
+//! to hosts and decodes their replies. Each message is decoded once into a typed value and encoded once. Nothing here
+//! holds a connection, reads a clock or makes decisions about a request.
 //!
 //! The framing (header lines, lengths, chunked coding) is [`archlink_http::frame`]'s. The codecs of
 //! [`archlink_http::codec`] are not used: they reject head lines that end without CR, which this program accepts, and
--- a/crates/gateway/src/http/request_parsing.rs
+++ b/crates/gateway/src/http/request_parsing.rs
@@ -84,8 +84,8 @@
     first: u32,
 }
 
-/// Parses the weight of a request. A value out of range is rejected: it would charge the named customer for the requests
-/// of others.
+/// Parses the weight of a request. A value out of range is rejected: it would charge the named customer for the
+/// requests of others.
 fn parse_weight(settings: &AdmissionSettings, headers: &[Header]) -> Result<Weight, InvalidRequest> {
     let text = match headers.iter().any(|field| field.name.eq_ignore_ascii_case(X_WEIGHT)) {
         true => header(headers, X_WEIGHT).ok_or(Malformed)?,
--- a/crates/gateway/src/http/tests.rs
+++ b/crates/gateway/src/http/tests.rs
@@ -71,7 +71,8 @@
     check_property(1, property);
 }
 
-/// Corrupted bytes may decode to fewer or other messages, but never cause a panic and decode the same however fragmented.
+/// Corrupted bytes may decode to fewer or other messages, but never cause a panic and decode the same however
+/// fragmented.
 #[test]
 fn corrupted_messages_never_panic_and_decode_the_same_however_fragmented() {
     fn property(fragment_lengths: Vec<u8>, corruptions: Vec<(u16, u8)>) -> bool {
--- a/crates/gateway/src/listener.rs
+++ b/crates/gateway/src/listener.rs
@@ -18,8 +18,8 @@
 use tokio::time::{sleep, timeout};
 use tokio_util::codec::Framed;
 
-/// A connection that completes no message for this long is closed, whether it sent nothing or a part of a message. Within
-/// the 3 s that the protocol allows such a client, and longer than connections of ordinary clients are idle.
+/// A connection that completes no message for this long is closed, whether it sent nothing or a part of a message.
+/// Within the 3 s that the protocol allows such a client, and longer than connections of ordinary clients are idle.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2500);
 /// A client that does not read its answer within this time is disconnected.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
@@ -85,8 +85,8 @@
         *self.state.borrow() == ServingState::Serving
     }
 
-    /// Closes one idle connection. Connections that never sent a message are closed first, so that many clients that only
-    /// connect do not displace clients that send requests.
+    /// Closes one idle connection. Connections that never sent a message are closed first, so that many clients that
+    /// only connect do not displace clients that send requests.
     fn close_one_idle(&self) {
         match self.idle_without_message.get() {
             0 => self.close_idle_with_messages.notify_one(),
@@ -174,7 +174,8 @@
         let Some(mut answer) = answer_message(&listener, &mut framed, received.message).await else { return };
         // A pipelined request is answered before its connection is closed.
         let pipelined = !framed.read_buffer().is_empty();
-        // Invalid input closes its connection, even with more requests pipelined: a flood gets one answer per connection.
+        // Invalid input closes its connection, even with more requests pipelined: a flood gets one answer per
+        // connection.
         let invalid = matches!(answer, Answer::Invalid(_));
         let close = invalid || !pipelined && (received.close || !listener.is_serving());
         // Held until the answer is written.
@@ -239,8 +240,8 @@
     }
 }
 
-/// Reads and discards input for a moment after the last answer. Closing with unread input would reset the connection and
-/// lose the answer.
+/// Reads and discards input for a moment after the last answer. Closing with unread input would reset the connection
+/// and lose the answer.
 async fn lingering_close(mut stream: TcpStream) {
     let discard_input = async {
         stream.shutdown().await?;
--- a/crates/gateway/src/logger.rs
+++ b/crates/gateway/src/logger.rs
@@ -1,8 +1,9 @@
 //! The logger behind the crate `log`: writes lines to standard error on a separate thread.
 //!
-//! The system's other programs use `env_logger`, which writes on the thread that logs. This program serves all clients on
-//! one thread, so a full pipe or a slow disk behind standard error would stall all of them. Logging therefore never blocks:
-//! lines go through a bounded queue at a bounded rate, and lines beyond either bound are dropped and counted.
+//! The system's other programs use `env_logger`, which writes on the thread that logs. This program serves all
+//! clients on one thread, so a full pipe or a slow disk behind standard error would stall all of them. Logging
+//! therefore never blocks: lines go through a bounded queue at a bounded rate, and lines beyond either bound are
+//! dropped and counted.
 
 use log::{LevelFilter, Log, Metadata, Record, SetLoggerError};
 use std::io::Write;
@@ -12,8 +13,8 @@
 use std::time::{Duration, Instant};
 use std::{fmt, io};
 
-/// Rate limit in lines per second, and its burst in lines: far more than a healthy gateway writes, and little enough for
-/// any disk.
+/// Rate limit in lines per second, and its burst in lines: far more than a healthy gateway writes, and little enough
+/// for any disk.
 const MAX_LINES_PER_SECOND: f64 = 50.0;
 /// Maximum number of lines waiting to be written.
 const QUEUE_CAPACITY: usize = 256;
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -1,10 +1,10 @@
 //! The API gateway: runs the admission module on sockets. Client requests arrive at [`listener`], are decided by the
-//! admission module behind [`dispatcher`], and are sent to hosts by [`attempts`]. [`discovery`] supplies the host lists and
-//! [`counter`] the shared totals of the quotas.
+//! admission module behind [`dispatcher`], and are sent to hosts by [`attempts`]. [`discovery`] supplies the host
+//! lists and [`counter`] the shared totals of the quotas.
 //!
 //! Everything runs on one thread. Modules depend on each other in one direction: modules that decide or hold state
-//! ([`clock`], [`timer`], [`http`], [`request_table`], [`driver`]) do not depend on the modules of the tasks ([`attempts`],
-//! [`listener`], [`discovery`], [`counter`]), which do not depend on [`startup`].
+//! ([`clock`], [`timer`], [`http`], [`request_table`], [`driver`]) do not depend on the modules of the tasks
+//! ([`attempts`], [`listener`], [`discovery`], [`counter`]), which do not depend on [`startup`].
 
 mod admit;
 mod attempts;
@@ -44,8 +44,8 @@
         .map_err(|cause| StartupError::Io { key: "runtime", cause })?;
     runtime.block_on(startup::run(configuration))?;
     log::logger().flush();
-    // Exits without dropping the runtime: dropping it would report the attempts left in it (cancelled ones at most) to the
-    // admission module, which could start new ones.
+    // Exits without dropping the runtime: dropping it would report the attempts left in it (cancelled ones at most)
+    // to the admission module, which could start new ones.
     std::process::exit(0)
 }
 
--- a/crates/gateway/src/request_table.rs
+++ b/crates/gateway/src/request_table.rs
@@ -6,7 +6,8 @@
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// Seconds for which the identifier of a closed request stays in use, since its client may not have read the answer yet.
+/// Seconds for which the identifier of a closed request stays in use, since its client may not have read the answer
+/// yet.
 const ID_RETENTION: f64 = 2.0;
 /// Maximum number of closed requests whose identifiers stay in use.
 const MAX_CLOSED_IDS: usize = 2048;
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -1,5 +1,5 @@
-//! One exchange with a host: writes a request or probe to a connection and reads the reply. Nothing is retried here; the
-//! error of a failed exchange states whether the request may have run.
+//! One exchange with a host: writes a request or probe to a connection and reads the reply. Nothing is retried here;
+//! the error of a failed exchange states whether the request may have run.
 
 use crate::http::{HostCodec, HostMessage, HostReply, LARGE_BUFFER};
 use archlink_admission::interface::HostId;
--- a/crates/gateway/tests/sockets/attempts.rs
+++ b/crates/gateway/tests/sockets/attempts.rs
@@ -75,7 +75,8 @@
         let gateway = start_gateway(&format!("never-{}", behavior as u8), CounterBehavior::Counts, &hosts);
         for id in 0..6 {
             let (status, _) = gateway.send(&lookup_request(id));
-            // A reset after the accept may come when the request is already written; a pure request is retried even then.
+            // A reset after the accept may come when the request is already written; a pure request is retried even
+            // then.
             assert_eq!(status, 200);
         }
         if behavior != HostBehavior::ResetsOnAccept {
@@ -98,7 +99,8 @@
     wait_until("the host's connection is closed", || hosts[0].observed.open.load(Ordering::SeqCst) == 0);
 }
 
-/// Hosts may send more than the protocol's 64 KiB. Guards against treating such a reply as broken and retrying its request.
+/// Hosts may send more than the protocol's 64 KiB. Guards against treating such a reply as broken and retrying its
+/// request.
 #[test]
 fn large_reply_passes_complete_within_its_memory_share() {
     let hosts = [Host::start(HostBehavior::AnswersLarge)];
@@ -123,8 +125,8 @@
     wait_until("the reservations are released", || gateway.send(&lookup_request(unused_id())).0 == 200);
 }
 
-/// Guards against waiting for the rest of a truncated reply until the client's deadline. The request may have run, so it is
-/// not retried.
+/// Guards against waiting for the rest of a truncated reply until the client's deadline. The request may have run, so
+/// it is not retried.
 #[test]
 fn truncated_reply_times_out_early_and_is_not_retried() {
     let hosts = [Host::start(HostBehavior::StopsMidReply), Host::start(HostBehavior::StopsMidReply)];
--- a/crates/gateway/tests/sockets/clients.rs
+++ b/crates/gateway/tests/sockets/clients.rs
@@ -98,8 +98,8 @@
     assert_eq!(read_message(&mut answers).unwrap().2, b"found");
 }
 
-/// Guards against answering a client with the reply to another client's request of the same identifier. The identifier of
-/// a closed request stays in use for a while, because its client may not have read the answer yet.
+/// Guards against answering a client with the reply to another client's request of the same identifier. The
+/// identifier of a closed request stays in use for a while, because its client may not have read the answer yet.
 #[test]
 fn duplicate_request_id_gets_409_and_reaches_no_host() {
     let hosts = [Host::start(HostBehavior::AnswersSlowly)];
@@ -114,8 +114,8 @@
     assert_eq!(gateway.send(&lookup_request(unused_id())).0, 200);
 }
 
-/// Guards against clients that occupy a connection by sending nothing or a part of a message, and against answering each
-/// request of a flood of invalid ones.
+/// Guards against clients that occupy a connection by sending nothing or a part of a message, and against answering
+/// each request of a flood of invalid ones.
 #[test]
 fn idle_partial_and_invalid_input_closes_the_connection() {
     let hosts = [Host::start(HostBehavior::Answers)];
