--- a/crates/control-node/src/event.rs
+++ b/crates/control-node/src/event.rs
@@ -2,30 +2,31 @@
 
 use archlink_messages::{ControlNode, DataNode, HostList, NodeId, SessionTable};
 
-/// Something that a control node observed. [`crate::event_log::EventLog::append`] folds it into the views.
+/// An observation of a control node. [`crate::event_log::EventLog::append`] folds it into the views.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// Another control node introduced itself, or a peer advertised it.
     ControlNodeDiscovered(ControlNode),
-    /// A heartbeat of a data node whose session is with this control node.
+    /// A data node in session with this control node sent a heartbeat.
     SessionRenewed(DataNode),
-    /// The connection of a data node's session ended.
+    /// The connection of a data node's session was closed.
     SessionClosed(NodeId),
-    /// The sessions of another control node, from itself or relayed by a peer.
+    /// The sessions of another control node were received, from itself or relayed by a peer.
     PeerSessions(SessionTable),
-    /// A heartbeat of another control node, and the nodes whose sessions it receives.
+    /// A heartbeat came from another control node. The list has the nodes whose session tables are live
+    /// there.
     PeerHeartbeat(NodeId, Vec<NodeId>),
-    /// A host list, from this node's host discovery or from a peer.
+    /// A host list came from this node's host discovery or from a peer.
     HostListChanged(HostList),
     /// Time passed: sessions and peers may have timed out.
     TimePassed {
-        /// Whether a quorum of the voters is heard.
+        /// Whether this node receives heartbeats from a quorum of the voters.
         contact: bool,
     },
 }
 
 impl Event {
-    /// One line for operators.
+    /// Describes the event for operators, in one line.
     pub fn describe(&self) -> String {
         let address = |node: &NodeId| std::net::Ipv4Addr::from(*node);
         match self {
--- a/crates/control-node/src/event_log.rs
+++ b/crates/control-node/src/event_log.rs
@@ -1,7 +1,7 @@
 //! The event log of a control node and the views folded from it: the registry of nodes and the host list.
 //!
-//! Invariants: the views change through [`EventLog::append`] alone, in the order of the events. The log is
-//! bounded: an event that changes no view isn't recorded, and of the others the last 256 are.
+//! Invariants: the views change only through [`EventLog::append`], in the order of the events. The log is
+//! bounded: it has the last 256 of the events that changed a view; other events are not recorded.
 
 pub use crate::event::Event;
 
@@ -9,12 +9,12 @@
 use archlink_messages::HostList;
 use std::collections::VecDeque;
 
-/// Events that are kept for operators to look at; older ones are dropped.
+/// The number of events that are kept for operators; older ones are dropped.
 const MAX_EVENTS: usize = 256;
 
-/// The last events and the views that follow from all events.
+/// The most recent events, and the views folded from all events.
 pub struct EventLog {
-    /// Oldest first, each with the local time at which it was appended.
+    /// Oldest first, each with the local time in seconds at which it was appended.
     events: VecDeque<(f64, Event)>,
     /// The control and data nodes.
     pub registry: Registry,
@@ -23,13 +23,13 @@
 }
 
 impl EventLog {
-    /// An empty log above a registry.
+    /// Creates an empty log that folds events into a registry.
     pub fn new(registry: Registry) -> EventLog {
         EventLog { events: VecDeque::new(), registry, host_list: HostList::default() }
     }
 
-    /// Folds an event into the views at local time `now` (seconds). Returns whether a view changed; only then
-    /// is the event recorded.
+    /// Folds an event into the views at local time `now`, in seconds. Returns whether a view changed; only
+    /// then is the event recorded.
     pub fn append(&mut self, now: f64, event: Event) -> bool {
         let changed = match &event {
             Event::HostListChanged(hosts) => self.replace_host_list(hosts),
@@ -52,7 +52,7 @@
         newer
     }
 
-    /// The recorded events with their local times in seconds, oldest first.
+    /// Returns the recorded events with their local times in seconds, oldest first.
     pub fn recent(&self) -> impl Iterator<Item = &(f64, Event)> {
         self.events.iter()
     }
--- a/crates/control-node/src/lib.rs
+++ b/crates/control-node/src/lib.rs
@@ -1,13 +1,14 @@
-//! One control node without I/O, above `archlink-consensus`: messages, ticks and completed disk writes go in,
-//! effects come out. The caller reads the clock, owns the sockets and performs the effects.
+//! The state machine of one control node, without I/O, built on `archlink-consensus`. The input is messages,
+//! ticks and operators' changes; the output is effects. The caller reads the clock, owns the sockets and the
+//! disk, and performs the effects.
 //!
-//! - [`node`]: [`node::ControlNodeState`], the whole life of a control node. Start reading here.
+//! - [`node`]: [`node::ControlNodeState`], the control node as a whole. Start reading here.
 //! - [`registry`]: which control and data nodes exist, and the sessions between them.
 //! - [`event_log`]: the events that change the registry and the host list, and the views folded from them.
 //! - [`update_delivery`]: state updates for data nodes, as patches where possible.
 //!
-//! All times are `f64` seconds of one local monotonic clock; the cluster clock is the exception and is named
-//! as such.
+//! All times are `f64` seconds of one local monotonic clock, except for the cluster clock, which is named as
+//! such.
 
 mod event;
 pub mod event_log;
--- a/crates/control-node/src/node/gossip.rs
+++ b/crates/control-node/src/node/gossip.rs
@@ -1,5 +1,5 @@
-//! What a control node sends of itself and of its state: heartbeats with a version vector, and the updates
-//! that the receiver of a version vector lacks.
+//! Dissemination of a control node's state: heartbeats that carry its version vector, and state updates for a
+//! node whose version vector shows that it lacks them.
 //!
 //! Invariant: a value chosen in an earlier generation is never given out as current.
 
@@ -9,7 +9,7 @@
 use archlink_messages::{Heartbeat, Message, NodeId, Register, StateUpdate, VersionVector};
 
 impl ControlNodeState {
-    /// The first message on a new connection to another control node.
+    /// Returns the first message on a new connection to another control node.
     pub fn peer_hello(&self) -> Message {
         Message::PeerHello {
             control_node: self.event_log.registry.own.clone(),
@@ -17,7 +17,7 @@
         }
     }
 
-    /// The versions of all state that this node has and may give out.
+    /// Returns the versions of all state that this node has and may give out.
     pub fn versions(&self, now: f64) -> VersionVector {
         let registry = &self.event_log.registry;
         let ordering_key = |register| self.current_value(register).map_or(0, |value| value.ordering_key());
@@ -31,12 +31,13 @@
         }
     }
 
-    /// A heartbeat; `serial` is that of the session heartbeat that it answers, 0 where it answers none.
+    /// Returns a heartbeat. `serial` is the serial of the session heartbeat that it answers, 0 if it answers
+    /// none.
     pub fn heartbeat(&self, now: f64, serial: u64) -> Message {
         Message::Heartbeat(Heartbeat {
             serial,
             cluster_clock: self.cluster_clock(now),
-            confirmed_age: self.confirmed().map(|at| now - at),
+            confirmed_age: self.confirmed().map(|confirmed_at| now - confirmed_at),
             versions: self.versions(now),
             leases: self.leases.holders(now),
             voter_set: self.voter_set.clone(),
@@ -45,13 +46,13 @@
         })
     }
 
-    /// The updates that the receiver, whose version vector is given, lacks. Control nodes receive session
-    /// tables (`with_sessions`); data nodes receive the ids of the data nodes instead.
+    /// Returns the updates that a node with this version vector lacks. Control nodes receive session tables
+    /// (`with_sessions`); data nodes receive the ids of the data nodes instead.
     pub fn updates_for(&self, now: f64, versions: &VersionVector, with_sessions: bool) -> Vec<StateUpdate> {
         let registry = &self.event_log.registry;
         let mut updates = Vec::new();
-        updates.extend(self.value_later_than(Register::Configuration, versions.configuration));
-        updates.extend(self.value_later_than(Register::Evacuations, versions.evacuations));
+        updates.extend(self.value_newer_than(Register::Configuration, versions.configuration));
+        updates.extend(self.value_newer_than(Register::Evacuations, versions.evacuations));
         if self.event_log.host_list.revision() > versions.hosts {
             updates.push(StateUpdate::HostList(self.event_log.host_list.clone()));
         }
@@ -66,13 +67,14 @@
         updates
     }
 
-    fn value_later_than(&self, register: Register, ordering_key: u64) -> Option<StateUpdate> {
+    /// Returns the committed value of a register if it is newer than the one with this ordering key.
+    fn value_newer_than(&self, register: Register, ordering_key: u64) -> Option<StateUpdate> {
         let value = self.current_value(register).filter(|value| value.ordering_key() > ordering_key)?;
         Some(StateUpdate::Chosen(register, value.clone()))
     }
 
-    /// This node's own sessions, where the receiver has another version, and those of sources that the
-    /// receiver doesn't hear.
+    /// Returns this node's own sessions if the receiver has another version of them, and the sessions of
+    /// control nodes that the receiver has no live session table of.
     fn session_updates(&self, now: f64, versions: &VersionVector) -> Vec<StateUpdate> {
         let registry = &self.event_log.registry;
         let own = registry.sessions();
@@ -80,11 +82,11 @@
         if !versions.sessions.contains(&(own.source, own.incarnation, own.version)) {
             updates.push(StateUpdate::Sessions(own));
         }
-        updates.extend(registry.relayed(now, &versions.sessions).map(StateUpdate::Sessions));
+        updates.extend(registry.tables_to_relay(now, &versions.sessions).map(StateUpdate::Sessions));
         updates
     }
 
-    /// Whether the version vector of the peer `from` names state that this node lacks.
+    /// Returns whether the version vector of the peer `from` shows state that this node lacks.
     pub(super) fn is_behind(&self, now: f64, from: NodeId, peer_versions: &VersionVector) -> bool {
         let own_versions = self.versions(now);
         let peer_sessions = peer_versions.sessions.iter().find(|(source, _, _)| *source == from);
@@ -96,7 +98,7 @@
             || self.event_log.registry.is_behind(now, &peer_versions.sessions)
     }
 
-    /// Takes the updates that a peer sent.
+    /// Applies the state updates that a peer sent.
     pub fn apply_updates(&mut self, now: f64, updates: Vec<StateUpdate>) -> Vec<Effect> {
         let mut effects = Vec::new();
         for update in updates {
@@ -124,12 +126,13 @@
         effects
     }
 
+    /// Returns the other known control nodes.
     fn peers(&self) -> impl Iterator<Item = NodeId> {
         let control_nodes = self.event_log.registry.control_nodes().into_iter();
         control_nodes.map(|control_node| control_node.node).filter(|&node| node != self.id)
     }
 
-    /// Heartbeats to all other control nodes at once, since something changed here.
+    /// Sends a heartbeat to all other control nodes now: one is due, or state has changed here.
     pub fn broadcast_heartbeat(&mut self, now: f64) -> Vec<Effect> {
         self.last_heartbeat_at = now;
         let heartbeat = self.heartbeat(now, 0);
--- a/crates/control-node/src/node/messages.rs
+++ b/crates/control-node/src/node/messages.rs
@@ -1,4 +1,4 @@
-//! Received messages: each goes to the part that it concerns.
+//! Dispatch of received messages to the component that handles them.
 
 use super::ControlNodeState;
 use crate::event_log::Event;
@@ -6,7 +6,7 @@
 use archlink_messages::{ConsensusMessage, Heartbeat, Message, NodeId, VersionVector};
 
 impl ControlNodeState {
-    /// Handles a message of another control node, or of this node to itself.
+    /// Handles a message from another control node, or from this node to itself.
     pub fn step(&mut self, now: f64, from: NodeId, message: Message) -> Vec<Effect> {
         self.membership.failure_detector.message_received(now, from);
         match message {
@@ -24,7 +24,7 @@
             Message::Consensus(epoch, message) => self.step_consensus(now, from, epoch, &message),
             Message::UpdateRequest(versions) => self.step_update_request(now, from, &versions),
             Message::StateUpdates(updates) => self.apply_updates(now, updates),
-            // Between data nodes and the holder of their session, which handles them itself.
+            // Exchanged with data nodes; the control plane handles these before they get here.
             Message::SessionHeartbeat { .. }
             | Message::CounterAdds { .. }
             | Message::CounterTotals { .. } => Vec::new(),
@@ -61,8 +61,8 @@
         vec![Effect::Send(from, Message::StateUpdates(updates))]
     }
 
-    /// Handles a message of the consensus protocol. One of another epoch is answered with this node's voter
-    /// set: a sender in an earlier epoch adopts it, and one in a later epoch replies with its own.
+    /// Handles a message of the consensus protocol. A message of another epoch is answered with this node's
+    /// voter set: a sender in an earlier epoch adopts it, and a sender in a later epoch replies with its own.
     fn step_consensus(
         &mut self,
         now: f64,
@@ -74,7 +74,7 @@
             return vec![self.send_voter_set(from)];
         }
         match message {
-            // A node that has lost its grants must not grant anything.
+            // A node that has lost its record of grants must not grant any lease.
             ConsensusMessage::LeaseRequest(..) | ConsensusMessage::LeaseRenewal(..)
                 if !self.acceptor.is_recovered() || !self.membership.is_established() =>
             {
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Hands an acceptor's reply to the proposer, and what it says of accepted values to the membership.
+    /// Passes an acceptor's reply to the proposer, and the accepted proposal numbers in it to the membership.
     fn step_acceptor_reply(&mut self, now: f64, from: NodeId, reply: &ConsensusMessage) -> Vec<Effect> {
         self.membership.failure_detector.acceptor_replied(now, from);
         match reply {
--- a/crates/control-node/src/node/status.rs
+++ b/crates/control-node/src/node/status.rs
@@ -1,4 +1,4 @@
-//! The voter set as one control node sees it, for operators. Nothing is decided from it.
+//! The status of the voter set as one control node sees it, for operators only: no decision depends on it.
 
 use super::ControlNodeState;
 use archlink_consensus::membership::ChangeResult;
@@ -9,15 +9,15 @@
 pub struct MemberStatus {
     /// The node.
     pub node: NodeId,
-    /// Its zone; `None` where no control node has introduced it.
+    /// Its zone; `None` if the registry does not know the node.
     pub zone: Option<String>,
     /// Whether it is a voter.
     pub voter: bool,
     /// Whether it becomes a voter when the membership change in progress completes.
     pub incoming: bool,
-    /// Seconds since its last message; `None` where none came.
+    /// Seconds since its last message; `None` if it has sent none.
     pub last_message_age: Option<f64>,
-    /// Whether its disk has everything that its acceptor ever promised; `None` where it has not reported.
+    /// Whether its disk has everything that its acceptor ever promised; `None` if it has not reported that.
     pub recovered: Option<bool>,
 }
 
@@ -26,19 +26,19 @@
 pub struct VoterSetStatus {
     /// The voter set of the current epoch.
     pub voter_set: VoterSet,
-    /// False while the first start of a cluster still adds voters: no change is accepted before.
+    /// Whether changes are accepted: false while the first start of a cluster still adds voters.
     pub established: bool,
-    /// All control nodes that are voters, become voters, or could.
+    /// All control nodes that are voters, become voters, or could become voters.
     pub members: Vec<MemberStatus>,
-    /// Revision and proposal number of each value on this node's own disk. Of several survivors, the one with
-    /// the highest proposal numbers has the latest state.
+    /// Register, revision and proposal number of each value that this node's own acceptor has accepted. Of
+    /// several survivors, the one with the highest proposal numbers has the latest state.
     pub accepted: Vec<(Register, u64, ProposalNumber)>,
     /// Seconds since the last membership change ended, and its result.
     pub last_change: Option<(f64, ChangeResult)>,
 }
 
 impl ControlNodeState {
-    /// The voter set and its members, as this node sees them.
+    /// Returns the status of the voter set and its members, as this node sees them.
     pub fn voter_set_status(&self, now: f64) -> VoterSetStatus {
         let control_nodes = self.event_log.registry.control_nodes();
         let registered = control_nodes.iter().map(|control_node| control_node.node);
@@ -50,7 +50,10 @@
             established: self.membership.is_established(),
             members: nodes.into_iter().map(|node| self.member_status(now, node, &control_nodes)).collect(),
             accepted: self.accepted_values(),
-            last_change: self.membership.last_change().map(|(at, result)| (now - at, result.clone())),
+            last_change: self
+                .membership
+                .last_change()
+                .map(|(ended_at, result)| (now - ended_at, result.clone())),
         }
     }
 
--- a/crates/control-node/src/node/voter_set.rs
+++ b/crates/control-node/src/node/voter_set.rs
@@ -1,7 +1,7 @@
-//! The voter set: adopting a new epoch, and driving membership changes.
+//! Adoption of new voter sets, and the steps of membership changes.
 //!
-//! Invariants: epochs only grow, and a new epoch is stored before any message of it leaves. A disk that names
-//! a voter set also has the acceptor states, so it names none while a state transfer is still due.
+//! Invariants: epochs only grow, and a new epoch is stored before any message of it is sent. A disk that has
+//! a voter set also has the acceptor states; so no voter set is stored while a state transfer is pending.
 
 use super::ControlNodeState;
 use archlink_consensus::membership::{FIRST_INTERNAL_TOKEN, MembershipContext};
@@ -9,7 +9,7 @@
 use archlink_messages::{AcceptedValue, ControlNode, NodeId, REGISTERS, Register, VoterSet};
 
 impl ControlNodeState {
-    /// Enters the epoch of that voter set, unless this node is in it or in a later one.
+    /// Enters the epoch of a voter set, unless this node is already in it or in a later one.
     pub(super) fn adopt_voter_set(&mut self, now: f64, voter_set: &VoterSet) -> Vec<Effect> {
         if voter_set.epoch <= self.voter_set.epoch || voter_set.voters.is_empty() {
             return Vec::new();
@@ -23,7 +23,7 @@
         effects
     }
 
-    /// Stores the voter set, unless the acceptor states aren't on the disk yet.
+    /// Stores the voter set, unless the acceptor states are not on the disk yet.
     fn persist_voter_set(&self) -> Vec<Effect> {
         if !self.voter_set.is_known() || !self.acceptor.is_recovered() {
             return Vec::new();
@@ -32,8 +32,8 @@
         vec![Effect::Store(record, Vec::new())]
     }
 
-    /// Applies the effects of the proposer within this node: proposals of the membership itself resolve here,
-    /// and a chosen voter set is adopted. Returns the effects that are left for the caller.
+    /// Handles the proposer's effects that concern this node alone: the outcomes of the membership's own
+    /// proposals, and a newly committed voter set, which is adopted. Returns the effects for the caller.
     pub(super) fn apply_effects(&mut self, now: f64, effects: Vec<Effect>) -> Vec<Effect> {
         let mut remaining = Vec::new();
         for effect in effects {
@@ -44,7 +44,7 @@
                 other => remaining.push(other),
             }
         }
-        if let Some(voter_set) = self.chosen_later_voter_set() {
+        if let Some(voter_set) = self.newer_committed_voter_set() {
             remaining.extend(self.adopt_voter_set(now, &voter_set));
             remaining.extend(self.broadcast_heartbeat(now));
         }
@@ -53,14 +53,15 @@
 
     fn resolve_internal_proposal(&mut self, now: f64, token: u64, outcome: Outcome) {
         let proposer = &self.proposer;
-        // The proposal was about one register; the highest proposal number of all registers would serve as
-        // well.
+        // Only the number of the proposal's own register is read. The highest number of all registers would
+        // do as well.
         self.membership.proposal_resolved(now, token, outcome, |register| {
             proposer.committed(register).map(|value| value.proposal)
         });
     }
 
-    fn chosen_later_voter_set(&self) -> Option<VoterSet> {
+    /// Returns the committed voter set if its epoch is later than the current one.
+    fn newer_committed_voter_set(&self) -> Option<VoterSet> {
         let value = self.proposer.committed(Register::VoterSet)?;
         if value.revision <= self.voter_set.epoch {
             return None;
@@ -68,7 +69,7 @@
         VoterSet::from_bytes(&value.value)
     }
 
-    /// Lets the membership take its next step, and proposes what that step needs.
+    /// Advances the membership change in progress, and makes the proposals that it needs.
     pub(super) fn tick_membership(&mut self, now: f64) -> Vec<Effect> {
         let control_nodes = self.event_log.registry.control_nodes();
         let context = self.membership_context(now, &control_nodes);
@@ -97,20 +98,20 @@
         }
     }
 
-    /// Whether the value was chosen in the current generation. An earlier generation's value may be later
-    /// than what the survivor of a forced new generation had, and isn't given out.
+    /// Returns whether a value was chosen in the current generation. A value of an earlier generation may be
+    /// newer than what the survivor of a forced new generation had, and must not be given out.
     pub(super) fn is_current_generation(&self, value: &AcceptedValue) -> bool {
         value.proposal.round > self.voter_set.first_round()
     }
 
-    /// The register's chosen value, if it is of the current generation.
+    /// Returns the committed value of a register, if it is of the current generation.
     pub(super) fn current_value(&self, register: Register) -> Option<&AcceptedValue> {
         self.proposer.committed(register).filter(|value| self.is_current_generation(value))
     }
 
-    /// Begins a membership change. It resolves as [`Effect::ProposalResolved`] with this `token`, which must
-    /// be below [`FIRST_INTERNAL_TOKEN`]. A replacement that resolves as [`Outcome::Unknown`] goes on:
-    /// requested once more, it waits for the same change, or resolves as chosen if that has completed.
+    /// Begins a membership change. It ends with [`Effect::ProposalResolved`] and this `token`, which must be
+    /// below [`FIRST_INTERNAL_TOKEN`]. A replacement whose outcome is [`Outcome::Unknown`] continues: a
+    /// repeated request waits for the same change, or is resolved as chosen if that has completed.
     pub fn change_membership(&mut self, now: f64, change: MembershipChange, token: u64) -> Vec<Effect> {
         match change {
             MembershipChange::Replace { old, new } => self.replace_voter(now, token, old, new),
--- a/crates/control-node/src/patch_cache.rs
+++ b/crates/control-node/src/patch_cache.rs
@@ -1,5 +1,5 @@
-//! The last texts of one kind, by revision, and patches between them. A data node is sent the difference to
-//! the text that it has; the patch is compressed once for all data nodes with the same text.
+//! The last revisions of a text, and patches from each to the newest. A data node is sent the patch from the
+//! revision that it has; a patch is compressed once for all data nodes that have the same revision.
 //!
 //! Invariant: a patch is only made against a text that is stored here completely.
 
@@ -8,15 +8,15 @@
 use std::collections::{HashMap, VecDeque};
 use std::hash::Hash;
 
-/// Texts that are kept as bases of patches: a data node is rarely further behind, and gets the complete text
-/// if it is.
+/// The number of texts that are kept as bases of patches. A data node is rarely further behind; if it is, it
+/// receives the complete text.
 const MAX_TEXTS: usize = 8;
 
-/// Recent texts and patches to the newest of them, by revision `R`.
+/// The last texts and the patches to the newest of them, by revision `R`.
 pub struct PatchCache<R> {
     /// Oldest first.
     texts: VecDeque<(R, Vec<u8>)>,
-    /// Patches to the newest text, by the revision of their base; at most one for each text.
+    /// Patches to the newest text by the revision of their base, at most one for each text.
     patches: HashMap<R, Bytes>,
 }
 
@@ -36,12 +36,13 @@
         self.patches.clear();
     }
 
-    /// The revision of the newest text.
+    /// Returns the revision of the newest text.
     pub fn newest(&self) -> Option<R> {
         self.texts.back().map(|(revision, _)| *revision)
     }
 
-    /// The patch from the text of revision `base` to the newest; `None` where that text isn't stored here.
+    /// Returns the patch from the text of revision `base` to the newest one; `None` if that text is not
+    /// stored here.
     pub fn patch(&mut self, base: R) -> Option<Bytes> {
         if let Some(patch) = self.patches.get(&base) {
             return Some(patch.clone());
--- a/crates/control-node/src/registry.rs
+++ b/crates/control-node/src/registry.rs
@@ -1,9 +1,9 @@
 //! The registry of nodes: data nodes in session with this control node, the sessions that other control nodes
-//! report, and the control nodes themselves. `views` has what is read from it.
+//! report, and the control nodes themselves. `views` has the queries.
 //!
-//! A data node is a member while its session lives. Invariant: a data node that may still be serving on its
-//! own local share is counted in `possibly_active` until that share has expired, since too small a count
-//! makes every other share too large.
+//! A data node belongs to the cluster while its session is live. Invariant: a data node that may still be
+//! serving on its local share is counted in `possibly_active` until that share has expired, since too small a
+//! count makes every other share too large.
 
 mod views;
 
@@ -11,31 +11,32 @@
 use archlink_messages::{ControlNode, DataNode, NodeId, SessionTable};
 use std::collections::BTreeMap;
 
-/// A session without a heartbeat for this long (seconds) has timed out: several heartbeats are due in that
+/// A session without a heartbeat for this many seconds has timed out. Several heartbeats are due in that
 /// time.
 const SESSION_TIMEOUT: f64 = 1.6;
-/// Sessions reported by a control node without a heartbeat for this long (seconds) no longer count as live:
-/// its data nodes have sessions elsewhere by then.
+/// If no heartbeat came from a control node for this many seconds, the sessions that it reported no longer
+/// count as live: its data nodes have sessions elsewhere by then.
 const PEER_TIMEOUT: f64 = 3.0;
-/// A data node stays possibly active for this long (seconds) after it was last known alive: a lost one may go
-/// on alone, on its local share, for longer than the lease of its keys lasts.
+/// A data node is possibly active for this many seconds after it was last known alive: a data node without a
+/// session may continue on its local share for longer than the lease of its keys lasts.
 const POSSIBLY_ACTIVE_WINDOW: f64 = 30.0;
-/// The data nodes of a control node that timed out are probably partitioned together with it: they are
-/// renewed as possibly active until this long (seconds) after its last heartbeat.
+/// The data nodes of a control node that timed out are probably partitioned together with it. They are
+/// renewed as possibly active until this many seconds after its last heartbeat.
 const PARTITIONED_PEER_WINDOW: f64 = 60.0;
-/// A node that reached no quorum of the voters was partitioned. This long (seconds) after that ended it has
-/// received all sessions: several heartbeats, and the updates requested on them, have come by then. Any node
-/// in quorum contact is heard by a quorum, and so by one of the voters that are heard here.
+/// A node without quorum contact is partitioned. This many seconds after quorum contact is back, it has
+/// received all sessions: several heartbeats, and the updates requested in response, have arrived by then.
+/// Any node in quorum contact is heard by a quorum, and so by at least one of the voters that this node
+/// hears.
 const CATCH_UP_AFTER_ISOLATION: f64 = 1.5;
-/// A control node is advertised for this long (seconds) after its last heartbeat, or after it was first seen.
-/// Later it is probably gone for good, and whoever learned of it would connect in vain.
+/// A control node is advertised for this many seconds after its last heartbeat, or after it was first seen.
+/// After that it is probably gone for good, and connections to it would fail.
 const ADVERTISED_WINDOW: f64 = 30.0;
-/// After this long without a heartbeat (seconds) the address of a control node is forgotten. Until then it is
-/// still connected to, in case it was only partitioned.
+/// After this many seconds without a heartbeat a control node is forgotten, with its address. Until then this
+/// node keeps trying to connect to it, in case it is only partitioned.
 const FORGOTTEN_AFTER: f64 = 600.0;
-/// Sessions that this control node accepts; further data nodes are ignored.
+/// The maximum number of sessions with this control node; further data nodes are ignored.
 const MAX_DATA_NODES: usize = 2048;
-/// Control nodes that are registered; further ones are ignored.
+/// The maximum number of registered control nodes; further ones are ignored.
 const MAX_CONTROL_NODES: usize = 64;
 
 /// A data node's session with this control node.
@@ -45,10 +46,10 @@
     renewed_at: f64,
 }
 
-/// What another control node reported of its sessions.
+/// The sessions that another control node reported.
 struct PeerSessions {
     table: SessionTable,
-    /// Local time of that control node's last heartbeat, in seconds; negative infinity where there was none.
+    /// Local time of that control node's last heartbeat, in seconds; negative infinity if there was none.
     last_heartbeat_at: f64,
 }
 
@@ -57,36 +58,36 @@
         now < self.last_heartbeat_at + PEER_TIMEOUT
     }
 
-    /// Whether the peer timed out so recently that it and its data nodes may be partitioned from this node
-    /// together.
+    /// Returns whether the peer timed out so recently that it may be partitioned from this node together with
+    /// its data nodes.
     fn may_be_partitioned(&self, now: f64) -> bool {
         now >= self.last_heartbeat_at + PEER_TIMEOUT && now < self.last_heartbeat_at + PARTITIONED_PEER_WINDOW
     }
 }
 
-/// The control and data nodes that a control node knows.
+/// The control nodes and data nodes that a control node knows.
 pub struct Registry {
     /// This control node.
     pub own: ControlNode,
     incarnation: u64,
-    /// Version of this node's own session table within its incarnation.
+    /// Version of this node's own session table within this incarnation.
     version: u64,
     own_sessions: BTreeMap<NodeId, Session>,
     peer_sessions: BTreeMap<NodeId, PeerSessions>,
     control_nodes: BTreeMap<NodeId, ControlNode>,
-    /// When each other control node was first seen.
+    /// The time at which each other control node was first seen.
     first_seen: BTreeMap<NodeId, f64>,
-    /// When each data node was last known to be possibly active.
+    /// The time at which each data node was last known to be possibly active.
     possibly_active: BTreeMap<NodeId, f64>,
-    /// When the last heartbeat of each other control node came; bounded by `control_nodes`.
+    /// The time of the last heartbeat of each other control node. Has no other nodes than `control_nodes`.
     last_heartbeats: BTreeMap<NodeId, f64>,
-    /// When this node last had no quorum contact.
+    /// The last time at which this node had no quorum contact.
     isolated_at: f64,
 }
 
 impl Registry {
-    /// A registry that knows this control node alone. `incarnation` distinguishes this run of the node from
-    /// earlier ones.
+    /// Creates a registry that knows only this control node. `incarnation` distinguishes this run of the node
+    /// from earlier ones.
     pub fn new(own: ControlNode, incarnation: u64) -> Registry {
         Registry {
             control_nodes: BTreeMap::from([(own.node, own.clone())]),
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Applies an event; returns whether it changed what operators or peers see.
+    /// Folds an event into the registry. Returns whether it changed what operators or peers see.
     pub(crate) fn fold(&mut self, now: f64, event: &Event) -> bool {
         match event {
             Event::ControlNodeDiscovered(control_node) => self.add_control_node(now, control_node),
@@ -119,6 +120,7 @@
         }
     }
 
+    /// Registers a control node. Returns whether it is new, or known with other properties.
     fn add_control_node(&mut self, now: f64, control_node: &ControlNode) -> bool {
         let known = self.control_nodes.get(&control_node.node);
         let full = self.control_nodes.len() >= MAX_CONTROL_NODES && known.is_none();
@@ -130,7 +132,8 @@
         true
     }
 
-    /// A heartbeat of a data node; returns whether the session or what is known of the node is new.
+    /// Handles a heartbeat of a data node. Returns whether the session is new or the node's properties
+    /// changed.
     fn renew_session(&mut self, now: f64, data_node: &DataNode) -> bool {
         if self.own_sessions.len() >= MAX_DATA_NODES && !self.own_sessions.contains_key(&data_node.node) {
             return false;
@@ -143,13 +146,15 @@
         changed
     }
 
+    /// Ends a session with this node. Returns whether there was one.
     fn close_session(&mut self, node: NodeId) -> bool {
         let existed = self.own_sessions.remove(&node).is_some();
         self.version += u64::from(existed);
         existed
     }
 
-    /// Stores the sessions of another control node, reported by itself or relayed.
+    /// Stores the sessions of another control node, reported by itself or relayed. Returns whether they
+    /// differ from what was stored.
     fn store_peer_sessions(&mut self, now: f64, table: &SessionTable) -> bool {
         for data_node in &table.data_nodes {
             self.possibly_active.insert(data_node.node, now);
@@ -163,7 +168,7 @@
         previous.is_none_or(|previous| previous.table != *table)
     }
 
-    /// A heartbeat that came from another control node directly.
+    /// Records a heartbeat that came directly from another control node.
     fn record_heartbeat(&mut self, now: f64, peer: NodeId) {
         if self.control_nodes.contains_key(&peer) {
             self.last_heartbeats.insert(peer, now);
@@ -174,8 +179,8 @@
         self.renew_possibly_active(now, peer);
     }
 
-    /// Another control node is alive, as it or a peer that hears it reports: so may the data nodes in its
-    /// sessions be.
+    /// Renews the data nodes in session with a control node as possibly active, since that control node, or a
+    /// peer that hears it, reported that it is alive.
     fn renew_possibly_active(&mut self, now: f64, source: NodeId) {
         if let Some(sessions) = self.peer_sessions.get(&source) {
             let nodes = sessions.table.data_nodes.iter();
@@ -183,34 +188,35 @@
         }
     }
 
-    /// Drops everything whose time is over; returns whether a session timed out.
+    /// Removes everything that has timed out. Returns whether a session was among it.
     fn expire(&mut self, now: f64, quorum_contact: bool) -> bool {
         let sessions_before = self.own_sessions.len();
         self.own_sessions.retain(|_, session| now < session.renewed_at + SESSION_TIMEOUT);
-        // A partitioned node can't tell who is gone: too small a count would make shares too large once the
-        // partition ends.
+        // A partitioned node can't tell which data nodes are gone, so all stay possibly active: too small a
+        // count would make the shares too large once the partition ends.
         if !quorum_contact {
             self.isolated_at = now;
-            self.possibly_active.values_mut().for_each(|at| *at = now);
+            self.possibly_active.values_mut().for_each(|last_known_at| *last_known_at = now);
         }
         let partitioned = self.peer_sessions.values().filter(|sessions| sessions.may_be_partitioned(now));
         for data_node in partitioned.flat_map(|sessions| &sessions.table.data_nodes) {
             self.possibly_active.insert(data_node.node, now);
         }
-        self.possibly_active.retain(|_, at| now < *at + POSSIBLY_ACTIVE_WINDOW);
+        self.possibly_active.retain(|_, last_known_at| now < *last_known_at + POSSIBLY_ACTIVE_WINDOW);
         self.forget_lost_control_nodes(now);
         let timed_out = self.own_sessions.len() < sessions_before;
         self.version += u64::from(timed_out);
         timed_out
     }
 
-    /// Seconds since the last heartbeat of a control node, or since it was first seen where there was none.
+    /// Returns the seconds since the last heartbeat of a control node, or since it was first seen if there
+    /// was none.
     fn seconds_since_heartbeat(&self, now: f64, node: NodeId) -> f64 {
         if node == self.own.node {
             return 0.0;
         }
-        let time = |times: &BTreeMap<NodeId, f64>| times.get(&node).copied().unwrap_or(f64::NEG_INFINITY);
-        now - time(&self.last_heartbeats).max(time(&self.first_seen))
+        let time_in = |times: &BTreeMap<NodeId, f64>| times.get(&node).copied().unwrap_or(f64::NEG_INFINITY);
+        now - time_in(&self.last_heartbeats).max(time_in(&self.first_seen))
     }
 
     fn forget_lost_control_nodes(&mut self, now: f64) {
--- a/crates/control-node/src/update_delivery.rs
+++ b/crates/control-node/src/update_delivery.rs
@@ -1,11 +1,11 @@
-//! State updates for data nodes: the configuration and the host list go out as patches against the revision
-//! that the data node has, where that is known here, and complete otherwise.
+//! State updates for data nodes. The configuration and the host list are sent as patches against the revision
+//! that the data node has, if that revision is stored here, and complete otherwise.
 
 use crate::node::ControlNodeState;
 use crate::patch_cache::PatchCache;
 use archlink_messages::{AcceptedValue, HostList, Register, StateUpdate, VersionVector};
 
-/// Recent configurations and host lists, as bases of patches.
+/// Recent configurations and host lists, which serve as bases of patches.
 #[derive(Default)]
 pub struct UpdateDelivery {
     /// By ordering key ([`AcceptedValue::ordering_key`]).
@@ -15,14 +15,13 @@
 }
 
 impl UpdateDelivery {
-    /// Records the configuration that was just learned: the ordering key of its value and its decompressed
-    /// text.
+    /// Records a newly committed configuration: the ordering key of its value and its decompressed text.
     pub fn configuration_learned(&mut self, ordering_key: u64, text: Vec<u8>) {
         self.configurations.insert(ordering_key, text);
     }
 
-    /// The updates that a data node with that version vector lacks, each as small as can be. `now` is local
-    /// time in seconds.
+    /// Returns the updates that a data node with this version vector lacks, as patches where possible. `now`
+    /// is local time in seconds.
     pub fn updates_for(
         &mut self,
         now: f64,
@@ -43,24 +42,26 @@
         }
     }
 
-    /// `base: 0` marks a complete configuration. That goes out also where the newest text stored here is
-    /// another one than `value`, since patches lead to the newest text.
+    /// Returns a configuration as a patch against `base`; `base: 0` marks a complete configuration. It is
+    /// sent complete also if the newest text stored here is not that of `value`, since patches lead to the
+    /// newest text.
     fn configuration_patch(&mut self, value: AcceptedValue, base: u64) -> StateUpdate {
-        let stamp = value.ordering_key();
-        let is_newest = self.configurations.newest() == Some(stamp);
+        let ordering_key = value.ordering_key();
+        let is_newest = self.configurations.newest() == Some(ordering_key);
         match self.configurations.patch(base).filter(|_| is_newest) {
-            Some(packed) => StateUpdate::ConfigurationPatch { ordering_key: stamp, base, patch: packed },
-            None => StateUpdate::ConfigurationPatch { ordering_key: stamp, base: 0, patch: value.value },
+            Some(patch) => StateUpdate::ConfigurationPatch { ordering_key, base, patch },
+            None => StateUpdate::ConfigurationPatch { ordering_key, base: 0, patch: value.value },
         }
     }
 
+    /// Returns a host list as a patch against the revision `base`, or complete if that is not stored here.
     fn host_list_patch(&mut self, hosts: HostList, base: (u64, u64)) -> StateUpdate {
-        let stamp = hosts.revision();
-        if self.host_lists.newest() != Some(stamp) {
-            self.host_lists.insert(stamp, hosts.to_bytes());
+        let revision = hosts.revision();
+        if self.host_lists.newest() != Some(revision) {
+            self.host_lists.insert(revision, hosts.to_bytes());
         }
         match self.host_lists.patch(base) {
-            Some(packed) => StateUpdate::HostListPatch { revision: stamp, base, patch: packed },
+            Some(patch) => StateUpdate::HostListPatch { revision, base, patch },
             None => StateUpdate::HostList(hosts),
         }
     }
