--- a/crates/control-node/tests/cluster.rs
+++ b/crates/control-node/tests/cluster.rs
@@ -1,7 +1,7 @@
-//! Control nodes in the simulation: a scenario for each fault that once was, and random schedules. The
-//! invariants are checked in every step: the chosen values of a register form one line and none that was
-//! acknowledged is lost, no singleton role has two holders, and a node with a confirmed value has the latest
-//! one.
+//! Control nodes in the simulation: a scenario for each known regression, and random schedules. The
+//! invariants are checked in every step: the chosen values of a register form one sequence and no
+//! acknowledged one is lost, no singleton role has two holders, and a node with a confirmed value has the
+//! newest one.
 
 use archlink_consensus::Outcome;
 use archlink_messages::{NodeId, Register, SINGLETON_ROLES, SingletonRole, VersionDigest};
@@ -25,12 +25,12 @@
     for (&node, control_node) in &fleet.live {
         assert_eq!(configuration_revision(&fleet, node), Some(8));
         let confirmed = control_node.proposer.confirmed(Register::Configuration);
-        assert!(confirmed.is_some_and(|at| at > fleet.now - 1.0));
+        assert!(confirmed.is_some_and(|confirmed_at| confirmed_at > fleet.now - 1.0));
     }
 }
 
 /// Two operators propose different contents under one version at two nodes: one content is chosen everywhere,
-/// the other operator learns its digest, and an older version changes nothing.
+/// the other operator receives its digest, and an older version changes nothing.
 #[test]
 fn a_race_under_one_version_has_one_winner() {
     for seed in 0..40 {
@@ -56,8 +56,8 @@
     }
 }
 
-/// A value is acknowledged by two of three voters, one of which loses its disk at once: the third voter
-/// learns it, and the one with the lost disk doesn't help to forget it.
+/// Two of three voters accept a value, and one of them loses its disk at once. The third voter must still
+/// learn the value: the voter with the lost disk must not form a quorum with it that lacks the value.
 #[test]
 fn a_lost_disk_is_not_counted_in_a_quorum() {
     for seed in 0..40 {
@@ -73,11 +73,11 @@
         fleet.kill(2, false);
         fleet.heal();
         fleet.start(1, false);
-        // The voter that never received it and the one with the lost disk are two of three.
+        // The voter that never received the value and the one with the lost disk are two of three.
         fleet.replace(3, 2, 8);
         fleet.run(4.0);
         let outcome = fleet.done.get(&2);
-        assert_ne!(outcome, Some(&Outcome::Chosen), "seed {seed}: a quorum with a lost disk");
+        assert_ne!(outcome, Some(&Outcome::Chosen), "seed {seed}: a lost disk was counted in a quorum");
         fleet.start(2, false);
         fleet.run(5.0);
         assert_eq!(configuration_revision(&fleet, 3), Some(10), "seed {seed}");
@@ -85,24 +85,26 @@
     }
 }
 
-/// Regression: two holders were known under one term. A node that had been frozen requested the term that
-/// another one had been granted meanwhile, and the voters' denials spread its id: half of the data nodes then
-/// asked a counter that held no lease.
+/// Regression: two holders were known under one term. A node that had been frozen requested a term that had
+/// been granted to another one in the meantime, and the voters' denials spread its id: half of the data nodes
+/// then used a quota counter that held no lease.
 #[test]
 fn a_lease_holder_that_was_frozen_does_not_displace_its_successor() {
     for seed in 0..40 {
         let mut fleet = Fleet::new(seed);
         fleet.run(2.0);
-        let holder = fleet.agreed(SingletonRole::QuotaCounter).expect("a holder that all know");
+        let holder = fleet.agreed(SingletonRole::QuotaCounter).expect("a holder that all nodes agree on");
         fleet.freeze(holder, 2.0 + (seed % 7) as f64 * 0.1);
         fleet.run(5.0);
-        let agreed = fleet.agreed(SingletonRole::QuotaCounter).expect("one that all know again");
+        let agreed =
+            fleet.agreed(SingletonRole::QuotaCounter).expect("a holder that all nodes agree on again");
         let lease = fleet.live[&agreed].leases.held_lease(fleet.now, SingletonRole::QuotaCounter);
         assert!(lease.is_some(), "seed {seed}");
     }
 }
 
-/// Regression: no node took the host list, since terms began anew after all nodes had been killed.
+/// Regression: terms restarted from the beginning after all nodes had been killed, so that no node accepted
+/// the host list.
 #[test]
 fn lease_terms_grow_through_a_kill_of_all() {
     let mut fleet = Fleet::new(3);
@@ -114,7 +116,7 @@
     let before = terms(&fleet);
     (1..=4).for_each(|node| fleet.kill(node, false));
     (1..=4).for_each(|node| fleet.start(node, false));
-    // A holder that is no voter has nothing on disk that names it: its grants have to expire.
+    // A holder that is no voter has no grant on its disk: the voters' grants to it have to expire.
     fleet.run(1.3);
     let after = terms(&fleet);
     for role in SINGLETON_ROLES {
@@ -122,8 +124,9 @@
     }
 }
 
-/// Regression: in one of fifty runs a role had no holder for a second, since the successor's request overtook
-/// the message that names the successor, or a message that names the old holder was still in flight.
+/// Regression: in one of fifty runs a role had no holder for a second, because the successor's request
+/// overtook the message that names the successor, or because a message that names the old holder was still in
+/// flight.
 #[test]
 fn a_leaving_lease_holder_hands_its_role_to_a_successor() {
     for seed in 0..100 {
@@ -142,9 +145,9 @@
     }
 }
 
-/// Random schedules: lost messages, partitions in one direction, freezes, kills and one lost disk at a time,
-/// with proposals of two operators. At the end everything acknowledged is there, and the invariants hold in
-/// every step.
+/// Random schedules of lost messages, one-way partitions, freezes, kills and one lost disk at a time, with
+/// proposals of two operators. At the end everything acknowledged is present; the invariants hold in every
+/// step.
 #[test]
 fn under_any_faults_nothing_acknowledged_is_lost_and_no_role_has_two_holders() {
     bolero::check!().with_iterations(150).with_type::<(u64, Vec<(u8, u8, u8)>)>().for_each(
@@ -161,7 +164,8 @@
                     2 => fleet.cut(node, peer),
                     3 => fleet.freeze(node, f64::from(length) / 64.0),
                     4 => fleet.kill(node, false),
-                    // One lost disk is tolerated at a time: the next one only once this one has recovered.
+                    // One lost disk at a time is tolerated: the next is lost only after this one has
+                    // recovered.
                     5 if fleet.live.values().all(|node| node.acceptor.is_recovered()) => {
                         fleet.kill(node, true);
                     }
@@ -185,7 +189,10 @@
     let acknowledged = fleet.checks.acknowledged();
     for &node in fleet.live.keys() {
         let revision = configuration_revision(fleet, node).unwrap_or(0);
-        assert!(revision >= acknowledged, "{node} has {revision}, {acknowledged} was acknowledged");
+        assert!(
+            revision >= acknowledged,
+            "node {node} has revision {revision}, {acknowledged} was acknowledged"
+        );
     }
     // Regression: voters granted leases to themselves repeatedly, so that no node ever held one.
     for role in SINGLETON_ROLES {
@@ -195,8 +202,8 @@
     }
 }
 
-/// Two disks may be lost at once: five of six nodes are voters, one voter set is agreed on, and what is
-/// acknowledged survives the loss of two.
+/// If two disks may be lost at once, five of six nodes become voters, all nodes agree on the voter set, and
+/// acknowledged values survive the loss of two disks.
 #[test]
 fn six_nodes_agree_on_five_voters_and_survive_two_lost_disks() {
     for seed in 0..15 {
--- a/crates/control-node/tests/machine_replacement.rs
+++ b/crates/control-node/tests/machine_replacement.rs
@@ -1,6 +1,6 @@
-//! Control nodes whose machine is gone for good and replaced by one with another address and an empty disk,
-//! and the next loss at the very moment from which `CatchUp` allows it. Each schedule also runs with a
-//! `CatchUp` of 1000 s, with which a lost voter isn't replaced in time: this planted fault must be found.
+//! Machines that are lost for good and replaced by machines with another address and an empty disk, followed
+//! by the next loss as soon as `CatchUp` allows it. Each schedule also runs with a `CatchUp` of 1000 s, with
+//! which a lost voter is not replaced in time: this injected fault must be detected.
 
 use archlink_consensus::Outcome;
 use archlink_control_node::node::ControlNodeState;
@@ -8,14 +8,14 @@
 use archlink_simulation::Fleet;
 use std::collections::BTreeSet;
 
-/// In seconds.
+/// `CatchUp` in seconds.
 const CATCH_UP: f64 = 4.0;
-/// Longer than any test, in seconds: no lost voter is replaced.
+/// A `CatchUp` in seconds that is longer than any test, so that no lost voter is replaced.
 const NEVER: f64 = 1000.0;
 const FIRST_TOKEN: u64 = 1;
-/// Seconds after the last loss until everything must be right again.
+/// Seconds after the last loss by which the cluster must have recovered.
 const RECOVERY: f64 = 8.0;
-/// Seconds that a process has from SIGTERM to its end.
+/// Seconds between SIGTERM and the end of a process.
 const SHUTDOWN_GRACE: f64 = 5.1;
 
 fn started_fleet(seed: u64, (required_voters, size): (usize, NodeId), catch_up: f64) -> Fleet {
@@ -29,40 +29,40 @@
     fleet
 }
 
-/// Links of 12 ms each way, and syncs of `sync` seconds on every disk.
+/// Sets a latency of 12 ms in each direction on all links, and a duration of `sync` seconds for each sync.
 fn set_latencies(fleet: &mut Fleet, sync: f64) {
     (fleet.net.least, fleet.net.spread) = (0.012, 0.002);
     let nodes: Vec<NodeId> = fleet.nodes().collect();
     nodes.into_iter().for_each(|node| fleet.set_sync(node, sync));
 }
 
-/// The voter set of the latest epoch that a running node knows.
+/// Returns the voter set of the latest epoch that a running node knows.
 fn latest_voter_set(fleet: &Fleet) -> VoterSet {
     let voter_sets = fleet.live.values().map(ControlNodeState::voter_set);
     voter_sets.max_by_key(|voter_set| voter_set.epoch).unwrap().clone()
 }
 
-/// Whether every running node has all that was acknowledged, and commits another proposal.
+/// Returns whether every running node has everything acknowledged and commits another proposal.
 fn commits_proposals(fleet: &mut Fleet) -> bool {
     let nodes: Vec<NodeId> = fleet.live.keys().copied().collect();
     nodes.into_iter().all(|node| {
         let (token, acknowledged) = (1_000_000 + fleet.steps, fleet.checks.acknowledged());
-        let chosen = fleet.live[&node].proposer.committed(Register::Configuration);
-        let revision = chosen.map_or(0, |value| value.revision);
+        let committed = fleet.live[&node].proposer.committed(Register::Configuration);
+        let revision = committed.map_or(0, |value| value.revision);
         fleet.replace(node, token, 1000 + fleet.now as u64 * 100 + u64::from(node));
         fleet.run(1.0);
         revision >= acknowledged && fleet.done.get(&token) == Some(&Outcome::Chosen)
     })
 }
 
-/// One machine's end, its successor's start, and the moment from which the next loss is allowed.
+/// The replacement of one machine, which ends at the moment from which the next loss is allowed.
 #[derive(Clone, Copy, Debug)]
 struct Replacement {
     old: NodeId,
     new: NodeId,
-    /// Seconds between the two.
+    /// Seconds between the loss of the old node and the start of the new one, or the reverse if planned.
     gap: f64,
-    /// The new node starts first, and the old one shuts down gracefully.
+    /// Whether the new node starts first and the old one shuts down gracefully.
     planned: bool,
 }
 
@@ -84,19 +84,19 @@
     }
 }
 
-/// A graceful shutdown, as the program does on SIGTERM: another node replaces this voter first, if there is
-/// one. Returns whether the node might shut down in time; it still runs.
+/// Begins a graceful shutdown, as the program does on SIGTERM: another node replaces this voter first, if
+/// there is one. Returns whether the node may shut down in time; it still runs.
 fn leave(fleet: &mut Fleet, node: NodeId) -> bool {
     fleet.step(node, |control_node, now| control_node.begin_shutdown(now));
-    let until = fleet.now + SHUTDOWN_GRACE;
+    let deadline = fleet.now + SHUTDOWN_GRACE;
     fleet.run(0.5);
-    while fleet.now < until && !fleet.live[&node].may_shut_down(fleet.clock(node)) {
+    while fleet.now < deadline && !fleet.live[&node].may_shut_down(fleet.clock(node)) {
         fleet.run(0.05);
     }
-    fleet.now < until
+    fleet.now < deadline
 }
 
-/// A graceful shutdown of a machine that doesn't come back.
+/// Shuts a machine down gracefully and for good.
 fn shut_down(fleet: &mut Fleet, node: NodeId) {
     leave(fleet, node);
     fleet.kill(node, true);
@@ -108,8 +108,8 @@
     fleet.start(node, false);
 }
 
-/// Whether the cluster survives a replacement and then the loss of a disk, for each of the remaining voters,
-/// as soon as that is allowed.
+/// Returns whether the cluster survives a replacement and then, as soon as that is allowed, the loss of a
+/// disk of any remaining voter.
 fn survives_replacement_and_lost_disk(seed: u64, replacement: Replacement, sync: f64, catch_up: f64) -> bool {
     (0..3).all(|n| {
         let mut fleet = started_fleet(seed, (3, 4), catch_up);
@@ -119,7 +119,7 @@
         let Some(&victim) = voters.iter().filter(|node| fleet.live.contains_key(node)).nth(n) else {
             return true;
         };
-        // What the slow disks have not done by now is not done in time.
+        // Only what the slow disks have completed by now counts as done in time.
         set_latencies(&mut fleet, 0.002);
         lose_disk_and_restart(&mut fleet, victim);
         fleet.run(RECOVERY);
@@ -143,11 +143,11 @@
     let replacement = Replacement { old: 1, new: 5, gap: 0.5, planned: false };
     assert!(
         !survives_replacement_and_lost_disk(1, replacement, 0.002, NEVER),
-        "the planted fault is not found"
+        "the injected fault is not detected"
     );
 }
 
-/// Three machines, all of which are voters: no node can replace a lost one before its successor starts.
+/// With three machines, all of which are voters, no node can replace a lost one before its successor starts.
 #[test]
 fn without_a_spare_node_the_successor_becomes_a_voter_in_time() {
     let survives = |seed: u64, gap: f64, sync: f64, catch_up: f64| {
@@ -165,18 +165,18 @@
             assert!(survives(seed, gap, 0.1, CATCH_UP), "seed {seed}, gap {gap}, slow disks");
         }
     }
-    assert!(!survives(1, 0.5, 0.002, NEVER), "the planted fault is not found");
+    assert!(!survives(1, 0.5, 0.002, NEVER), "the injected fault is not detected");
 }
 
-/// Two machines are replaced within a second, two disks hang for two seconds just after the successors
-/// started, and then all nodes are killed.
+/// Returns whether the cluster survives the replacement of two machines in short succession, two disks that
+/// hang for two seconds just after the successors started, and then a kill of all nodes.
 fn survives_two_replacements(seed: u64, catch_up: f64) -> bool {
     let mut fleet = started_fleet(seed, (3, 4), catch_up);
     fleet.kill(1, true);
     fleet.run(0.94);
     fleet.join(6);
     fleet.run(1.0);
-    // With the planted fault it ends without being replaced as a voter.
+    // With the injected fault it ends without being replaced as a voter.
     if catch_up == NEVER {
         fleet.kill(2, true)
     } else {
@@ -199,10 +199,10 @@
 #[test]
 fn two_replacements_hanging_disks_and_a_kill_of_all_are_survived() {
     (0..10).for_each(|seed| assert!(survives_two_replacements(seed, CATCH_UP), "seed {seed}"));
-    assert!(!survives_two_replacements(1, NEVER), "the planted fault is not found");
+    assert!(!survives_two_replacements(1, NEVER), "the injected fault is not detected");
 }
 
-/// Five of six nodes are voters: two of them are gone for good at once, and two more lose their disks as soon
+/// Five of six nodes are voters. Two of them are lost for good at once, and two more lose their disks as soon
 /// as that is allowed.
 #[test]
 fn two_of_five_voters_replaced_and_then_two_lost_disks_are_survived() {
@@ -225,12 +225,11 @@
         commits_proposals(&mut fleet)
     };
     (0..15).for_each(|seed| assert!(survives(seed, LONGER_CATCH_UP), "seed {seed}"));
-    assert!(!survives(1, NEVER), "the planted fault is not found");
+    assert!(!survives(1, NEVER), "the injected fault is not detected");
 }
 
 /// Every machine is replaced, one after the other, as soon as that is allowed. A node that was partitioned
-/// all the while and one that was down find the current voter set, and the two form no quorum with each
-/// other.
+/// all that time and one that was down find the current voter set, and don't form a quorum with each other.
 #[test]
 fn all_machines_are_replaced_in_turn_and_absent_nodes_find_the_voter_set() {
     for seed in 0..6 {
@@ -242,7 +241,8 @@
             fleet.cut(peer, 2);
         }
         fleet.run(CATCH_UP);
-        // Of the first four, 1 and 4 are reachable; they and then their successors are replaced in turn.
+        // Of the first four nodes, 1 and 4 are reachable; they and then their successors are replaced in
+        // turn.
         for (old, new) in [(1, 5), (4, 6), (5, 7), (6, 8)] {
             if new == 5 {
                 [5, 6].iter().for_each(|&node| fleet.join(node));
@@ -254,13 +254,13 @@
             fleet.run(CATCH_UP);
             assert!(
                 commits_proposals(&mut fleet) || !fleet.live.contains_key(&2),
-                "seed {seed}: {old} is replaced"
+                "seed {seed}: after the replacement of {old}"
             );
         }
     }
 }
 
-/// A voter that freezes repeatedly is replaced once, and no more membership changes follow.
+/// A voter that freezes repeatedly is replaced once, and no further membership changes follow.
 #[test]
 fn a_voter_that_freezes_repeatedly_is_replaced_once() {
     let mut changes = Vec::new();
@@ -271,15 +271,15 @@
             fleet.freeze(2, 2.0);
             fleet.run(5.0);
         }
-        // A change is two epochs, the joint one and the new one.
+        // Each change takes two epochs, the joint one and the new one.
         changes.push((latest_voter_set(&fleet).epoch - epoch_before) / 2);
         assert!(commits_proposals(&mut fleet), "seed {seed}");
     }
     assert!(changes.iter().all(|&changes| changes == 1), "changes in a minute: {changes:?}");
 }
 
-/// All nodes are restarted gracefully, one after the other: one change for each that is a voter, registers
-/// and leases remain, and a proposal commits at any moment.
+/// All nodes are restarted gracefully, one after the other. Each voter costs one change, registers and leases
+/// are kept, and proposals commit throughout.
 #[test]
 fn a_rolling_restart_replaces_each_voter_once_and_proposals_commit() {
     for seed in 0..6 {
@@ -287,7 +287,7 @@
         let epoch_before = latest_voter_set(&fleet).epoch;
         for node in 1..=4 {
             assert!(leave(&mut fleet, node), "seed {seed}: no node replaced {node} in time");
-            assert!(!latest_voter_set(&fleet).contains(node), "seed {seed}: {node} ends as a voter");
+            assert!(!latest_voter_set(&fleet).contains(node), "seed {seed}: {node} is still a voter");
             fleet.kill(node, false);
             fleet.run(1.0);
             fleet.start(node, false);
@@ -300,8 +300,8 @@
     }
 }
 
-/// A leaving node ends once it may, and the voter that completed the change loses its disk at that moment:
-/// the others know the new voter set.
+/// A leaving node exits as soon as it may, and the voter that completed the change loses its disk at that
+/// moment: the others must know the new voter set by then.
 #[test]
 fn a_leaving_node_shuts_down_only_after_the_others_adopted_the_voter_set() {
     for seed in 0..20 {
@@ -316,8 +316,8 @@
     }
 }
 
-/// A voter that sends heartbeats but whose disk hangs replies to nothing: it is replaced by a node that does,
-/// and the next loss is survived.
+/// A voter with a hanging disk sends heartbeats but replies to no request. It is replaced by a node that does
+/// reply, and the next loss is survived.
 #[test]
 fn a_voter_with_a_hanging_disk_is_replaced() {
     for seed in 0..6 {
@@ -329,12 +329,12 @@
         lose_disk_and_restart(&mut fleet, 1);
         fleet.run(RECOVERY);
         let confirmed = fleet.live[&3].proposer.confirmed(Register::Configuration);
-        assert!(confirmed.is_some_and(|at| at > fleet.clock(3) - 2.0));
+        assert!(confirmed.is_some_and(|confirmed_at| confirmed_at > fleet.clock(3) - 2.0));
     }
 }
 
-/// The address of a node that is gone for good is advertised for a short time only, and forgotten later;
-/// those of the running nodes remain.
+/// A node that is lost for good is advertised for a short time only and forgotten later; the running nodes
+/// remain known.
 #[test]
 fn a_node_that_is_gone_for_good_is_forgotten() {
     let mut fleet = started_fleet(1, (3, 4), CATCH_UP);
@@ -344,22 +344,22 @@
         let control_nodes = registry.advertised_control_nodes(fleet.clock(node));
         control_nodes.iter().map(|control_node| control_node.node).collect()
     };
-    assert!(advertised(&fleet, 2).contains(&1), "it may only be away for a moment");
+    assert!(advertised(&fleet, 2).contains(&1), "it may be absent for a moment only");
     fleet.run(30.0);
     (2..=5).for_each(|node| assert_eq!(advertised(&fleet, node), [2, 3, 4, 5], "by {node}"));
     let is_known = |fleet: &Fleet| {
         let control_nodes = fleet.live[&3].event_log.registry.control_nodes();
         control_nodes.iter().any(|control_node| control_node.node == 1)
     };
-    assert!(is_known(&fleet), "connected to for longer");
+    assert!(is_known(&fleet), "it is still connected to after it is no longer advertised");
     fleet.run(600.0);
     assert!(!is_known(&fleet));
     assert_eq!(advertised(&fleet, 3), [2, 3, 4, 5]);
 }
 
 /// The cost of one repair, in simulated seconds, syncs and bytes.
-struct Repair {
-    /// From the voter's end until all running nodes are in the new epoch.
+struct RepairCost {
+    /// From the loss of the voter until all running nodes are in the new epoch.
     duration: f64,
     /// The longest time without a committed proposal.
     without_commit: f64,
@@ -369,7 +369,8 @@
     bytes: usize,
 }
 
-fn repair(seed: u64, sync: f64) -> Repair {
+/// Kills a voter for good, with continuous proposals, and measures the repair.
+fn measure_repair(seed: u64, sync: f64) -> RepairCost {
     const STEP: f64 = 0.02;
     let mut fleet = started_fleet(seed, (3, 4), CATCH_UP);
     set_latencies(&mut fleet, sync);
@@ -380,13 +381,13 @@
     let (lost_at, epoch, before) = (fleet.now, latest_voter_set(&fleet).epoch, written(&fleet));
     fleet.kill(1 + seed as NodeId % 3, true);
     let mut cost =
-        Repair { duration: f64::INFINITY, without_commit: 0.0, without_counter: 0.0, syncs: 0, bytes: 0 };
+        RepairCost { duration: f64::INFINITY, without_commit: 0.0, without_counter: 0.0, syncs: 0, bytes: 0 };
     let (mut committed_at, mut lease_held_at, mut token) = (lost_at, lost_at, 10);
     let proposer = fleet.live.keys().copied().last().unwrap();
     fleet.evacuate(proposer, token, "z", true);
     while fleet.now < lost_at + 5.0 {
         fleet.run(STEP);
-        // One proposal after the other.
+        // Each proposal is followed by the next one.
         if let Some(outcome) = fleet.done.remove(&token) {
             committed_at = if outcome == Outcome::Chosen { fleet.now } else { committed_at };
             token += 1;
@@ -406,14 +407,14 @@
     cost
 }
 
-/// Run it with `cargo test --release -p archlink-control-node --test machine_replacement -- --ignored
-/// --nocapture`; the figures are for `docs/control.md`.
+/// Prints the figures for `docs/control.md`. Run it with `cargo test --release -p archlink-control-node
+/// --test machine_replacement -- --ignored --nocapture`.
 #[test]
 #[ignore = "prints the cost of a repair; the other tests have the bounds"]
 fn cost_of_a_repair() {
     for sync in [0.002, 0.1, 0.2] {
-        let costs: Vec<Repair> = (0..100).map(|seed| repair(seed, sync)).collect();
-        let print = |name: &str, figure: &dyn Fn(&Repair) -> f64| {
+        let costs: Vec<RepairCost> = (0..100).map(|seed| measure_repair(seed, sync)).collect();
+        let print = |name: &str, figure: &dyn Fn(&RepairCost) -> f64| {
             let mut all: Vec<f64> = costs.iter().map(figure).collect();
             all.sort_by(f64::total_cmp);
             println!("sync {sync}: {name} median {:.2} worst {:.2}", all[50], all[99]);
@@ -426,13 +427,13 @@
     }
 }
 
-/// Regression: continuous proposals kept a membership change from completing. The registers were committed
-/// behind all pending proposals, and a commit that met a proposal gave way to each one after it.
+/// Regression: continuous proposals kept a membership change from completing. Convergence of the registers
+/// was queued behind all pending proposals, and after a conflict it gave way to every later proposal.
 #[test]
 fn continuous_proposals_do_not_hold_up_a_repair() {
     for seed in 0..8 {
         for sync in [0.002, 0.1] {
-            let duration = repair(seed, sync).duration;
+            let duration = measure_repair(seed, sync).duration;
             assert!(duration < 5.0, "seed {seed}, sync {sync}: {duration}");
         }
     }
--- a/crates/control-node/tests/membership/first_start.rs
+++ b/crates/control-node/tests/membership/first_start.rs
@@ -1,13 +1,13 @@
-//! The first start of a cluster: the seed nodes vote first and then add voters until there are as many as
-//! required.
+//! The first start of a cluster: the seed nodes are the first voters, and add others until there are as many
+//! as required.
 
 use crate::{agreed_voter_set, check_cluster, run_until};
 use archlink_consensus::Outcome;
 use archlink_messages::{NodeId, Register};
 use archlink_simulation::Fleet;
 
-/// All or some nodes are killed at some moment of the first start and come back, one of the seed nodes with
-/// an empty disk.
+/// All or some nodes are killed at any moment of the first start and restart, one of the seed nodes possibly
+/// with an empty disk.
 #[test]
 fn a_first_start_survives_a_kill_at_any_moment() {
     bolero::check!().with_iterations(120).with_type::<(u64, u16, u8, u8)>().for_each(
@@ -33,9 +33,9 @@
     );
 }
 
-/// Six machines, links of 12 ms, syncs of 2 ms: five are voters within 0.6 s, and no proposal is accepted
-/// before. Regression: a node took its own change for another node's, since it had heard of a further node
-/// meanwhile, and waited for its turn.
+/// With six machines, links of 12 ms and syncs of 2 ms, five nodes are voters within 0.6 s, and no proposal
+/// is accepted before. Regression: a node that had learned of a further node in the meantime mistook its own
+/// change for another node's, and waited for its turn.
 #[test]
 fn a_first_start_adds_voters_quickly_and_accepts_no_proposal_before() {
     for seed in 0..10 {
@@ -62,7 +62,7 @@
     check_cluster(&mut fleet, "alone");
 }
 
-/// A voter set with fewer voters than required grows once other nodes have been there for some time.
+/// A voter set with fewer voters than required grows once other nodes have been reachable for some time.
 #[test]
 fn a_small_voter_set_grows_automatically() {
     let mut fleet = Fleet::of(2, 5, 6);
--- a/crates/control-node/tests/membership/leases.rs
+++ b/crates/control-node/tests/membership/leases.rs
@@ -1,4 +1,4 @@
-//! Leases of singleton roles through membership changes.
+//! Leases of singleton roles during membership changes.
 
 use crate::{REPLACE, started_fleet, voter_set};
 use archlink_consensus::leases::Leases;
@@ -6,8 +6,8 @@
 use archlink_messages::{ConsensusMessage, LeaseGrant, Message, SINGLETON_ROLES, SingletonRole, VoterSet};
 use archlink_simulation::Fleet;
 
-/// Holders are frozen, partitioned and killed during membership changes. That no role has two holders is
-/// checked in every step.
+/// Lease holders are frozen, partitioned and killed during membership changes. The simulation checks in every
+/// step that no role has two holders.
 #[test]
 fn no_role_has_two_holders_through_changes_and_each_has_one_afterwards() {
     bolero::check!().with_iterations(150).with_type::<(u64, Vec<(u8, u8)>)>().for_each(|(seed, schedule)| {
@@ -40,9 +40,8 @@
     });
 }
 
-/// Regression: one term in two incarnations. A holder that is no voter restarted and requested the term that
-/// it had held, and was granted that as a renewal. Messages that the term had been released were still in
-/// flight.
+/// Regression: two incarnations held the same term. A holder that was no voter restarted, requested the term
+/// that it had held, and was granted it as a renewal, while messages about its release were still in flight.
 #[test]
 fn a_request_of_another_incarnation_is_no_renewal() {
     let mut voter = Leases::new(0.0, 1, 7, &[]);
@@ -62,8 +61,8 @@
     assert!(is_granted(0.4, ConsensusMessage::LeaseRequest(next_term, 100)));
 }
 
-/// Terms keep growing where the voters that granted them are gone: a new voter reads what was granted before
-/// it votes.
+/// Terms keep growing after the voters that granted them are gone: a new voter learns the earlier grants
+/// before it votes.
 #[test]
 fn terms_grow_through_a_membership_change_and_a_kill_of_all() {
     for seed in 0..20 {
@@ -84,13 +83,13 @@
     }
 }
 
-/// A lease holder whose grants are all from voters of the old voter set, and which is partitioned. `early`:
-/// the planted fault, a new voter set that is in force before those grants have expired. Returns the
-/// violation that the simulation found.
-fn partition_holder(seed: u64, early: bool) -> Result<(), String> {
+/// Partitions a lease holder whose grants all come from voters of the old voter set. `skip_joint_epoch`
+/// injects the fault: the new voter set is in force before those grants have expired. Returns the violation
+/// that the simulation detected.
+fn partition_holder(seed: u64, skip_joint_epoch: bool) -> Result<(), String> {
     let mut fleet = started_fleet(seed);
     fleet.strict = false;
-    // Hand the lease to node 3, granted by 1 and itself.
+    // Hand the lease over to node 3, granted by node 1 and itself.
     let holder = fleet.holder(SingletonRole::QuotaCounter).unwrap();
     if holder != 3 {
         fleet.cut(3, 2);
@@ -101,8 +100,8 @@
         fleet.run(2.0);
     }
     let joint = voter_set(&fleet, 1).enter_joint(vec![1, 2, 4]);
-    let next = if early { joint.leave_joint(&[1, 2, 4]) } else { joint };
-    // No other node knows of its term any more.
+    let next = if skip_joint_epoch { joint.leave_joint(&[1, 2, 4]) } else { joint };
+    // After a restart no other node knows its term any more.
     for node in [1, 2, 4] {
         fleet.cut(3, node);
         fleet.cut(node, 3);
@@ -121,5 +120,5 @@
 #[test]
 fn grants_of_the_old_voter_set_expire_before_the_new_one_is_in_force() {
     (0..20).for_each(|seed| assert_eq!(partition_holder(seed, false), Ok(()), "seed {seed}"));
-    assert!((0..20).any(|seed| partition_holder(seed, true).is_err()), "the planted fault is not found");
+    assert!((0..20).any(|seed| partition_holder(seed, true).is_err()), "the injected fault is not detected");
 }
--- a/crates/control-node/tests/membership/lost_disk.rs
+++ b/crates/control-node/tests/membership/lost_disk.rs
@@ -5,9 +5,9 @@
 use archlink_messages::{AcceptorState, ConsensusMessage, Message, REGISTERS, Register};
 use archlink_simulation::Fleet;
 
-/// Regression: a voter repeated its state transfer request every 0.25 s and dropped the replies that it had,
-/// so that among disks that take longer than that it never recovered. Also during a membership change, and
-/// with a configuration every 0.2 s.
+/// Regression: a voter repeated its state transfer request every 0.25 s and discarded the replies received so
+/// far, so that it never recovered if the other disks took longer than that. Checked also during a membership
+/// change, and with a new configuration every 0.2 s.
 #[test]
 fn a_voter_with_a_lost_disk_recovers_among_slow_disks_within_four_seconds() {
     for seed in 0..10 {
@@ -26,8 +26,8 @@
     }
 }
 
-/// Regression: a voter and an incoming voter that both lost their disks waited for each other, each being in
-/// the quorum of the incoming voters that the other one needed.
+/// Regression: a voter and an incoming voter that had both lost their disks waited for each other, since each
+/// belonged to the quorum of the incoming voters that the other one needed.
 #[test]
 fn a_voter_and_an_incoming_voter_with_lost_disks_do_not_wait_for_each_other() {
     for seed in 0..10 {
@@ -46,7 +46,7 @@
     }
 }
 
-/// Node 1 loses its disk and restarts; returns the serial of the state transfer request that it sends to node
+/// Restarts node 1 without its disk. Returns the serial of the state transfer request that it sends to node
 /// 2.
 fn lose_disk_and_request_transfer(fleet: &mut Fleet) -> u64 {
     fleet.kill(1, true);
@@ -63,9 +63,9 @@
     serial.expect("a state transfer request")
 }
 
-/// Regression: serials of state transfer requests began at the same number in each incarnation. A reply to an
-/// earlier incarnation's request, delayed by a hanging disk, has acceptor states from before that incarnation
-/// recovered and promised more.
+/// Regression: serials of state transfer requests began at the same number in each incarnation. A reply to
+/// the request of an earlier incarnation, delayed by a hanging disk, carries acceptor states from before that
+/// incarnation recovered and made further promises.
 #[test]
 fn a_transfer_reply_to_an_earlier_incarnation_is_ignored() {
     let mut fleet = started_fleet(1);
@@ -82,10 +82,10 @@
     }
 }
 
-/// A disk that was lost names no epoch until it has the acceptor states as well, whatever the node receives
-/// and whenever it is killed.
+/// After a lost disk, no voter set is stored until the acceptor states are stored as well, whatever the node
+/// receives and whenever it is killed.
 #[test]
-fn a_lost_disk_names_no_voter_set_until_the_acceptor_is_recovered() {
+fn a_lost_disk_has_no_voter_set_until_the_acceptor_is_recovered() {
     for seed in 0..10 {
         let mut fleet = started_fleet(seed);
         fleet.power_off(1, true);
--- a/crates/control-node/tests/membership/main.rs
+++ b/crates/control-node/tests/membership/main.rs
@@ -1,7 +1,7 @@
-//! Membership changes while everything goes wrong, in the simulation, whose invariants are checked in every
-//! step here too: one voter set an epoch, one line of chosen values a register, one holder a singleton role.
-//! Where a property depends on a condition, the test also plants the fault that the condition prevents, and
-//! expects it to be found.
+//! Membership changes under faults, in the simulation. The simulation checks its invariants in every step:
+//! each epoch has one voter set, each register one sequence of chosen values, each singleton role at most one
+//! holder. Where a property depends on a condition, the test also injects the fault that the condition
+//! prevents, and expects it to be detected.
 
 mod first_start;
 mod leases;
@@ -17,12 +17,12 @@
 use archlink_simulation::Fleet;
 use std::collections::BTreeSet;
 
-/// The membership change of most tests.
+/// The membership change that most tests make.
 const REPLACE: MembershipChange = MembershipChange::Replace { old: 3, new: 4 };
-/// Tokens from here on are the helpers', and no test's own.
+/// Tokens from here on are reserved for the helpers; tests use lower ones.
 const FIRST_HELPER_TOKEN: u64 = 100;
 
-/// Four nodes, of which 1, 2 and 3 are voters, with a configuration of version 7.
+/// Starts four nodes, of which 1, 2 and 3 are voters, with a configuration of version 7.
 fn started_fleet(seed: u64) -> Fleet {
     let mut fleet = Fleet::new(seed);
     fleet.run(1.5);
@@ -40,7 +40,7 @@
     fleet.live[&node].proposer.committed(Register::Configuration).map(|value| value.revision)
 }
 
-/// The voter set that all running nodes have, which is no joint one.
+/// Returns the voter set on which all running nodes agree, and checks that it is not a joint one.
 fn agreed_voter_set(fleet: &Fleet, context: &str) -> VoterSet {
     let voter_sets: BTreeSet<&VoterSet> = fleet.live.values().map(ControlNodeState::voter_set).collect();
     let stable = voter_sets.iter().all(|voter_set| !voter_set.is_joint());
@@ -48,8 +48,8 @@
     voter_sets.into_iter().next().unwrap().clone()
 }
 
-/// Every running node knows what was acknowledged and commits another proposal, and every running voter is
-/// recovered.
+/// Checks that every running node has everything acknowledged and commits another proposal, and that every
+/// running voter is recovered.
 fn check_cluster(fleet: &mut Fleet, context: &str) {
     let nodes: Vec<NodeId> = fleet.live.keys().copied().collect();
     for node in nodes {
@@ -57,12 +57,12 @@
         let revision = configuration_revision(fleet, node).unwrap_or(0);
         assert!(
             revision >= acknowledged,
-            "{context}: {node} has {revision}, {acknowledged} was acknowledged"
+            "{context}: node {node} has revision {revision}, {acknowledged} was acknowledged"
         );
-        // A version above all that were ever proposed.
+        // Higher than all versions proposed so far.
         fleet.replace(node, token, 1000 * fleet.now as u64 + u64::from(node));
         fleet.run(1.0);
-        assert_eq!(fleet.done.get(&token), Some(&Outcome::Chosen), "{context}: through {node}");
+        assert_eq!(fleet.done.get(&token), Some(&Outcome::Chosen), "{context}: proposed at node {node}");
     }
     let recovered = |node: &NodeId| fleet.live.get(node).is_none_or(|node| node.acceptor.is_recovered());
     assert!(
@@ -71,7 +71,7 @@
     );
 }
 
-/// Runs until the condition holds, for at most so many seconds; returns whether it holds.
+/// Runs until the condition holds, for at most `max_seconds`. Returns whether it holds.
 fn run_until(fleet: &mut Fleet, max_seconds: f64, condition: impl Fn(&Fleet) -> bool) -> bool {
     let end = fleet.now + max_seconds;
     while fleet.now < end && !condition(fleet) {
--- a/crates/control-node/tests/membership/new_generation.rs
+++ b/crates/control-node/tests/membership/new_generation.rs
@@ -1,13 +1,13 @@
-//! A forced new generation, where a quorum of the voters is gone for good.
+//! A forced new generation after a quorum of the voters is lost for good.
 
 use crate::{agreed_voter_set, check_cluster, configuration_revision, started_fleet, voter_set};
 use archlink_consensus::{MembershipChange, Outcome};
 use archlink_messages::Register;
 use archlink_simulation::checks::Checks;
 
-/// Two of three voters are gone for good. An operator forces a new generation on the survivor, which adds
-/// another node that was named. What the lost voters had chosen without the survivor is lost, and doesn't
-/// come back with them.
+/// Two of three voters are lost. An operator forces a new generation on the survivor, which adds another node
+/// that the operator named. A value that the lost voters had chosen without the survivor is lost, and doesn't
+/// return when they do.
 #[test]
 fn a_new_generation_begins_from_the_survivor_and_returning_voters_undo_nothing() {
     for seed in 0..10 {
@@ -28,7 +28,7 @@
                 .iter()
                 .any(|(register, revision, _)| (*register, *revision) == (Register::Configuration, 8))
         );
-        // From here on the loss is no violation; a return of what was lost is.
+        // From here on the loss is no violation, but a return of the lost value is.
         fleet.checks = Checks::default();
         let epoch = voter_set(&fleet, 1).epoch;
         fleet.reseat(1, 3, MembershipChange::ForceNewGeneration { epoch, voters: vec![1, 4] });
--- a/crates/control-node/tests/membership/proposals.rs
+++ b/crates/control-node/tests/membership/proposals.rs
@@ -1,14 +1,14 @@
-//! Proposals and quorum reads where disks are slow, and where a voter loses its disk between two replies.
+//! Proposals and quorum reads with slow disks, and with a voter that loses its disk between two replies.
 
 use crate::started_fleet;
 use archlink_consensus::proposer::{Change, Proposer};
 use archlink_consensus::{Effect, Outcome};
 use archlink_messages::{AcceptedValue, ConsensusMessage, Message, ProposalNumber, Register, VoterSet};
 
-/// Regression: where all disks are slow, proposals were retried forever. An attempt had as much time in all
-/// as each of its phases has now, and a sync of 0.2 s on each side took longer.
+/// Regression: with slow disks, proposals were retried forever. A whole attempt had as much time as each of
+/// its phases has now, which was too short for a sync of 0.2 s on each side.
 #[test]
-fn proposals_commit_where_every_sync_takes_0_3_s() {
+fn proposals_commit_when_every_sync_takes_0_3_s() {
     for seed in 0..5 {
         let mut fleet = started_fleet(seed);
         (1..=4).for_each(|node| fleet.set_sync(node, 0.3));
@@ -19,8 +19,8 @@
     }
 }
 
-/// Regression: a proposer that had been frozen counted, when it woke, the reply of a voter that had since
-/// lost its disk and come back: the proposal was acknowledged, and on one disk.
+/// Regression: a proposer that resumed after a freeze counted the reply of a voter that had since lost its
+/// disk and restarted: the proposal was acknowledged while it was on one disk only.
 #[test]
 fn a_proposer_that_was_frozen_counts_no_earlier_reply() {
     let mut proposer = Proposer::new(4, 1);
@@ -43,8 +43,9 @@
     );
 }
 
-/// Regression: an early reply and a later one formed a quorum. The voter of the early one had lost its disk
-/// since, and had read from the others before the second of them accepted what it names.
+/// Regression: an early reply and a later one were counted as a quorum. The voter of the early reply had
+/// since lost its disk, and had recovered from the others before the second of them accepted the value in the
+/// reply.
 #[test]
 fn a_read_reply_from_before_a_disk_was_lost_is_not_counted_with_later_ones() {
     let mut proposer = Proposer::new(4, 1);
--- a/crates/control-node/tests/membership/replacement.rs
+++ b/crates/control-node/tests/membership/replacement.rs
@@ -1,5 +1,4 @@
-//! One voter replaced by another node: by an operator, or by the cluster itself once a voter is gone for
-//! long.
+//! Replacement of one voter by another node: by an operator, or automatically after a long absence.
 
 use crate::{
     FIRST_HELPER_TOKEN, REPLACE, agreed_voter_set, check_cluster, run_until, started_fleet, voter_set,
@@ -14,16 +13,16 @@
     for seed in 0..10 {
         let context = format!("seed {seed}");
         let mut fleet = started_fleet(seed);
-        // Also through the node that is to become a voter.
-        let through = [1, 2, 3, 4][seed as usize % 4];
-        fleet.reseat(through, 2, REPLACE);
+        // Any node may be asked, also the one that becomes a voter.
+        let requested_at = [1, 2, 3, 4][seed as usize % 4];
+        fleet.reseat(requested_at, 2, REPLACE);
         fleet.run(2.5);
         assert_eq!(fleet.done.get(&2), Some(&Outcome::Chosen), "{context}");
         let voter_set = agreed_voter_set(&fleet, &context);
         assert_eq!((voter_set.epoch, voter_set.voters), (3, vec![1, 2, 4]), "{context}");
         let on_disk = &fleet.disks[&4].kept.slots[&Register::Configuration];
         assert_eq!(on_disk.accepted.as_ref().unwrap().revision, 8);
-        // Requested once more it changes nothing.
+        // A repeated request changes nothing.
         fleet.reseat(2, 3, REPLACE);
         assert_eq!(fleet.done.get(&3), Some(&Outcome::Chosen), "{context}");
         fleet.kill(3, true);
@@ -53,7 +52,7 @@
     fleet.reseat(1, 2, REPLACE);
     rejected(&mut fleet, 1, replace(2, 4), MembershipError::ChangeInProgress);
     fleet.run(3.0);
-    // Two of three are gone: the one that is left is no quorum together with a new node.
+    // Two of three voters are lost: the remaining one is no quorum together with a new node.
     fleet.kill(2, false);
     fleet.kill(4, true);
     fleet.run(3.0);
@@ -65,30 +64,31 @@
     assert_eq!(fleet.live[&4].voter_set().epoch, 3);
 }
 
-/// Any node is lost at any moment of a change, with its disk or without, for a while or for good. Afterwards
-/// there is one voter set, a quorum of it runs, and that has what was acknowledged.
+/// Any node is lost at any moment of a change, with or without its disk, temporarily or for good. Afterwards
+/// all nodes agree on one voter set, a quorum of it runs, and that quorum has everything acknowledged.
 #[test]
 fn a_node_lost_at_any_moment_of_a_change_leaves_a_quorum_with_everything() {
     bolero::check!().with_iterations(300).with_type::<(u64, u8, u16, u8)>().for_each(
-        |&(seed, who, moment, how)| {
-            let context = format!("{seed} {who} {moment} {how}");
+        |&(seed, nodes, moment, faults)| {
+            let context = format!("{seed} {nodes} {moment} {faults}");
             let mut fleet = started_fleet(seed);
-            if how & 4 != 0 {
+            if faults & 4 != 0 {
                 (1..=4).for_each(|node| fleet.set_sync(node, 0.01 * f64::from(node)));
             }
-            let (proposer, lost) = (NodeId::from(who % 3) + 1, NodeId::from(who / 4 % 4) + 1);
-            let for_good = how & 2 != 0;
+            let (proposer, lost) = (NodeId::from(nodes % 3) + 1, NodeId::from(nodes / 4 % 4) + 1);
+            let for_good = faults & 2 != 0;
             fleet.reseat(proposer, 2, REPLACE);
             fleet.replace(1, 3, 8);
-            // The change takes some 1.2 s.
+            // The change takes about 1.2 s.
             fleet.run(f64::from(moment % 1500) * 1e-3);
             fleet.replace(2, 4, 9);
-            fleet.kill(lost, how & 1 != 0);
+            fleet.kill(lost, faults & 1 != 0);
             if !for_good {
                 fleet.run(0.3);
                 fleet.start(lost, false);
             }
-            // Four attempts of two seconds, and ten seconds for a new node that is given up.
+            // Long enough for four attempts of two seconds, and ten seconds until a lost new node is given
+            // up.
             fleet.run(14.0);
             let voter_set = agreed_voter_set(&fleet, &context);
             assert!(
@@ -100,26 +100,26 @@
     );
 }
 
-/// The same with five voters, two of which are lost within a moment: with their disks or without, for a while
-/// or for good.
+/// The same with five voters, two of which are lost shortly after one another, with or without their disks,
+/// temporarily or for good.
 #[test]
 fn two_of_five_lost_at_any_moment_of_a_change_leave_a_quorum_with_everything() {
     bolero::check!().with_iterations(50).with_type::<(u64, u8, u16, u8)>().for_each(
-        |&(seed, who, moment, how)| {
-            let context = format!("{seed} {who} {moment} {how}");
+        |&(seed, nodes, moment, faults)| {
+            let context = format!("{seed} {nodes} {moment} {faults}");
             let mut fleet = Fleet::of(seed, 5, 6);
             fleet.run(2.0);
             let voters = agreed_voter_set(&fleet, &context).voters;
             let spare = (4..=6).find(|node| !voters.contains(node)).expect("a spare node");
             let change = MembershipChange::Replace { old: voters[4], new: spare };
-            fleet.reseat(NodeId::from(who % 6) + 1, 2, change);
+            fleet.reseat(NodeId::from(nodes % 6) + 1, 2, change);
             fleet.replace(1, 3, 8);
             fleet.run(f64::from(moment % 1500) * 1e-3);
-            let lost = [NodeId::from(who / 6 % 6) + 1, NodeId::from(how / 4 % 6) + 1];
-            fleet.kill(lost[0], how & 1 != 0);
-            fleet.run(f64::from(how) * 1e-3);
-            fleet.kill(lost[1], how & 1 != 0);
-            if how & 2 == 0 {
+            let lost = [NodeId::from(nodes / 6 % 6) + 1, NodeId::from(faults / 4 % 6) + 1];
+            fleet.kill(lost[0], faults & 1 != 0);
+            fleet.run(f64::from(faults) * 1e-3);
+            fleet.kill(lost[1], faults & 1 != 0);
+            if faults & 2 == 0 {
                 fleet.run(0.3);
                 lost.iter().for_each(|&node| fleet.start(node, false));
             }
@@ -130,7 +130,7 @@
     );
 }
 
-/// Two changes at once through two nodes: one follows the other, or one is rejected.
+/// Two changes are requested at once at two nodes: one follows the other, or one is rejected.
 #[test]
 fn concurrent_changes_are_serialized() {
     for seed in 0..20 {
@@ -149,8 +149,8 @@
     }
 }
 
-/// The new node is lost during the joint epoch and doesn't come back: the change is rolled back, and the
-/// status says so.
+/// The new node is lost for good during the joint epoch: the change is rolled back, and the status shows
+/// that.
 #[test]
 fn a_change_whose_new_node_is_lost_is_rolled_back() {
     for seed in 0..5 {
@@ -161,7 +161,7 @@
         fleet.kill(4, false);
         fleet.replace(1, 3, 8);
         fleet.run(2.0);
-        assert_eq!(fleet.done.get(&3), Some(&Outcome::Chosen), "{context}: accepted by both voter sets");
+        assert_eq!(fleet.done.get(&3), Some(&Outcome::Chosen), "{context}: not accepted by both voter sets");
         fleet.run(11.0);
         assert_eq!(fleet.done.get(&2), Some(&Outcome::Unknown), "{context}");
         let voter_set = agreed_voter_set(&fleet, &context);
@@ -172,13 +172,12 @@
     }
 }
 
-/// A voter that is gone for good is replaced without an operator, once: by a node of a zone that has no voter
-/// yet.
+/// A voter that is gone for good is replaced automatically, once, by a node of a zone that has no voter yet.
 #[test]
 fn a_voter_that_is_gone_for_long_is_replaced_automatically() {
     let mut fleet = started_fleet(1);
     fleet.kill(2, true);
-    // A node that was frozen meanwhile doesn't take the others for lost either.
+    // A node that was frozen in between doesn't consider the others lost either.
     fleet.freeze(1, 280.0);
     fleet.run(299.0);
     assert_eq!(agreed_voter_set(&fleet, "not yet").voters, [1, 2, 3]);
--- a/crates/control-node/tests/membership/returning_nodes.rs
+++ b/crates/control-node/tests/membership/returning_nodes.rs
@@ -1,5 +1,4 @@
-//! Nodes that leave the voter set, or miss changes of it, and what they may still do with what they have on
-//! disk.
+//! Nodes that leave the voter set or miss changes of it, and return with outdated state on disk.
 
 use crate::{
     REPLACE, agreed_voter_set, check_cluster, configuration_revision, run_until, started_fleet, voter_set,
@@ -8,19 +7,19 @@
 use archlink_messages::{Message, NodeId, Register, SingletonRole, VoterSet};
 use archlink_simulation::Fleet;
 
-/// A value that only the replaced voter and one other have on disk; that other one is lost right after the
-/// change. `early`: the planted fault, a new epoch that is adopted before anything was committed in the joint
-/// epoch.
-fn lose_only_copy(seed: u64, early: bool) -> Fleet {
+/// Only the replaced voter and one other node have a value on disk; the other node is lost right after the
+/// change. `skip_convergence` injects the fault: the new epoch is adopted before the registers converged in
+/// the joint epoch.
+fn lose_only_copy(seed: u64, skip_convergence: bool) -> Fleet {
     let mut fleet = started_fleet(seed);
-    fleet.strict = !early;
+    fleet.strict = !skip_convergence;
     for peer in [2, 4] {
         [1, 3].iter().for_each(|&node| fleet.cut(node, peer));
     }
     fleet.replace(1, 2, 8);
     fleet.run(0.7);
     assert_eq!(fleet.done.get(&2), Some(&Outcome::Chosen), "seed {seed}");
-    if early {
+    if skip_convergence {
         let new = voter_set(&fleet, 1).enter_joint(vec![1, 2, 4]).leave_joint(&[1, 2, 4]);
         for node in [1, 2, 4] {
             fleet.step(node, |control_node, now| control_node.step(now, 3, Message::VoterSet(new.clone())));
@@ -47,13 +46,13 @@
     let faulty = lose_only_copy(1, true);
     assert!(
         faulty.fault.is_some() || configuration_revision(&faulty, 4) < Some(9),
-        "the planted fault is not found"
+        "the injected fault is not detected"
     );
 }
 
-/// Two nodes that were a quorum of the first voter set come back after two changes and reach nobody but each
-/// other. `forget`: the planted fault, a disk that doesn't keep the epoch that it was given.
-fn return_of_former_voters(seed: u64, forget: bool) -> Fleet {
+/// Two nodes that were a quorum of the first voter set return after two changes and reach only each other.
+/// `forget_epoch` injects the fault: their disks lose the epoch that they stored.
+fn return_of_former_voters(seed: u64, forget_epoch: bool) -> Fleet {
     let mut fleet = Fleet::of(seed, 3, 5);
     fleet.run(1.5);
     fleet.kill(3, false);
@@ -71,11 +70,11 @@
             fleet.cut(former, voter);
             fleet.cut(voter, former);
         }
-        if forget {
+        if forget_epoch {
             fleet.disks.get_mut(&former).unwrap().kept.voter_set = VoterSet::initial(&[1, 2, 3]);
         }
     }
-    fleet.strict = !forget;
+    fleet.strict = !forget_epoch;
     fleet.start(2, false);
     fleet.start(3, false);
     fleet.replace(3, 4, 9);
@@ -96,17 +95,17 @@
             assert!(holder.is_none_or(|holder| holder != former), "{context}");
         }
         fleet.heal();
-        // A restart brings up new connections.
+        // A restart opens new connections.
         [2, 3].iter().for_each(|&node| fleet.kill(node, false));
         [2, 3].iter().for_each(|&node| fleet.start(node, false));
         fleet.run(2.0);
         assert_eq!(agreed_voter_set(&fleet, &context).voters, [1, 4, 5], "{context}");
         check_cluster(&mut fleet, &context);
     }
-    assert!(return_of_former_voters(1, true).fault.is_some(), "the planted fault is not found");
+    assert!(return_of_former_voters(1, true).fault.is_some(), "the injected fault is not detected");
 }
 
-/// A voter that was down through two changes and remains a voter goes on in the current epoch.
+/// A voter that was down during two changes and is still a voter continues in the current epoch.
 #[test]
 fn a_voter_that_missed_two_changes_finds_the_current_epoch() {
     for seed in 0..10 {
@@ -122,7 +121,7 @@
             fleet.run(3.0);
             assert_eq!(fleet.done.get(&token), Some(&Outcome::Chosen), "{context}");
         }
-        // With the two that were replaced it was a quorum.
+        // It reaches only the two replaced voters, with which it once was a quorum.
         for voter in [2, 3, spare[0], spare[1]] {
             fleet.cut(1, voter);
             fleet.cut(voter, 1);
--- a/crates/control-node/tests/quorum_reads.rs
+++ b/crates/control-node/tests/quorum_reads.rs
@@ -1,5 +1,5 @@
-//! Quorum reads of a proposer: as of when a value is confirmed as the latest, where replies come out of
-//! order, late, from before a restart of the reader or from an earlier epoch.
+//! Quorum reads of a proposer: as of which time a value is confirmed as the newest, with replies that are out
+//! of order, late, from before a restart of the reader or from an earlier epoch.
 
 use archlink_consensus::Effect;
 use archlink_consensus::proposer::Proposer;
@@ -7,13 +7,13 @@
     AcceptedValue, ConsensusMessage, Message, NodeId, ProposalNumber, REGISTERS, Register, VoterSet,
 };
 
-/// Longest search for a smaller case of a failure.
+/// The maximum time for shrinking a failing case.
 const SHRINK_TIME: std::time::Duration = std::time::Duration::from_secs(5);
 
-/// The node that reads.
+/// The node whose proposer reads.
 const READER: NodeId = 9;
 
-/// Seconds from one quorum read to the next.
+/// Seconds between two quorum reads.
 const READ_INTERVAL: f64 = 0.4;
 
 fn proposal(round: u64) -> ProposalNumber {
@@ -46,6 +46,7 @@
     proposer: Proposer,
     /// The round that each voter has accepted, 0 for none.
     accepted: [u64; 3],
+    /// The newest proposed round.
     newest: u64,
     /// Each chosen round, and the time at which it was chosen.
     chosen: Vec<(u64, f64)>,
@@ -64,7 +65,7 @@
         }
     }
 
-    /// A voter accepts the newest round.
+    /// Lets a voter accept the newest round.
     fn accept_newest(&mut self, voter: usize) {
         self.accepted[voter] = self.newest;
         let acceptors = self.accepted.iter().filter(|round| **round == self.newest).count();
@@ -73,8 +74,8 @@
         }
     }
 
-    /// The voters answer what the reader sent with what they have accepted now. `latency` draws how many
-    /// seconds a reply takes, `None` where it is lost.
+    /// Lets the voters answer the reader's requests from what they have accepted by now. `latency` draws the
+    /// seconds that a reply takes, `None` if it is lost.
     fn answer(&mut self, effects: Vec<Effect>, mut latency: impl FnMut() -> Option<f64>) {
         for effect in effects {
             let Effect::Send(to, Message::Consensus(_, request)) = effect else { continue };
@@ -85,8 +86,8 @@
     }
 
     fn run(&mut self, seconds: f64, mut latency: impl FnMut() -> Option<f64>) {
-        let until = self.now + seconds;
-        while self.now < until {
+        let end = self.now + seconds;
+        while self.now < end {
             self.now += 0.01;
             let now = self.now;
             let due: Vec<Reply> = self.in_flight.extract_if(.., |reply| reply.arrives_at <= now).collect();
@@ -100,11 +101,12 @@
         }
     }
 
-    /// What is confirmed as of a time was the latest chosen value at that time.
+    /// Checks that a value confirmed as of a time was the newest chosen value at that time.
     fn check_confirmation(&self) {
         let revision = configuration_revision(&self.proposer);
         let confirmed = self.proposer.confirmed(Register::Configuration).unwrap_or(f64::NEG_INFINITY);
-        let missed = self.chosen.iter().find(|(round, at)| *round > revision && *at < confirmed);
+        let missed =
+            self.chosen.iter().find(|(round, chosen_at)| *round > revision && *chosen_at < confirmed);
         assert!(
             missed.is_none(),
             "{revision} was confirmed as of {confirmed}, but {missed:?} was chosen by then"
@@ -112,8 +114,8 @@
     }
 }
 
-/// The reply of a voter that has accepted `round` of the configuration, and the nil proposal of each other
-/// register.
+/// Returns the reply of a voter that has accepted `round` of the configuration and the nil proposal of every
+/// other register.
 fn reply_to(request: &ConsensusMessage, round: u64) -> Option<ConsensusMessage> {
     match request {
         ConsensusMessage::ReadRequest(serial) => {
@@ -131,8 +133,9 @@
     }
 }
 
-/// Replies in any order, lost, seconds late, and to requests from before a restart: what is confirmed as of a
-/// time was the latest value then. Once replies come regularly, the confirmation is as recent as they allow.
+/// Replies arrive in any order, are lost, are seconds late, or belong to requests from before a restart: a
+/// value confirmed as of a time was the newest one then. Once replies arrive regularly, the confirmation is
+/// as recent as their latency allows.
 #[test]
 fn a_confirmed_value_was_the_latest_when_its_read_began() {
     const MAX_REPLY_LATENCY: f64 = 0.6;
@@ -170,7 +173,7 @@
         });
 }
 
-/// The serial of the read request that is sent at that time.
+/// Returns the serial of the read request that is sent at that time.
 fn read_serial(proposer: &mut Proposer, now: f64) -> u64 {
     let serial = |effect: Effect| match effect {
         Effect::Send(_, Message::Consensus(_, ConsensusMessage::ReadRequest(serial))) => Some(serial),
@@ -185,7 +188,7 @@
 
 /// Regression: serials of read requests began at 0 in each incarnation of the reader. A reply that a voter's
 /// disk delayed until after a restart of the reader was counted for a request of the new incarnation, and
-/// confirmed a value that had long been replaced. A reply from an earlier epoch counts as little.
+/// confirmed a value that had long been replaced. A reply from an earlier epoch must not count either.
 #[test]
 fn a_reply_to_a_read_of_an_earlier_incarnation_or_epoch_is_ignored() {
     let mut earlier_incarnation = reader(1);
@@ -209,12 +212,13 @@
     assert_eq!(
         proposer.confirmed(Register::Configuration),
         Some(9.1),
-        "since the request, not since the replies"
+        "as of the request, not of the replies"
     );
 }
 
-/// Regression: while values changed in quick succession the voters differed at each read, and nothing was
-/// ever confirmed. The highest round that a quorum names is enough for whoever has it.
+/// Regression: while values changed in quick succession, the voters' replies differed in each read, and
+/// nothing was ever confirmed. It is enough that the replies of some quorum name no higher round than the
+/// reader has.
 #[test]
 fn voters_that_differ_confirm_a_value_that_no_quorum_is_beyond() {
     for (rounds, is_confirmed) in [([1, 2, 2], true), ([1, 2, 3], true), ([3, 2, 3], false)] {
@@ -228,8 +232,8 @@
     }
 }
 
-/// Regression: a value was taken for chosen that two voters had accepted, one before it lost its disk and the
-/// other long after.
+/// Regression: a value was considered chosen although one of the two voters that had accepted it lost its
+/// disk long before the other one accepted it.
 #[test]
 fn replies_outside_the_time_window_form_no_quorum() {
     for (seconds_apart, is_quorum) in [(1.0, true), (2.6, false), (9.0, false)] {
--- a/crates/control-node/tests/simulated_network/configuration_versions.rs
+++ b/crates/control-node/tests/simulated_network/configuration_versions.rs
@@ -1,6 +1,6 @@
-//! One configuration version has one text, forever, and operators' proposals take effect in their order: many
-//! operators race at many nodes, while messages are lost, late and duplicated, nodes are partitioned, frozen
-//! and killed, and callers move on to another node and retry.
+//! A configuration version has one text forever, and operators' proposals take effect in order. Many
+//! operators race at many nodes while messages are lost, late and duplicated, nodes are partitioned, frozen
+//! and killed, and callers retry at other nodes.
 
 use crate::SHRINK_TIME;
 use crate::network::SimulatedNetwork;
@@ -13,7 +13,7 @@
 
 const NODES: NodeId = 8;
 const VERSION: u64 = 5;
-/// A caller without an answer moves on after this many seconds, which is longer than any proposal lives.
+/// Seconds after which a caller without an answer retries at another node; longer than any proposal lives.
 const CALLER_TIMEOUT: f64 = 1.0;
 
 fn digest_of(version: u64, content: u8) -> VersionDigest {
@@ -25,19 +25,20 @@
     node: NodeId,
     token: u64,
     sent_at: f64,
-    /// The answer that it got in the end.
+    /// The final answer.
     answer: Option<Outcome>,
 }
 
-/// Callers that each propose another content under one version, and retry until they are answered.
+/// Callers that each propose a different content under one version, and retry until they are answered.
 struct Race {
     network: SimulatedNetwork,
     callers: Vec<Caller>,
     last_token: u64,
     /// The content that was proposed under each token.
     contents: BTreeMap<u64, u8>,
-    /// Resolved proposals that were checked already.
+    /// The number of resolved proposals that have been checked.
     checked: usize,
+    /// The content that was chosen, as the first answer named it.
     winner: Option<u8>,
 }
 
@@ -62,7 +63,7 @@
         race
     }
 
-    /// A caller proposes its content at some node.
+    /// Lets a caller propose its content at a random node.
     fn propose(&mut self, index: usize) {
         self.last_token += 1;
         let node = 1 + self.network.rng.rand_range(0..u64::from(NODES)) as NodeId;
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Every answer, also one that nobody waits for any more, names the same content.
+    /// Checks that all answers, including those that nobody waits for any more, name the same content.
     fn check_answers(&mut self) {
         for &(_, token, outcome) in &self.network.resolved[self.checked..] {
             let content = self.contents[&token];
@@ -96,8 +97,8 @@
     }
 
     fn run(&mut self, seconds: f64) {
-        let until = self.network.now + seconds;
-        while self.network.now < until {
+        let end = self.network.now + seconds;
+        while self.network.now < end {
             self.network.advance();
             self.check_answers();
             (0..self.callers.len()).for_each(|index| self.retry_if_unanswered(index));
@@ -106,7 +107,7 @@
 
     fn retry_if_unanswered(&mut self, index: usize) {
         let Caller { node, token, sent_at, answer, .. } = self.callers[index];
-        // The callers of a killed node notice at once.
+        // The callers of a killed node notice that at once.
         let gave_up = !self.network.nodes.contains_key(&node) || self.network.now > sent_at + CALLER_TIMEOUT;
         let resolved = self.network.outcome(token).is_some();
         if answer.is_none() && (gave_up || resolved) {
@@ -142,9 +143,9 @@
     }
 }
 
-/// Regression: two contents were acknowledged under one version, where the caller of the one that lost should
-/// get the winner's digest; and a retried proposal was rejected. Any later caller at any node, and after any
-/// number of higher versions, gets the same answer.
+/// Regressions: two contents were acknowledged under one version, although the losing caller should receive
+/// the winner's digest; and a retried proposal was rejected. Any later caller at any node, also after a
+/// higher version, receives the same answer.
 #[test]
 fn one_version_has_one_content_under_any_faults() {
     bolero::check!()
@@ -171,7 +172,7 @@
             for caller in &race.callers {
                 assert_eq!(caller.answer, Some(expected(caller.content)), "content {}", caller.content);
             }
-            // After a higher version the answers are the same.
+            // The answers are the same after a higher version.
             race.contents.insert(1001, winner);
             let network = &mut race.network;
             network.propose_configuration(2, 1000, VERSION + 3, 99);
@@ -188,9 +189,8 @@
         });
 }
 
-/// The limits of the recent versions: the last ones are known. A lower version that was never chosen, or long
-/// ago, is acknowledged without any effect and isn't recorded, also where another content follows under that
-/// version.
+/// Only the most recent versions are kept. A lower version that was never chosen, or chosen too long ago, is
+/// acknowledged without effect and not recorded, even if another content follows under the same version.
 #[test]
 fn recent_versions_are_bounded_and_list_chosen_contents_only() {
     let mut network = SimulatedNetwork::new(3, 3, 3);
@@ -217,7 +217,7 @@
         assert_eq!(
             propose(&mut network, version, content),
             Outcome::Chosen,
-            "{version} was never chosen, or long ago"
+            "version {version} was never chosen, or too long ago"
         );
     }
     let value =
@@ -227,7 +227,7 @@
 }
 
 /// A single operator begins an evacuation, retries at other nodes until that is acknowledged, and then ends
-/// it likewise. No remainder of an earlier attempt brings the evacuation back.
+/// it in the same way. No late message of an earlier attempt may restore the evacuation.
 #[test]
 fn a_late_evacuation_start_never_undoes_its_end() {
     bolero::check!()
@@ -258,12 +258,12 @@
             network.run(4.0);
             for control_node in network.nodes.values() {
                 let value = control_node.proposer.committed(Register::Evacuations).expect("a set of zones");
-                assert!(decode_evacuated_zones(&value.value).is_empty(), "the evacuation is back");
+                assert!(decode_evacuated_zones(&value.value).is_empty(), "the evacuation was restored");
             }
         });
 }
 
-/// Without a further fault in the schedule the network heals.
+/// Injects a fault into the network, or heals it if the schedule has no further fault.
 fn inject_evacuation_fault(network: &mut SimulatedNetwork, fault: Option<&(u8, u8, u8)>) {
     let Some(&(kind, node, length)) = fault else {
         network.partitioned.clear();
@@ -280,18 +280,18 @@
     }
 }
 
-/// One call at some node, until it is answered, breaks off or times out.
+/// Makes a call at a random node and waits until it is answered, its connection is lost, or it times out.
 fn call_evacuation(network: &mut SimulatedNetwork, token: u64, on: bool) {
     let node = 1 + network.rng.rand_range(0..5) as NodeId;
     let (since, frozen) = (network.now, !network.is_responsive(node));
-    // The caller's connection may break off at any time; its node notices that unless it is frozen.
-    let breaks_off_at = since + 1.2 * network.rng.rand_float();
+    // The caller's connection may be lost at any time; the node notices that unless it is frozen.
+    let connection_lost_at = since + 1.2 * network.rng.rand_float();
     if !frozen {
         network.propose_evacuation(node, token, on);
     }
     while network.outcome(token).is_none()
         && network.now < since + CALLER_TIMEOUT
-        && (network.now < breaks_off_at || !network.is_responsive(node))
+        && (network.now < connection_lost_at || !network.is_responsive(node))
     {
         network.advance();
     }
@@ -300,13 +300,13 @@
     }
 }
 
-/// Regression: a proposal whose caller had gone was retried, since it had reached its accept phase once.
+/// Regression: a proposal whose caller had disconnected was retried if it had once reached its accept phase.
 #[test]
 fn a_withdrawn_proposal_is_not_retried() {
     let mut network = SimulatedNetwork::new(6, 3, 4);
     network.run(0.5);
     network.propose_evacuation(4, 1, true);
-    // It is promised, and its accept requests are lost.
+    // The proposal is promised, and its accept requests are lost.
     network.accepts_lost.extend([(4, 1), (4, 2), (4, 3)]);
     while !network.last_accept_request.contains_key(&4) {
         network.advance();
@@ -322,8 +322,8 @@
     assert!(decode_evacuated_zones(&value.value).is_empty(), "undone by a withdrawn proposal");
 }
 
-/// No accept request is sent after the proposal timeout, however long the node was frozen between two phases;
-/// and each proposal resolves.
+/// No accept request is sent after the proposal timeout, however long the node was frozen between two phases,
+/// and each proposal is resolved.
 #[test]
 fn no_accept_request_is_sent_after_the_proposal_timeout() {
     for seed in 0..60 {
@@ -336,23 +336,23 @@
         network.run(0.004 * (seed % 20) as f64);
         network.frozen_until.insert(4, network.now + 0.05 * (seed % 30) as f64);
         network.run(3.0);
-        let last = network.last_accept_request.get(&4).copied().unwrap_or(0.0);
+        let last_accept = network.last_accept_request.get(&4).copied().unwrap_or(0.0);
         assert!(
-            last <= proposed_at + PROPOSAL_TIMEOUT,
-            "seed {seed}: {} s after it came",
-            last - proposed_at
+            last_accept <= proposed_at + PROPOSAL_TIMEOUT,
+            "seed {seed}: an accept request {} s after the proposal",
+            last_accept - proposed_at
         );
         assert!(network.outcome(1).is_some() && network.outcome(2).is_some(), "seed {seed}");
     }
 }
 
-/// Regression: a proposal was rejected because of a value that only a minority had accepted, and which might
+/// Regression: a proposal was rejected because of a value that only a minority had accepted, and that might
 /// never be chosen.
 #[test]
 fn a_conflict_is_reported_only_with_a_chosen_content() {
     let mut network = SimulatedNetwork::new(7, 3, 5);
     network.run(0.5);
-    // A proposal whose accept requests reach the voters `1..=reached` only.
+    // Makes a proposal whose accept requests reach only the voters `1..=reached`.
     let propose_partly = |network: &mut SimulatedNetwork, node, token, content, reached: NodeId| {
         network.accepts_lost.extend((reached + 1..=3).map(|voter| (node, voter)));
         network.propose_configuration(node, token, VERSION, content);
@@ -360,7 +360,7 @@
     };
     propose_partly(&mut network, 4, 1, 1, 1);
     network.kill(4);
-    // Node 5 learns of the first content by a voter's promise, and can't get it accepted.
+    // Node 5 learns of the first content from a voter's promise, but can't get it accepted.
     network.partitioned.insert((3, 5));
     propose_partly(&mut network, 5, 2, 2, 0);
     network.partitioned.clear();
@@ -373,12 +373,12 @@
     assert_eq!(network.wait_for(4), Outcome::VersionConflict(digest_of(VERSION, 2)));
 }
 
-/// Regression: a proposal was acknowledged on two accepted replies, the first of a voter that had lost its
-/// disk and come back before the second voter accepted. The proposer was frozen in between, and handled both
-/// replies when it woke.
+/// Regression: a proposal was acknowledged after two accepted replies, the first from a voter that had lost
+/// its disk and restarted before the second voter accepted. The proposer was frozen in between, and handled
+/// both replies when it resumed.
 #[test]
 fn accepted_replies_after_the_attempt_timed_out_are_not_counted() {
-    for (woke_after, acknowledged) in [(0.5, true), (3.0, false)] {
+    for (resumed_after, acknowledged) in [(0.5, true), (3.0, false)] {
         let mut proposer = Proposer::new(9, 1);
         proposer.set_voter_set(0.0, &VoterSet::initial(&[1, 2, 3]));
         let change = Change::Configuration { version: VERSION, digest: [1; 16], text: "text".into() };
@@ -398,7 +398,7 @@
         let request = first_sent(proposer.step(1.4, 2, &promise));
         assert!(matches!(request, Some(ConsensusMessage::Accept(..))));
         proposer.step(1.4, 1, &accepted);
-        let effects = proposer.step(1.0 + woke_after, 2, &accepted);
+        let effects = proposer.step(1.0 + resumed_after, 2, &accepted);
         let resolved =
             effects.iter().any(|effect| matches!(effect, Effect::ProposalResolved(1, Outcome::Chosen)));
         assert_eq!((resolved, proposer.committed(register).is_some()), (acknowledged, acknowledged));
--- a/crates/control-node/tests/simulated_network/disk.rs
+++ b/crates/control-node/tests/simulated_network/disk.rs
@@ -1,11 +1,11 @@
-//! A simulated disk with group commit: one sync takes everything that is queued, and confirms it only when it
-//! ends.
+//! A simulated disk with group commit: one sync covers everything that is queued when it begins, and makes it
+//! durable when it ends.
 
 use archlink_consensus::DurableRecord;
 use archlink_messages::{AcceptorState, LeaseGrant, Message, NodeId, Register, SingletonRole, VoterSet};
 use std::collections::BTreeMap;
 
-/// A record, and the messages that may leave once it is durable.
+/// A record, and the messages to send once it is durable.
 type Write = (DurableRecord, Vec<(NodeId, Message)>);
 
 #[derive(Default)]
@@ -23,14 +23,14 @@
         self.queued.push((record, messages));
     }
 
-    /// Loses what isn't durable yet.
+    /// Discards everything that is not durable yet.
     pub fn power_fail(&mut self) {
         (self.queued, self.syncing) = (Vec::new(), Vec::new());
     }
 
-    /// Ends the current sync once its time is over and begins the next one, which takes `sync` seconds. With
-    /// `always_syncing` a sync is in progress at all times, for other writers of the disk. Returns the
-    /// messages that may leave now.
+    /// Ends the current sync when its time is over and begins the next one, which takes `sync` seconds. With
+    /// `always_syncing` a sync is in progress at all times, on behalf of other writers of the disk. Returns
+    /// the messages to send now.
     pub fn advance(&mut self, now: f64, sync: f64, always_syncing: bool) -> Vec<(NodeId, Message)> {
         if now < self.busy_until {
             return Vec::new();
--- a/crates/control-node/tests/simulated_network/network.rs
+++ b/crates/control-node/tests/simulated_network/network.rs
@@ -1,5 +1,5 @@
 //! The simulated network: control nodes with their disks and links, advanced in small steps of simulated
-//! time. All random draws come from one seed.
+//! time. All random numbers come from one seed.
 
 use crate::disk::Disk;
 use archlink_consensus::proposer::Change;
@@ -8,7 +8,7 @@
 use archlink_messages::{ConsensusMessage, ControlNode, Message, NodeId, Register, VoterSet};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Longer than any test, in seconds: no voter is replaced for being lost.
+/// A `CatchUp` in seconds that is longer than any test, so that no lost voter is replaced.
 const CATCH_UP: f64 = 1000.0;
 
 struct InFlight {
@@ -24,39 +24,39 @@
     /// Length of one step of time, in seconds.
     pub step_seconds: f64,
     pub rng: oorandom::Rand64,
-    /// The nodes that run.
+    /// The running nodes.
     pub nodes: BTreeMap<NodeId, ControlNodeState>,
     disks: BTreeMap<NodeId, Disk>,
     pub frozen_until: BTreeMap<NodeId, f64>,
-    /// Links, from one node to another, that lose everything.
+    /// One-way links that lose all messages.
     pub partitioned: BTreeSet<(NodeId, NodeId)>,
-    /// Links that lose accept requests and nothing else.
+    /// One-way links that lose accept requests and nothing else.
     pub accepts_lost: BTreeSet<(NodeId, NodeId)>,
     in_flight: Vec<InFlight>,
-    /// In seconds; each message takes from this to twice as long.
+    /// The minimum latency of a message in seconds; the maximum is twice that.
     min_latency: f64,
-    /// Share of messages that are lost.
+    /// The fraction of messages that are lost.
     pub loss_rate: f64,
-    /// Share of messages that arrive once more, up to 4 s later.
+    /// The fraction of messages that arrive a second time, up to 4 s later.
     pub duplicate_rate: f64,
     /// Duration of a disk's sync in seconds.
     pub sync_seconds: f64,
-    /// Every disk is always in a sync, for other writers.
+    /// Whether every disk is always in a sync, on behalf of other writers.
     pub disks_always_sync: bool,
-    /// Time, token and outcome of each proposal that resolved.
+    /// Time, token and outcome of each resolved proposal.
     pub resolved: Vec<(f64, u64, Outcome)>,
-    /// Quorum read requests that left a node for another one.
+    /// The number of quorum read requests sent between nodes.
     pub read_requests: usize,
-    /// Bytes of quorum read requests and replies between nodes, with their length prefixes.
+    /// Bytes of quorum read requests and replies between nodes, including their length prefixes.
     pub read_bytes: usize,
-    /// When each node last sent an accept request.
+    /// The time at which each node last sent an accept request.
     pub last_accept_request: BTreeMap<NodeId, f64>,
     initial_voters: Vec<NodeId>,
     node_count: NodeId,
 }
 
 impl SimulatedNetwork {
-    /// Starts the nodes `1..=node_count`, of which the first `voters` vote.
+    /// Starts the nodes `1..=node_count`, of which the first `voters` are voters.
     pub fn new(seed: u64, voters: NodeId, node_count: NodeId) -> SimulatedNetwork {
         let mut network = SimulatedNetwork {
             now: 10.0,
@@ -114,7 +114,7 @@
         (1..=self.node_count).filter(move |peer| *peer != node)
     }
 
-    /// Ends a node; what isn't durable is lost.
+    /// Kills a node; everything that is not durable is lost.
     pub fn kill(&mut self, node: NodeId) {
         self.nodes.remove(&node);
         self.frozen_until.remove(&node);
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Partitions a node from all others, or heals that, for each direction by itself.
+    /// Partitions a node from all others, or heals the partition, separately for each direction.
     pub fn partition(&mut self, node: NodeId, outgoing: bool, incoming: bool) {
         for peer in self.peers_of(node) {
             for (link, lost) in [((node, peer), outgoing), ((peer, node), incoming)] {
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Calls a node, if it runs, and performs the effects.
+    /// Calls a node, if it is running, and performs the effects.
     pub fn step(&mut self, node: NodeId, call: impl FnOnce(&mut ControlNodeState, f64) -> Vec<Effect>) {
         let now = self.now;
         let Some(control_node) = self.nodes.get_mut(&node) else { return };
@@ -200,12 +200,12 @@
         }
     }
 
-    /// Whether the node runs and isn't frozen.
+    /// Returns whether the node is running and not frozen.
     pub fn is_responsive(&self, node: NodeId) -> bool {
         self.nodes.contains_key(&node) && self.frozen_until.get(&node).is_none_or(|until| *until <= self.now)
     }
 
-    /// One step of time: messages arrive, disks sync, nodes tick.
+    /// Advances time by one step: messages arrive, disks sync, nodes tick.
     pub fn advance(&mut self) {
         self.now += self.step_seconds;
         let now = self.now;
@@ -228,8 +228,8 @@
     }
 
     pub fn run(&mut self, seconds: f64) {
-        let until = self.now + seconds;
-        while self.now < until {
+        let end = self.now + seconds;
+        while self.now < end {
             self.advance();
         }
     }
@@ -241,34 +241,37 @@
         self.step(node, |control_node, now| control_node.propose(now, change, token));
     }
 
-    /// Proposes the beginning or the end of an evacuation of zone `z`.
+    /// Proposes the start (`on`) or the end of an evacuation of zone `z`.
     pub fn propose_evacuation(&mut self, node: NodeId, token: u64, on: bool) {
         let change = Change::Evacuation { zone: "z".into(), on };
         self.step(node, |control_node, now| control_node.propose(now, change, token));
     }
 
-    /// Runs until a proposal has resolved, which takes a second at most; returns its outcome.
+    /// Runs until a proposal is resolved and returns its outcome. Panics after a second.
     pub fn wait_for(&mut self, token: u64) -> Outcome {
-        let until = self.now + 1.0;
+        let deadline = self.now + 1.0;
         while self.outcome(token).is_none() {
-            assert!(self.now < until, "proposal {token} does not resolve");
+            assert!(self.now < deadline, "proposal {token} does not resolve");
             self.advance();
         }
         self.outcome(token).unwrap()
     }
 
-    /// The outcome of a proposal, if it has resolved.
+    /// Returns the outcome of a proposal, if it is resolved.
     pub fn outcome(&self, token: u64) -> Option<Outcome> {
         self.resolved.iter().find(|(_, resolved, _)| *resolved == token).map(|(_, _, outcome)| *outcome)
     }
 
-    /// Seconds since the quorum read that last confirmed a node's value of a register began; infinite where
-    /// none did.
+    /// Returns the seconds since the start of the quorum read that last confirmed a node's value of a
+    /// register; infinity if there was none.
     pub fn confirmed_age(&self, node: NodeId, register: Register) -> f64 {
-        self.nodes[&node].proposer.confirmed(register).map_or(f64::INFINITY, |at| self.now - at)
+        self.nodes[&node]
+            .proposer
+            .confirmed(register)
+            .map_or(f64::INFINITY, |confirmed_at| self.now - confirmed_at)
     }
 
-    /// Revision of a node's chosen value of a register, 0 where it knows none.
+    /// Returns the revision of a node's committed value of a register, 0 if it knows none.
     pub fn revision(&self, node: NodeId, register: Register) -> u64 {
         self.nodes[&node].proposer.committed(register).map_or(0, |value| value.revision)
     }
--- a/crates/control-node/tests/simulated_network/quorum_contact.rs
+++ b/crates/control-node/tests/simulated_network/quorum_contact.rs
@@ -1,5 +1,5 @@
-//! What a control node gives out without recent quorum contact, and as of when its state is confirmed: under
-//! reads at any rate, slow disks, partitions and restarts.
+//! What a control node reports without recent quorum contact, and as of which time its state is confirmed:
+//! under reads at any rate, slow disks, partitions and restarts.
 
 use crate::network::SimulatedNetwork;
 use archlink_control_node::event_log::Event;
@@ -9,16 +9,16 @@
 };
 use std::net::SocketAddrV4;
 
-/// Seconds from one quorum read to the next.
+/// Seconds between two quorum reads.
 const READ_INTERVAL: f64 = 0.4;
-/// Seconds from one session heartbeat of a data node to the next.
+/// Seconds between two session heartbeats of a data node.
 const SESSION_HEARTBEAT_INTERVAL: f64 = 0.4;
 
-/// Regression: each read began a new quorum read and dropped the replies to the one before, so that with a
-/// read every few milliseconds nothing was ever confirmed, and every lease ended.
+/// Regression: each read began a new quorum read and discarded the replies to the previous one, so that with
+/// a read every few milliseconds nothing was ever confirmed, and every lease expired.
 #[test]
 fn a_thousand_reads_a_second_share_one_quorum_read_a_round_trip() {
-    /// The longest, in seconds; the shortest is half of that.
+    /// The longest round trip in seconds; the shortest is half of that.
     const ROUND_TRIP: f64 = 0.024;
     let mut network = SimulatedNetwork::new(1, 3, 3);
     network.run(1.0);
@@ -30,8 +30,8 @@
     let before = (network.read_requests, network.read_bytes);
     let mut pending: Vec<f64> = Vec::new();
     let mut slowest: f64 = 0.0;
-    let until = network.now + 2.0;
-    while network.now < until {
+    let end = network.now + 2.0;
+    while network.now < end {
         for _ in 0..2 {
             network.step(1, |control_node, now| control_node.proposer.request_confirmation(now));
             pending.push(network.now);
@@ -39,20 +39,20 @@
         network.advance();
         let age = network.confirmed_age(1, Register::Configuration);
         let confirmed = network.now - age;
-        let done = pending.iter().filter(|at| **at <= confirmed);
-        done.for_each(|at| slowest = slowest.max(network.now - at));
-        pending.retain(|at| *at > confirmed);
-        assert!(age < 3.0 * ROUND_TRIP || network.now < until - 1.9, "{age}");
+        let done = pending.iter().filter(|requested_at| **requested_at <= confirmed);
+        done.for_each(|requested_at| slowest = slowest.max(network.now - requested_at));
+        pending.retain(|requested_at| *requested_at > confirmed);
+        assert!(age < 3.0 * ROUND_TRIP || network.now < end - 1.9, "{age}");
     }
     let busy = (network.read_requests - before.0, network.read_bytes - before.1);
     println!("requests and bytes in 2 s: idle {idle:?}, reading {busy:?}; slowest read {slowest:.3} s");
     assert!(slowest < 2.5 * ROUND_TRIP, "{slowest}");
-    // Each quorum read goes to two other nodes.
+    // Each quorum read sends a request to two other nodes.
     assert!(busy.0 < idle.0 + 2 * (2.0 / (0.5 * ROUND_TRIP)) as usize, "{} requests", busy.0);
 }
 
-/// Regression: nothing was ever confirmed where replies took longer than the interval between quorum reads,
-/// as they do from disks that are always in a slow sync.
+/// Regression: nothing was ever confirmed if replies took longer than the interval between quorum reads, as
+/// they do with disks that are always in a slow sync.
 #[test]
 fn slow_disks_delay_confirmation_and_do_not_end_it() {
     for sync in [0.5, 0.9, 1.5] {
@@ -62,7 +62,7 @@
         network.run(2.0 * sync);
         let mut oldest: f64 = 0.0;
         for step in 0..4000 {
-            // The second half reads all the time, which makes no difference.
+            // In the second half, reads are requested in every step, which must make no difference.
             if step > 2000 {
                 network.step(1, |control_node, now| control_node.proposer.request_confirmation(now));
             }
@@ -74,7 +74,7 @@
     }
 }
 
-/// Six control nodes, all in quorum contact, with a configuration, an evacuation, and two data nodes in
+/// Starts six control nodes with quorum contact, a configuration, an evacuation, and two data nodes in
 /// session with each.
 fn six_nodes(seed: u64) -> SimulatedNetwork {
     let mut network = SimulatedNetwork::new(seed, 3, 6);
@@ -88,16 +88,16 @@
 }
 
 /// Runs while data nodes send session heartbeats to their control nodes, with `extra` more data nodes at node
-/// 6; calls `check` after each step.
+/// 6. Calls `check` after each step.
 fn run_with_sessions(
     network: &mut SimulatedNetwork,
     seconds: f64,
     extra: NodeId,
     mut check: impl FnMut(&SimulatedNetwork),
 ) {
-    let until = network.now + seconds;
+    let end = network.now + seconds;
     let mut heartbeat_at = network.now;
-    while network.now < until {
+    while network.now < end {
         if network.now >= heartbeat_at {
             renew_sessions(network, extra);
             heartbeat_at = network.now + SESSION_HEARTBEAT_INTERVAL;
@@ -137,11 +137,11 @@
     }
 }
 
-/// A node that is partitioned, in one direction or both, for however long and repeatedly, claims no
-/// confirmation since then, and its versions of registers, host list and leases are never beyond the current
-/// ones.
+/// A node that is partitioned in one or both directions, for any time and repeatedly, reports no confirmation
+/// as of a time within the partition, and its versions of registers and leases are never beyond the current
+/// ones. Afterwards its registers and host list are the current ones.
 #[test]
-fn a_partitioned_node_claims_no_confirmation_since_then() {
+fn a_partitioned_node_reports_no_confirmation_from_within_the_partition() {
     let directions = [(true, true), (true, false), (false, true)];
     for (seed, (outgoing, incoming)) in directions.into_iter().enumerate() {
         for seconds in [1.0, 5.0, 60.0] {
@@ -159,8 +159,8 @@
     }
 }
 
-/// The partition of node 6 goes on, and both sides change state: each takes itself for the holder of host
-/// discovery, node 6 in `term` and node 1 in the next one.
+/// Continues the partition of node 6 while state changes on both sides: each side considers itself the holder
+/// of host discovery, node 6 in `term` and node 1 in the next term.
 fn run_partitioned(network: &mut SimulatedNetwork, seconds: f64, term: u64) {
     // Replies that were in flight when the partition began may still arrive.
     run_with_sessions(network, 0.1, 0, |_| {});
@@ -193,14 +193,14 @@
     );
 }
 
-/// What a node has on its own disk is one acceptor's state. After a start the node gives out none of it, also
-/// where no quorum replies for long. What a peer without quorum contact sends is passed on, and not as
-/// confirmed.
+/// The state on a node's own disk is that of one acceptor only. After a start the node gives out none of it,
+/// even if no quorum replies for a long time. State from a peer without quorum contact is passed on, but not
+/// as confirmed.
 #[test]
 fn a_node_started_without_a_quorum_gives_out_nothing_from_its_disk() {
     let mut network = six_nodes(1);
     (1..=2).for_each(|node| network.partition(node, true, true));
-    // Of the voters 1, 2 and 3, node 2 hears node 1, which is no quorum.
+    // Of the voters 1, 2 and 3, only node 1 is heard by node 2, which is no quorum.
     network.kill(3);
     network.kill(1);
     network.partitioned.remove(&(2, 1));
@@ -215,7 +215,7 @@
             .any(|update| matches!(update, StateUpdate::Chosen(..) | StateUpdate::DataNodes(_)));
         assert!(!given_out, "{updates:?}");
     });
-    // Now it receives them from node 2, which had learned them and may be behind by now.
+    // Node 1 now receives the values from node 2, which had learned them and may be outdated by now.
     let updates = network.nodes[&2].updates_for(network.now, &VersionVector::default(), true);
     assert!(updates.iter().any(is_configuration));
     network.step(1, |control_node, now| control_node.apply_updates(now, updates));
@@ -229,7 +229,7 @@
     matches!(update, StateUpdate::Chosen(Register::Configuration, _))
 }
 
-/// Regression: a node confirmed the configuration before it knew which zones are evacuated.
+/// Regression: a node reported the configuration as confirmed before it knew which zones were evacuated.
 #[test]
 fn a_started_node_confirms_nothing_before_it_knows_all_registers() {
     for seed in 0..40 {
@@ -247,7 +247,7 @@
     }
 }
 
-/// Whether a node tells data nodes which data nodes there are.
+/// Returns whether a node reports the data nodes to data nodes.
 fn reports_data_nodes(network: &SimulatedNetwork, node: NodeId) -> bool {
     network.nodes[&node].versions(network.now).data_nodes != 0
 }
@@ -256,7 +256,7 @@
     network.nodes[&node].event_log.registry.possibly_active().len()
 }
 
-/// Checks that each node that reports data nodes reports at least `count`.
+/// Returns a check that each node that reports data nodes reports at least `count` of them.
 fn reports_at_least(count: usize) -> impl Fn(&SimulatedNetwork) {
     move |network| {
         for &node in network.nodes.keys().filter(|node| reports_data_nodes(network, **node)) {
@@ -271,8 +271,8 @@
     }
 }
 
-/// Regression: after a partition local shares were too large. A node that had been partitioned from a single
-/// other one, for longer than lost data nodes are counted, reported too few data nodes.
+/// Regression: after a partition, local shares were too large. A node that had been partitioned from one
+/// other node, for longer than lost data nodes are counted, reported too few data nodes.
 #[test]
 fn nodes_partitioned_from_one_another_report_all_data_nodes() {
     let mut network = six_nodes(1);
@@ -282,14 +282,14 @@
     run_with_sessions(&mut network, 1.5, 3, reports_at_least(12));
     run_with_sessions(&mut network, 5.0, 3, reports_at_least(15));
     assert!(reports_data_nodes(&network, 1), "1 is in quorum contact");
-    // Where half of the control nodes are lost, those with a quorum of the voters still report.
+    // If half of the control nodes are lost, those with a quorum of the voters still report.
     (4..=6).for_each(|node| network.kill(node));
     run_with_sessions(&mut network, 5.0, 0, reports_at_least(15));
     assert!(reports_data_nodes(&network, 1));
 }
 
 /// Regression: a node that had been partitioned from all others for longer than lost data nodes are counted,
-/// or that had started in the partition, reported too few data nodes after it.
+/// or that had restarted in the partition, reported too few data nodes afterwards.
 #[test]
 fn a_node_partitioned_from_all_reports_no_data_nodes_until_it_knows_all() {
     for restarted in [false, true] {
@@ -314,7 +314,7 @@
     }
 }
 
-/// A new connection between two nodes: each receives the other's hello.
+/// Opens a new connection between two nodes: each receives the other's hello.
 fn reconnect(network: &mut SimulatedNetwork, node: NodeId, peer: NodeId) {
     for (from, to) in [(node, peer), (peer, node)] {
         let hello = network.nodes[&from].peer_hello();
@@ -322,8 +322,8 @@
     }
 }
 
-/// Regression: nobody took a configuration after an operator had forced a new generation, since its version
-/// may be lower than the one that was lost, or the same with another text.
+/// Regression: after an operator had forced a new generation, no node accepted a configuration whose version
+/// was lower than the lost one, or the same with another text.
 #[test]
 fn a_value_of_a_new_generation_follows_all_earlier_ones() {
     let value = |generation: u64, round, revision, text: &'static str| {
@@ -350,12 +350,12 @@
     };
     assert!(learn(&mut network, value(0, 900, 9, "lost")));
     let before = network.nodes[&1].versions(network.now);
-    for (round, revision, text, is_new) in
+    for (round, revision, text, is_newer) in
         [(1, 8, "older", true), (2, 9, "another", true), (3, 9, "another", false)]
     {
-        assert_eq!(learn(&mut network, value(1, round, revision, text)), is_new, "{text}");
-        let chosen = network.nodes[&1].proposer.committed(Register::Configuration).expect("a value");
-        assert_eq!((chosen.revision, chosen.value.as_ref()), (revision, text.as_bytes()));
+        assert_eq!(learn(&mut network, value(1, round, revision, text)), is_newer, "{text}");
+        let committed = network.nodes[&1].proposer.committed(Register::Configuration).expect("a value");
+        assert_eq!((committed.revision, committed.value.as_ref()), (revision, text.as_bytes()));
         assert!(network.nodes[&1].versions(network.now).configuration > before.configuration);
     }
     let updates = network.nodes[&1].updates_for(network.now, &before, false);
