--- a/crates/control-client/src/fleet_view.rs
+++ b/crates/control-client/src/fleet_view.rs
@@ -1,11 +1,12 @@
-//! What a data node knows of the fleet, folded from heartbeats of control nodes and from state updates.
+//! A data node's view of the fleet, folded from heartbeats of control nodes and from state updates.
 //!
 //! Invariants:
-//! - No version goes back to an older one.
-//! - A configuration is confirmed only where a quorum confirmed the very versions that are present here, and only for the
-//!   length of a lease.
+//! - No version is ever replaced by an older one.
+//! - A confirmation requires that a quorum confirmed the configuration version and no later evacuations than are present
+//!   here, and it expires after the confirmation lifetime.
 //! - The first configuration is in force only once it is confirmed. From then on newer ones are in force at once, and the
-//!   last one stays so without confirmation: public routes go on, keyed requests are refused (`is_confirmed`).
+//!   last one stays in force without confirmation: public routes are still served, keyed requests are refused
+//!   (`is_confirmed`).
 
 mod updates;
 mod view_change;
@@ -18,18 +19,19 @@
 };
 use std::rc::Rc;
 
-/// Most control nodes that are remembered as candidates for a call. The oldest ones are forgotten first.
+/// The maximum number of control nodes that are remembered as connection candidates. Those whose last listing is the
+/// longest ago are forgotten first.
 const MAX_KNOWN_CONTROL_NODES: usize = 64;
 
-/// What a control node sent.
+/// A message from the control node in session.
 #[derive(Debug)]
 pub enum Event {
-    /// A heartbeat of the control node in session.
+    /// A heartbeat.
     Heartbeat {
         /// The heartbeat.
         heartbeat: Heartbeat,
-        /// When the session heartbeat was sent that this one answers, in seconds; `None` where it answers none. Only an
-        /// answer confirms anything: its age is then known.
+        /// The time in seconds at which the session heartbeat was sent that this one answers; `None` if it answers
+        /// none. Only an answer confirms anything, since only the age of an answer is known.
         requested_at: Option<f64>,
     },
     /// A part of the state that was missing or outdated here.
@@ -37,35 +39,40 @@
 }
 
 /// What a data node knows of the fleet. Times are seconds on its monotonic clock.
+///
+/// Invariant: an update keeps the confirmation of the version before it. That is safe because updates only lead to
+/// newer versions. A quorum confirmed the earlier version as the newest one at some time; a newer version was chosen
+/// after that time, so it was replaced, if at all, later still. It is therefore at most as outdated as the confirmed
+/// version may be.
 pub struct FleetView {
-    /// How long a confirmation by a quorum is valid, in seconds.
-    lease: f64,
+    /// Seconds for which a confirmation by a quorum is valid.
+    confirmation_lifetime: f64,
     /// The newest configuration received, in force or not.
     configuration: Option<Rc<Configuration>>,
-    /// Whether `configuration` is in force. Before a quorum confirms one within the lease, it may have been replaced long
-    /// ago, and the evacuated zones may be others.
+    /// Whether `configuration` is in force. Before the first confirmation it may have been replaced long ago, and other
+    /// zones may be evacuated by now.
     in_force: bool,
-    /// Text of `configuration`, which the next one may be a patch against.
+    /// Text of `configuration`, the base of the patch to the next one.
     configuration_text: Vec<u8>,
-    /// Bytes of the list of hosts, which the next one may be a patch against.
+    /// The encoded host list, the base of the patch to the next one.
     host_list: Vec<u8>,
-    /// Until when the configuration is confirmed.
+    /// The time at which the confirmation expires.
     confirmed_until: f64,
     versions: VersionVector,
     leases: Vec<LeaseGrant>,
     control_nodes: Vec<ControlNode>,
-    /// Control nodes that were ever listed, those listed last at the end.
+    /// All control nodes that were ever listed, the most recently listed ones at the end.
     known_control_nodes: Vec<NodeId>,
     data_nodes: Vec<NodeId>,
-    /// Cluster clock less the own one, in seconds.
+    /// Cluster clock minus local clock, in seconds.
     clock_offset: f64,
 }
 
 impl FleetView {
-    /// An empty view. `lease` is how long a quorum's confirmation of a configuration is valid, in seconds.
-    pub fn new(lease: f64) -> FleetView {
+    /// Creates an empty view. A quorum's confirmation of a configuration is valid for `confirmation_lifetime` seconds.
+    pub fn new(confirmation_lifetime: f64) -> FleetView {
         FleetView {
-            lease,
+            confirmation_lifetime,
             configuration: None,
             in_force: false,
             configuration_text: Vec::new(),
@@ -90,49 +97,50 @@
         }
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub fn configuration(&self) -> Option<Rc<Configuration>> {
         self.configuration.clone().filter(|_| self.in_force)
     }
 
-    /// How long a quorum's confirmation is valid, in seconds.
-    pub fn lease(&self) -> f64 {
-        self.lease
+    /// Returns the seconds for which a quorum's confirmation is valid.
+    pub fn confirmation_lifetime(&self) -> f64 {
+        self.confirmation_lifetime
     }
 
-    /// Whether a quorum confirmed, within the lease, that the configuration present here is the newest. Keyed requests may
+    /// Returns whether an unexpired confirmation by a quorum covers the configuration present here. Keyed requests may
     /// be served only then.
     pub fn is_confirmed(&self, now: f64) -> bool {
         now < self.confirmed_until
     }
 
-    /// The versions present here, by which a control node finds what is missing.
+    /// Returns the versions present here, from which a control node determines what is missing.
     pub fn versions(&self) -> &VersionVector {
         &self.versions
     }
 
-    /// The newest known lease of each singleton role.
+    /// Returns the newest known lease of each singleton role.
     pub fn leases(&self) -> &[LeaseGrant] {
         &self.leases
     }
 
-    /// The control nodes, as the control node in session listed them last.
+    /// Returns the control nodes that the control node in session listed last.
     pub fn control_nodes(&self) -> &[ControlNode] {
         &self.control_nodes
     }
 
-    /// Control nodes that were ever listed and may still exist. The list of a control node that has just started, or is
-    /// partitioned, lacks others.
+    /// Returns the control nodes that were ever listed, up to a limit. The list of a control node that has just started
+    /// or is partitioned lacks other nodes, so the last list alone is not enough to find another control node.
     pub fn known_control_nodes(&self) -> &[NodeId] {
         &self.known_control_nodes
     }
 
-    /// All data nodes that may be at work, this one included, in ascending order; empty where not known yet.
+    /// Returns all data nodes that are possibly active, including this one, in ascending order; empty if they are not
+    /// known yet.
     pub fn data_nodes(&self) -> &[NodeId] {
         &self.data_nodes
     }
 
-    /// Holder of the lease of the quota counter, and the lease's term.
+    /// Returns the holder of the quota counter's lease, and the term of that lease.
     pub fn counter_holder(&self) -> Option<(NodeId, u64)> {
         self.leases
             .iter()
@@ -140,25 +148,25 @@
             .map(|lease| (lease.holder, lease.term))
     }
 
-    /// The cluster clock at the own time `now`, in seconds.
+    /// Returns the cluster clock at the local time `now`, in seconds.
     pub fn cluster_clock(&self, now: f64) -> f64 {
         now + self.clock_offset
     }
 
-    /// Takes up a reading of the cluster clock from elsewhere. The clock only goes forward; a reading that is not finite is
-    /// ignored.
+    /// Advances the cluster clock to another node's reading of it, if that is ahead. The clock never goes back; a
+    /// reading that is not finite is ignored.
     pub fn observe_clock(&mut self, now: f64, clock: f64) {
         if clock.is_finite() {
             self.clock_offset = self.clock_offset.max(clock - now);
         }
     }
 
-    /// How far the cluster clock is ahead of the own one, in seconds.
+    /// Returns the cluster clock minus the local clock, in seconds.
     pub fn clock_offset(&self) -> f64 {
         self.clock_offset
     }
 
-    /// Whether `remote` has a version of anything that is missing here.
+    /// Returns whether `remote` has versions that are missing here.
     pub fn is_behind(&self, remote: &VersionVector) -> bool {
         let local = &self.versions;
         remote.configuration > local.configuration
@@ -183,7 +191,7 @@
         changes
     }
 
-    /// Takes up the leases with a newer term than the known ones.
+    /// Records the leases whose term is newer than that of the known lease of the role.
     fn apply_leases(&mut self, leases: &[LeaseGrant]) -> Vec<ViewChange> {
         let mut changes = Vec::new();
         for lease in leases {
@@ -197,8 +205,9 @@
         changes
     }
 
-    /// Extends the confirmation where the heartbeat confirms just what is present here; anything newer has to be requested
-    /// first. The lease counts from when the quorum was asked, which was no earlier than `requested_at` less the age.
+    /// Extends the confirmation if the heartbeat confirms what is present here; a newer version has to be requested
+    /// first. The lifetime counts from the time at which the quorum read began, which was no earlier than
+    /// `requested_at` minus the age.
     fn apply_confirmation(
         &mut self,
         now: f64,
@@ -210,11 +219,12 @@
             remote.configuration == local.configuration && remote.evacuations <= local.evacuations;
         let age = heartbeat.confirmed_age.filter(|_| is_present)?;
         let was_confirmed = self.is_confirmed(now);
-        self.confirmed_until = self.confirmed_until.max(requested_at? - age.max(0.0) + self.lease);
+        self.confirmed_until =
+            self.confirmed_until.max(requested_at? - age.max(0.0) + self.confirmation_lifetime);
         (was_confirmed != self.is_confirmed(now)).then_some(ViewChange::ConfirmationChanged)
     }
 
-    /// The change to the configuration that is present, where it is in force or a confirmation puts it in force now.
+    /// Puts the present configuration in force if it is confirmed. Returns the change to it if it is in force now.
     fn configuration_change(&mut self, now: f64) -> Option<ViewChange> {
         let configuration = self.configuration.clone()?;
         self.in_force |= self.is_confirmed(now);
--- a/crates/control-client/src/fleet_view/updates.rs
+++ b/crates/control-client/src/fleet_view/updates.rs
@@ -1,4 +1,4 @@
-//! State updates applied to a fleet view. An update that is not newer than what is present changes nothing.
+//! Application of state updates to a fleet view. An update that is not newer than what is present changes nothing.
 
 use super::{FleetView, InvalidUpdate, MAX_KNOWN_CONTROL_NODES, ViewChange};
 use archlink_config::Configuration;
@@ -8,18 +8,18 @@
 use std::io;
 use std::rc::Rc;
 
-/// `base` of a configuration that is packed against no other.
+/// The `base` of a complete configuration, which is not compressed against another one.
 const NO_BASE: u64 = 0;
-/// Version of a list of hosts that is not present.
+/// The revision that stands for no host list in a version vector.
 const NO_HOST_LIST: (u64, u64) = (0, 0);
 
 impl FleetView {
     pub(super) fn apply_update(&mut self, now: f64, update: StateUpdate) -> Option<ViewChange> {
         match update {
-            StateUpdate::ConfigurationPatch { ordering_key: stamp, base, patch: packed }
-                if stamp > self.versions.configuration =>
+            StateUpdate::ConfigurationPatch { ordering_key, base, patch }
+                if ordering_key > self.versions.configuration =>
             {
-                self.patch_configuration(now, stamp, base, &packed)
+                self.patch_configuration(now, ordering_key, base, &patch)
             }
             StateUpdate::Chosen(Register::Evacuations, accepted)
                 if accepted.ordering_key() > self.versions.evacuations =>
@@ -31,12 +31,12 @@
                 (self.host_list, self.versions.hosts) = (hosts.to_bytes(), hosts.revision());
                 Some(ViewChange::HostList(hosts))
             }
-            // A patch against another list than the present one was made for an earlier request: the next heartbeat has the
-            // list requested again.
-            StateUpdate::HostListPatch { revision: stamp, base, patch: packed }
-                if stamp > self.versions.hosts && base == self.versions.hosts =>
+            // A patch against another list than the present one was made for an earlier request; the list is requested
+            // again on the next heartbeat.
+            StateUpdate::HostListPatch { revision, base, patch }
+                if revision > self.versions.hosts && base == self.versions.hosts =>
             {
-                Some(self.patch_hosts(stamp, &packed))
+                Some(self.patch_host_list(revision, &patch))
             }
             StateUpdate::ControlNodes(control_nodes) => Some(self.set_control_nodes(control_nodes)),
             StateUpdate::DataNodes(data_nodes) => Some(self.set_data_nodes(data_nodes)),
@@ -44,42 +44,43 @@
         }
     }
 
-    /// Unpacks, parses and takes up a configuration. `base` is the version that it is packed against.
+    /// Decompresses and parses a configuration and replaces the present one. `base` is the ordering key of the
+    /// configuration that the patch is compressed against.
     fn patch_configuration(
         &mut self,
         now: f64,
-        version: u64,
+        ordering_key: u64,
         base: u64,
-        packed: &[u8],
+        patch: &[u8],
     ) -> Option<ViewChange> {
         if base != NO_BASE && base != self.versions.configuration {
-            // Made for the version of an earlier request: the next heartbeat has it requested again.
+            // Made for an earlier request; the configuration is requested again on the next heartbeat.
             return None;
         }
         let base_text: &[u8] = if base == NO_BASE { b"" } else { &self.configuration_text };
-        let text = match patch::decompress(packed, base_text) {
+        let text = match patch::decompress(patch, base_text) {
             Ok(text) => text,
-            Err(e) => return Some(InvalidUpdate::PackedConfiguration(e.to_string()).into()),
+            Err(error) => return Some(InvalidUpdate::ConfigurationPatch(error.to_string()).into()),
         };
         match Configuration::read(&text) {
             Ok(configuration) => {
                 self.configuration_text = text;
-                self.versions.configuration = version;
+                self.versions.configuration = ordering_key;
                 self.configuration = Some(Rc::new(configuration));
                 self.configuration_change(now)
             }
-            Err(e) => Some(InvalidUpdate::Configuration(e.current_context().clone()).into()),
+            Err(report) => Some(InvalidUpdate::Configuration(report.current_context().clone()).into()),
         }
     }
 
-    /// Unpacks and takes up a list of hosts that is packed against the present one.
-    fn patch_hosts(&mut self, version: (u64, u64), packed: &[u8]) -> ViewChange {
-        match self.unpack_hosts(packed) {
-            Ok((hosts, bytes)) if hosts.revision() == version => {
-                (self.host_list, self.versions.hosts) = (bytes, version);
+    /// Replaces the host list by the one that results from a patch against it.
+    fn patch_host_list(&mut self, revision: (u64, u64), patch: &[u8]) -> ViewChange {
+        match self.decompress_host_list(patch) {
+            Ok((hosts, bytes)) if hosts.revision() == revision => {
+                (self.host_list, self.versions.hosts) = (bytes, revision);
                 ViewChange::HostList(hosts)
             }
-            // Without a version the whole list is requested.
+            // Without a revision here, the complete list is requested.
             _ => {
                 self.versions.hosts = NO_HOST_LIST;
                 InvalidUpdate::HostListPatch.into()
@@ -87,9 +88,9 @@
         }
     }
 
-    /// A list of hosts and its bytes.
-    fn unpack_hosts(&self, packed: &[u8]) -> io::Result<(HostList, Vec<u8>)> {
-        let bytes = patch::decompress(packed, &self.host_list)?;
+    /// Returns the host list that results from a patch against the present one, and its encoding.
+    fn decompress_host_list(&self, patch: &[u8]) -> io::Result<(HostList, Vec<u8>)> {
+        let bytes = patch::decompress(patch, &self.host_list)?;
         Ok((HostList::from_bytes(&bytes)?, bytes))
     }
 
--- a/crates/control-client/src/fleet_view/view_change.rs
+++ b/crates/control-client/src/fleet_view/view_change.rs
@@ -1,4 +1,4 @@
-//! What an event changed in a fleet view, for those who act on it.
+//! The changes that an event makes to a fleet view, for the code that acts on them.
 
 use archlink_config::{ConfigError, Configuration};
 use archlink_messages::HostList;
@@ -6,14 +6,14 @@
 use std::fmt;
 use std::rc::Rc;
 
-/// What an event changed in a fleet view.
+/// A change that an event made to a fleet view.
 #[derive(Clone, Debug)]
 pub enum ViewChange {
     /// This configuration is in force.
     Configuration(Rc<Configuration>),
     /// These zones are evacuated.
     EvacuatedZones(BTreeSet<String>),
-    /// These are the hosts.
+    /// This is the host list.
     HostList(HostList),
     /// The set of data nodes changed.
     DataNodes,
@@ -21,14 +21,14 @@
     ControlNodes,
     /// A singleton role has a new lease.
     Leases,
-    /// `FleetView::is_confirmed` changed.
+    /// The result of `FleetView::is_confirmed` changed.
     ConfirmationChanged,
-    /// An update can't be used.
+    /// An update was rejected.
     InvalidUpdate(InvalidUpdate),
 }
 
 impl ViewChange {
-    /// The change as one line for the log.
+    /// Describes the change in one line for the log.
     pub fn describe(&self) -> String {
         match self {
             ViewChange::Configuration(configuration) => {
@@ -53,14 +53,14 @@
     }
 }
 
-/// Why an update can't be used. The view keeps what it has.
+/// Why an update was rejected. The view keeps its state.
 #[derive(Clone, Debug)]
 pub enum InvalidUpdate {
-    /// The patch for the list of hosts is damaged or yields another version; the whole list is requested.
+    /// The patch of the host list is damaged or results in another revision; the complete list is requested.
     HostListPatch,
-    /// The configuration can't be unpacked, for this reason.
-    PackedConfiguration(String),
-    /// The configuration is not valid, though control nodes chose it.
+    /// The configuration can't be decompressed, for this reason.
+    ConfigurationPatch(String),
+    /// The configuration is not valid, although it was chosen by the control nodes.
     Configuration(ConfigError),
 }
 
@@ -68,13 +68,13 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             InvalidUpdate::HostListPatch => {
-                f.write_str("a change of the list of hosts can't be read; the whole is asked for")
+                f.write_str("the host list patch can't be applied; the complete list is requested")
             }
-            InvalidUpdate::PackedConfiguration(reason) => {
-                write!(f, "a configuration can't be unpacked: {reason}")
+            InvalidUpdate::ConfigurationPatch(reason) => {
+                write!(f, "the configuration can't be decompressed: {reason}")
             }
             InvalidUpdate::Configuration(error) => {
-                write!(f, "a configuration that was chosen can't be read: {error}")
+                write!(f, "the chosen configuration is not valid: {error}")
             }
         }
     }
--- a/crates/control-client/src/session.rs
+++ b/crates/control-client/src/session.rs
@@ -1,10 +1,10 @@
-//! A data node's session with a control node: which one to call, when to send heartbeats, what to request, and when to
-//! leave it for another.
+//! A data node's session with a control node: which one to connect to, when to send heartbeats, what to request, and
+//! when to switch to another control node.
 //!
 //! Invariants:
-//! - At most one request for updates is on its way; it counts as lost after 1 s.
-//! - A session ends once its control node doesn't answer, or itself has no quorum, early enough for the next control node
-//!   to confirm the configuration before the lease expires.
+//! - At most one update request is in flight; it counts as lost after 1 s.
+//! - If the control node doesn't answer or has no quorum contact, the session ends early enough for the next control node
+//!   to renew the confirmation of the configuration before it expires.
 
 mod candidates;
 mod end_reason;
@@ -20,12 +20,12 @@
 
 // All times and durations are in seconds.
 
-/// Between the end of a session and the next call.
+/// Delay between the end of a session and the next connection attempt.
 const RECONNECT_DELAY: f64 = 0.1;
-/// Delay of a heartbeat that carries a change, so that changes at the same time share one.
+/// Delay of a heartbeat that carries a change, so that simultaneous changes share one heartbeat.
 const COALESCING_DELAY: f64 = 0.02;
 
-/// What the driver is to do.
+/// An action that the driver has to perform.
 #[derive(Clone, Debug)]
 pub enum SessionAction {
     /// Open a connection to this control node, and report the result to [`Session::connected`].
@@ -38,46 +38,47 @@
     Warn(SessionEnded),
 }
 
-/// A data node's place, and the control nodes that its settings name.
+/// A data node's identity and location, and the control nodes in its settings.
 #[derive(Clone, Debug)]
 pub struct LocalNode {
-    /// Number of this data node.
+    /// Id of this data node.
     pub node: NodeId,
     /// Its zone.
     pub zone: String,
     /// Its region.
     pub region: String,
-    /// Control nodes to call where no others are known.
+    /// Control nodes to connect to if no others are known.
     pub seeds: Vec<NodeId>,
 }
 
 enum Phase {
-    /// Without a connection, until `reconnect_at`.
+    /// There is no connection. The next attempt is due at `reconnect_at`.
     Idle {
         reconnect_at: f64,
     },
-    /// The driver opens a connection.
+    /// The driver is opening a connection.
     Connecting(Candidate),
     Established(Box<EstablishedSession>),
 }
 
-/// A data node's session with a control node, or its search for one. Times are seconds on the monotonic clock.
+/// A data node's session with a control node, or its attempts to establish one. Times are seconds on the monotonic
+/// clock.
 pub struct Session {
     local: LocalNode,
     phase: Phase,
-    /// When a session or call last failed, for each control node.
+    /// When a session or connection attempt last failed, for each control node.
     failed_at: HashMap<NodeId, f64>,
     last_serial: u64,
 }
 
 impl Session {
-    /// Without a connection; the first [`Session::tick`] calls a control node.
+    /// Creates a session without a connection; the first [`Session::tick`] connects to a control node.
     pub fn new(local: LocalNode) -> Session {
         let phase = Phase::Idle { reconnect_at: f64::NEG_INFINITY };
         Session { local, phase, failed_at: HashMap::new(), last_serial: 0 }
     }
 
-    /// When to call [`Session::tick`]; infinity while the driver opens a connection.
+    /// Returns the time at which to call [`Session::tick`]; infinity while the driver is opening a connection.
     pub fn wake_at(&self) -> f64 {
         match &self.phase {
             Phase::Idle { reconnect_at } => *reconnect_at,
@@ -86,7 +87,7 @@
         }
     }
 
-    /// The control node in session.
+    /// Returns the control node in session.
     pub fn peer(&self) -> Option<NodeId> {
         match &self.phase {
             Phase::Established(established) => Some(established.peer.node),
@@ -94,19 +95,19 @@
         }
     }
 
-    /// Replaces the seed nodes, as the settings file names others by now.
+    /// Replaces the seed nodes after the settings file was reloaded.
     pub fn set_seeds(&mut self, seeds: Vec<NodeId>) {
         self.local.seeds = seeds;
     }
 
-    /// Sends the next heartbeat soon: what it carries has changed.
+    /// Schedules the next heartbeat within the coalescing delay, since its content has changed.
     pub fn heartbeat_soon(&mut self, now: f64) {
         if let Phase::Established(established) = &mut self.phase {
             established.next_heartbeat_at = established.next_heartbeat_at.min(now + COALESCING_DELAY);
         }
     }
 
-    /// Reports the result of [`SessionAction::Connect`]; an error is the reason for the log.
+    /// Handles the result of [`SessionAction::Connect`]; the error is the reason that is logged.
     pub fn connected(&mut self, now: f64, result: Result<(), String>) -> Vec<SessionAction> {
         let Phase::Connecting(candidate) = self.phase else { return Vec::new() };
         if let Err(reason) = result {
@@ -116,7 +117,7 @@
         Vec::new()
     }
 
-    /// Reports that the connection ended, with the reason for the log.
+    /// Handles the loss of the connection; `reason` is logged.
     pub fn connection_lost(&mut self, now: f64, reason: &str) -> Vec<SessionAction> {
         match self.peer() {
             Some(peer) => self.end(now, peer, EndReason::Connection(reason.to_string())),
@@ -124,7 +125,7 @@
         }
     }
 
-    /// Takes up a message of the control node; returns what to do, and what changed in `view`.
+    /// Handles a message from the control node. Returns the actions to perform and the changes to `view`.
     pub fn step(
         &mut self,
         now: f64,
@@ -139,7 +140,8 @@
         }
     }
 
-    /// Does what is due: a call, a heartbeat, or the end of the session. `data_node` describes this node for a heartbeat.
+    /// Performs what is due: a connection attempt, a heartbeat, or the end of the session. `data_node` returns the
+    /// description of this node that a heartbeat carries.
     pub fn tick(
         &mut self,
         now: f64,
@@ -156,7 +158,7 @@
         }
     }
 
-    /// Calls the first candidate.
+    /// Connects to the first candidate.
     fn connect(&mut self, now: f64, view: &FleetView) -> Vec<SessionAction> {
         let Some(candidate) = self.first_candidate(now, view) else {
             self.phase = Phase::Idle { reconnect_at: now + RECONNECT_DELAY };
@@ -175,11 +177,11 @@
     ) -> Vec<SessionAction> {
         let nearest = self.first_candidate(now, view).map(|candidate| candidate.distance);
         let Phase::Established(established) = &mut self.phase else { return Vec::new() };
-        if let Some(reason) = established.failure(now, view.lease()) {
+        if let Some(reason) = established.failure(now, view.confirmation_lifetime()) {
             let peer = established.peer.node;
             return self.end(now, peer, reason);
         }
-        if established.yields_to(now, nearest) {
+        if established.should_leave_for(now, nearest) {
             self.phase = Phase::Idle { reconnect_at: now };
             return vec![SessionAction::Disconnect];
         }
@@ -193,10 +195,12 @@
         })]
     }
 
+    /// Returns the control node to connect to next.
     fn first_candidate(&self, now: f64, view: &FleetView) -> Option<Candidate> {
         sorted_candidates(now, &self.local, view, &self.failed_at).first().copied()
     }
 
+    /// Ends the session or connection attempt after a failure of the control node.
     fn end(&mut self, now: f64, peer: NodeId, reason: EndReason) -> Vec<SessionAction> {
         self.failed_at.insert(peer, now);
         self.phase = Phase::Idle { reconnect_at: now + RECONNECT_DELAY };
--- a/crates/control-client/src/session/candidates.rs
+++ b/crates/control-client/src/session/candidates.rs
@@ -1,4 +1,4 @@
-//! The control nodes that a data node may call, in the order in which it calls them.
+//! The control nodes that a data node may connect to, in order of preference.
 
 use super::LocalNode;
 use crate::fleet_view::FleetView;
@@ -6,22 +6,23 @@
 use std::cmp::Ordering;
 use std::collections::HashMap;
 
-/// How long a control node that failed is called after all others, in seconds.
+/// Seconds after a failure during which a control node is tried after all others.
 const FAILURE_BACKOFF: f64 = 5.0;
-/// Multiplier of a multiplicative hash (2^32 divided by the golden ratio).
+/// Multiplier of Fibonacci hashing: 2^32 divided by the golden ratio.
 const HASH_MULTIPLIER: u32 = 0x9e37_79b9;
 
-/// How far a control node is, the nearest first.
+/// The distance to a control node, the nearest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Distance {
     SameZone,
     SameRegion,
     OtherRegion,
-    /// Only its address is known.
+    /// Only the address is known.
     Unknown,
 }
 
 impl Distance {
+    /// Returns the distance from a data node to a control node.
     fn between(local: &LocalNode, remote: &ControlNode) -> Distance {
         if remote.zone == local.zone {
             Distance::SameZone
@@ -33,17 +34,17 @@
     }
 }
 
-/// A control node that may be called.
+/// A control node that a data node may connect to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Candidate {
     pub node: NodeId,
     pub distance: Distance,
 }
 
-/// All control nodes that are known, the one to call first at the front.
+/// Returns all known control nodes in the order in which to try them.
 ///
-/// Those that failed lately come last, the one that failed longest ago first: otherwise the nearest would be called over
-/// and over, and a partitioned control node lists no other, so that it is the nearest.
+/// Those with a recent failure come last, the one that failed longest ago first. Otherwise the nearest one would be
+/// tried over and over; a partitioned control node lists only itself, so it is the nearest one.
 pub fn sorted_candidates(
     now: f64,
     local: &LocalNode,
@@ -51,18 +52,18 @@
     failed_at: &HashMap<NodeId, f64>,
 ) -> Vec<Candidate> {
     let mut candidates = known_candidates(local, view);
-    // Among equals each data node has an order of its own, so that they don't all call the same one.
+    // Each data node has its own order among equally distant ones, so that not all connect to the same one.
     let hash = |node: NodeId| (node ^ local.node).wrapping_mul(HASH_MULTIPLIER);
     candidates.sort_by_key(|candidate| (candidate.distance, hash(candidate.node)));
     let recent_failure = |candidate: &Candidate| {
-        failed_at.get(&candidate.node).copied().filter(|at| now < *at + FAILURE_BACKOFF)
+        failed_at.get(&candidate.node).copied().filter(|failed_at| now < *failed_at + FAILURE_BACKOFF)
     };
-    // The sort is stable: those without a recent failure stay in the order above.
+    // The sort is stable: candidates without a recent failure keep the order above.
     candidates.sort_by(|a, b| recent_failure(a).partial_cmp(&recent_failure(b)).unwrap_or(Ordering::Equal));
     candidates
 }
 
-/// The listed control nodes; then seeds and those listed earlier, of which only the address is known.
+/// Returns the listed control nodes, then the seeds and those listed earlier, of which only the address is known.
 fn known_candidates(local: &LocalNode, view: &FleetView) -> Vec<Candidate> {
     let mut candidates: Vec<Candidate> = view
         .control_nodes()
--- a/crates/control-client/src/session/end_reason.rs
+++ b/crates/control-client/src/session/end_reason.rs
@@ -1,10 +1,10 @@
-//! Why a session ended, as the log says it.
+//! Why a session ended, and the texts for it in the log.
 
 use archlink_messages::NodeId;
 use std::fmt;
 use std::net::Ipv4Addr;
 
-/// A session ended, or a call for one failed. Displays as `session with ADDRESS ended: REASON`.
+/// The end of a session, or a failed attempt to open one. Displays as `session with ADDRESS ended: REASON`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SessionEnded {
     /// The control node.
@@ -13,14 +13,14 @@
     pub reason: EndReason,
 }
 
-/// Why a session ended. Operators find the texts in the on-call page.
+/// Why a session ended. The on-call page lists the displayed texts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EndReason {
-    /// The control node answered no heartbeat for too long.
+    /// The control node answered no heartbeat within the timeout.
     AnswerTimeout,
-    /// No quorum answered the control node for too long.
+    /// The control node had no quorum contact within the timeout.
     NoQuorum,
-    /// The connection failed or was not opened, for this reason.
+    /// The connection was lost or could not be opened, for this reason.
     Connection(String),
 }
 
--- a/crates/control-client/src/session/established.rs
+++ b/crates/control-client/src/session/established.rs
@@ -1,4 +1,4 @@
-//! An established session: heartbeats and their answers, requests for updates, and whether the control node has to be left.
+//! An established session: heartbeats and their answers, update requests, and whether to leave the control node.
 
 use super::SessionAction;
 use super::candidates::{Candidate, Distance};
@@ -9,44 +9,44 @@
 
 // All times and durations are in seconds.
 
-/// Between two heartbeats.
+/// Interval between two heartbeats.
 const HEARTBEAT_INTERVAL: f64 = 0.4;
-/// Without an answer for so long, three heartbeats, the control node is left.
+/// The session ends if no answer came for this long, which covers three heartbeats.
 const ANSWER_TIMEOUT: f64 = 1.3;
-/// A control node without a quorum for so long is partitioned itself: another may not be. Slow disks at a majority delay
-/// the quorum's answers by less.
+/// A control node without quorum contact for this long is partitioned; another one may not be. Slow disks at a majority
+/// of the voters delay the quorum's answers by less.
 const QUORUM_TIMEOUT: f64 = 2.5;
-/// Least lease that is left when a control node without a quorum is given up: the next one may be unreachable, or
-/// partitioned too and not answering.
-const MIN_REMAINING_LEASE: f64 = 1.8;
-/// Until a request for updates that was not answered is sent again.
+/// The least remaining lifetime of the confirmation when a control node without quorum contact is left: the next
+/// control node may be unreachable, or also partitioned and not answering.
+const MIN_REMAINING_CONFIRMATION: f64 = 1.8;
+/// An update request that was not answered within this time is sent again.
 const UPDATE_REQUEST_TIMEOUT: f64 = 1.0;
-/// Between a configuration and the request for the next one. Parsing a large one takes a small machine's time from its
-/// requests, and of several in quick succession only the last one matters.
+/// Delay between a configuration and the request for the next one. Parsing a large configuration takes processor time
+/// from requests on a small machine, and of several configurations in quick succession only the last one matters.
 const CONFIGURATION_INTERVAL: f64 = 0.4;
 /// How long a session with a farther control node lasts before a nearer one is tried again.
 const NEARER_NODE_INTERVAL: f64 = 10.0;
 
-/// The session with one control node, from when the connection is open. Times are seconds on the monotonic clock.
+/// The session with one control node while the connection is open. Times are seconds on the monotonic clock.
 pub struct EstablishedSession {
     /// The control node.
     pub peer: Candidate,
     established_at: f64,
     last_answer_at: f64,
-    /// When a quorum last answered the control node.
+    /// The time of the control node's last known quorum contact.
     last_quorum_at: f64,
-    /// When updates were requested that have not arrived yet.
+    /// The time of the update request in flight; negative infinity if there is none.
     update_requested_at: f64,
-    /// No updates are requested before.
+    /// The earliest time of the next update request.
     next_request_at: f64,
-    /// Heartbeats that are not answered yet: serial and time sent.
+    /// The times at which the heartbeats without an answer were sent, by serial.
     unanswered: HashMap<u64, f64>,
-    /// When the next heartbeat is due.
+    /// The time at which the next heartbeat is due.
     pub next_heartbeat_at: f64,
 }
 
 impl EstablishedSession {
-    /// A session whose first heartbeat is due now.
+    /// Creates a session whose first heartbeat is due now.
     pub fn new(now: f64, peer: Candidate) -> EstablishedSession {
         EstablishedSession {
             peer,
@@ -60,13 +60,13 @@
         }
     }
 
-    /// Takes note of a heartbeat that was sent with this serial.
+    /// Records that a heartbeat with this serial was sent.
     pub fn heartbeat_sent(&mut self, now: f64, serial: u64) {
         self.unanswered.insert(serial, now);
         self.next_heartbeat_at = now + HEARTBEAT_INTERVAL;
     }
 
-    /// Takes up a heartbeat of the control node, and requests what is missing.
+    /// Handles a heartbeat of the control node, and requests updates if versions are missing.
     pub fn receive_heartbeat(
         &mut self,
         now: f64,
@@ -90,12 +90,13 @@
         (Vec::new(), changes)
     }
 
-    /// Whether no request is on its way; on a slow link a second one would have the answer sent twice.
+    /// Returns whether updates may be requested now: no request is in flight, since on a slow link a second one would
+    /// have the updates sent twice, and the delay after the last configuration has passed.
     fn may_request_updates(&self, now: f64) -> bool {
         now > self.update_requested_at + UPDATE_REQUEST_TIMEOUT && now >= self.next_request_at
     }
 
-    /// Takes up the updates that were requested.
+    /// Handles the updates that were requested.
     pub fn receive_updates(
         &mut self,
         now: f64,
@@ -103,7 +104,7 @@
         view: &mut FleetView,
     ) -> Vec<ViewChange> {
         self.update_requested_at = f64::NEG_INFINITY;
-        // What the control node confirms may be present here only now.
+        // The versions that the control node confirms may be present here only now: ask for a confirmation of them.
         self.next_heartbeat_at = now;
         let changes: Vec<ViewChange> =
             updates.into_iter().flat_map(|update| view.append(now, Event::Update(update))).collect();
@@ -113,9 +114,10 @@
         changes
     }
 
-    /// Why the control node has to be left, if it has to.
-    pub fn failure(&self, now: f64, lease: f64) -> Option<EndReason> {
-        let quorum_timeout = QUORUM_TIMEOUT.min(lease - MIN_REMAINING_LEASE).max(HEARTBEAT_INTERVAL);
+    /// Returns the failure because of which the session has to end, if there is one.
+    pub fn failure(&self, now: f64, confirmation_lifetime: f64) -> Option<EndReason> {
+        let quorum_timeout =
+            QUORUM_TIMEOUT.min(confirmation_lifetime - MIN_REMAINING_CONFIRMATION).max(HEARTBEAT_INTERVAL);
         if now > self.last_answer_at + ANSWER_TIMEOUT {
             Some(EndReason::AnswerTimeout)
         } else if now > self.last_quorum_at + quorum_timeout {
@@ -125,8 +127,8 @@
         }
     }
 
-    /// Whether to leave for a control node at the distance `nearest`.
-    pub fn yields_to(&self, now: f64, nearest: Option<Distance>) -> bool {
+    /// Returns whether to leave for a control node at the distance `nearest`.
+    pub fn should_leave_for(&self, now: f64, nearest: Option<Distance>) -> bool {
         let is_nearer = nearest.is_some_and(|nearest| nearest < self.peer.distance);
         let is_due = now > self.established_at + NEARER_NODE_INTERVAL;
         is_nearer && (is_due || self.peer.distance == Distance::Unknown)
--- a/crates/control-client/tests/session.rs
+++ b/crates/control-client/tests/session.rs
@@ -1,4 +1,4 @@
-//! The session by itself: which control nodes are called, in which order, and what the log says of an end.
+//! Unit tests of the session: the order in which control nodes are tried, and the log line for the end of a session.
 
 use archlink_control_client::fleet_view::{Event, FleetView};
 use archlink_control_client::session::{EndReason, LocalNode, Session, SessionAction, SessionEnded};
@@ -10,51 +10,51 @@
     LocalNode { node, zone: "z".into(), region: "r".into(), seeds }
 }
 
-/// Guards against a data node that calls a partitioned control node over and over: where all have failed lately, the nearest
-/// came first, and a partitioned one lists itself alone, so that it is the only one whose zone is known.
+/// Guards against a data node that tries a partitioned control node over and over. When all had failed recently, the
+/// nearest came first; a partitioned one lists only itself, so it is the only one whose zone is known.
 #[test]
-fn control_nodes_that_all_failed_lately_are_called_in_turn() {
+fn control_nodes_that_all_failed_recently_are_tried_in_turn() {
     let mut view = FleetView::new(4.0);
     let operator_address = SocketAddrV4::new(2.into(), 80);
     let control_node = ControlNode { node: 2, zone: "z".into(), region: "r".into(), operator_address };
     view.append(0.0, Event::Update(StateUpdate::ControlNodes(vec![control_node])));
     let mut session = Session::new(local_node(9, vec![1, 2, 3, 4]));
-    let mut called = Vec::new();
+    let mut tried = Vec::new();
     for n in 0..60 {
         let now = f64::from(n) * 0.05;
-        let data_node = || unreachable!("nobody answers");
+        let data_node = || unreachable!("no control node answers");
         if let Some(SessionAction::Connect(node)) = session.tick(now, &view, data_node).pop() {
-            called.push(node);
+            tried.push(node);
             session.connected(now, Err("refused".into()));
         }
     }
-    assert!(called.len() > 12 && called[0] == 2, "{called:?}");
-    assert!(called.windows(4).all(|four| (1..=4).all(|node| four.contains(&node))), "{called:?}");
+    assert!(tried.len() > 12 && tried[0] == 2, "{tried:?}");
+    assert!(tried.windows(4).all(|four| (1..=4).all(|node| four.contains(&node))), "{tried:?}");
 }
 
-/// All control nodes that a data node knew were replaced while it was partitioned: it calls the seeds that its settings file
-/// names by then.
+/// After all control nodes that a data node knew were replaced while it was partitioned, it tries the seeds from the
+/// reloaded settings file.
 #[test]
-fn reloaded_seeds_are_called() {
+fn reloaded_seeds_are_tried() {
     let (mut session, view) = (Session::new(local_node(100, vec![1])), FleetView::new(3.0));
-    let mut called = BTreeSet::new();
+    let mut tried = BTreeSet::new();
     for n in 0..20 {
         let now = 0.5 * f64::from(n);
         if n == 10 {
-            assert_eq!(called, [1].into());
+            assert_eq!(tried, [1].into());
             session.set_seeds(vec![2, 3]);
         }
         for action in session.tick(now, &view, || unreachable!("no session")) {
             if let SessionAction::Connect(node) = action {
-                called.insert(node);
-                session.connected(now, Err("nobody there".into()));
+                tried.insert(node);
+                session.connected(now, Err("connection refused".into()));
             }
         }
     }
-    assert_eq!(called, [1, 2, 3].into());
+    assert_eq!(tried, [1, 2, 3].into());
 }
 
-/// The on-call page lists these lines.
+/// The on-call page lists these log lines.
 #[test]
 fn log_line_of_an_ended_session_names_the_control_node_and_the_reason() {
     let peer = u32::from(std::net::Ipv4Addr::new(10, 0, 0, 7));
--- a/crates/control-client/tests/simulated_fleet/mod.rs
+++ b/crates/control-client/tests/simulated_fleet/mod.rs
@@ -1,5 +1,5 @@
-//! Data nodes and six control nodes on a simulated network in simulated time. They run the cores of both programs; messages
-//! are counted in the bytes that they have when framed.
+//! Data nodes and six control nodes on a simulated network in simulated time. They run the state machines of both
+//! programs; traffic is counted in bytes of framed messages.
 #![allow(dead_code)]
 
 use archlink_consensus::proposer::Change;
@@ -16,26 +16,27 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
 
-/// Number of zones, in regions of three.
+/// The number of zones; each region has three.
 pub const ZONES: usize = 6;
-/// How long a quorum's confirmation is valid, in seconds.
-pub const LEASE: f64 = 4.3;
-/// Control nodes are numbered from 1 to this.
+/// Seconds for which a quorum's confirmation is valid.
+pub const CONFIRMATION_LIFETIME: f64 = 4.3;
+/// The highest id of a control node; the lowest is 1.
 pub const CONTROL_NODES: NodeId = 6;
-/// Data nodes are numbered from this on.
+/// The lowest id of a data node.
 pub const FIRST_DATA_NODE: NodeId = 100;
 /// Length of a step of the simulation, in seconds.
 const STEP: f64 = 0.01;
-/// Token of a proposal to evacuate a zone; those of configurations are their versions.
+/// Token of a proposal to evacuate a zone. A proposal of a configuration has its version as token.
 const EVACUATION_TOKEN: u64 = 1000;
-/// Least and additional random delay of a message, in seconds.
+/// The minimum delay of a message in seconds.
 const MIN_DELAY: f64 = 0.001;
+/// The maximum random delay of a message in addition to the minimum, in seconds.
 const RANDOM_DELAY: f64 = 0.012;
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
-/// Bytes of the length before each message.
+/// Bytes of the length prefix of a message.
 const LENGTH_PREFIX: usize = 4;
 
-/// Names of a zone and of its region.
+/// Returns the names of a zone and its region.
 pub fn zone(index: usize) -> (String, String) {
     (format!("z{index}"), format!("r{}", index / 3))
 }
@@ -43,7 +44,7 @@
 pub struct SimulatedControlNode {
     pub control: ControlNodeState,
     pub update_delivery: UpdateDelivery,
-    /// When each data node's session was last renewed.
+    /// The time at which each data node's session was last renewed.
     pub sessions: BTreeMap<NodeId, f64>,
 }
 
@@ -53,12 +54,12 @@
     pub zone: usize,
     /// The control node at the other end of its connection.
     pub connected_to: Option<NodeId>,
-    /// How many configurations it has parsed and put in force.
+    /// The number of configurations that it has parsed and put in force.
     pub configurations: usize,
     pub hosts: HostList,
 }
 
-/// A message on its way.
+/// A message in flight.
 pub struct InFlight {
     pub from: NodeId,
     pub to: NodeId,
@@ -71,15 +72,15 @@
     pub rng: oorandom::Rand64,
     pub control_nodes: BTreeMap<NodeId, SimulatedControlNode>,
     pub data_nodes: BTreeMap<NodeId, SimulatedDataNode>,
-    /// By time of arrival in microseconds, then in the order of sending.
+    /// Messages by time of arrival in microseconds, then in the order of sending.
     pub in_flight: BTreeMap<(u64, u64), InFlight>,
     pub messages_sent: u64,
-    /// Bytes to and from each node.
+    /// Bytes sent and received by each node.
     pub bytes: BTreeMap<NodeId, usize>,
     pub outcomes: Vec<Outcome>,
-    /// Partitioned paths, each in one direction: messages are lost, and calls that need the path fail.
+    /// One-way links that lose all messages; connections between their ends can't be opened.
     pub partitions: BTreeSet<(NodeId, NodeId)>,
-    /// When each version was first acknowledged.
+    /// The time at which each version was first acknowledged.
     pub acknowledged_at: BTreeMap<u64, f64>,
     disks: BTreeMap<NodeId, BTreeMap<Register, AcceptorState>>,
 }
@@ -89,7 +90,7 @@
 }
 
 impl SimulatedFleet {
-    /// Six control nodes, of which the first three vote, and so many data nodes.
+    /// Starts six control nodes, of which the first three are voters, and `data_nodes` data nodes.
     pub fn new(data_nodes: usize) -> SimulatedFleet {
         let mut fleet = SimulatedFleet {
             now: 10.0,
@@ -111,7 +112,7 @@
         fleet
     }
 
-    /// Starts a control node, or restarts it, with what its disk has.
+    /// Starts or restarts a control node with the state on its disk.
     pub fn start_control_node(&mut self, node: NodeId) {
         let (zone, region) = zone(node as usize - 1);
         let operator_address = SocketAddrV4::new(node.into(), 80);
@@ -137,13 +138,13 @@
         }
     }
 
-    /// Starts a data node, or restarts it with nothing.
+    /// Starts or restarts a data node without any state.
     pub fn start_data_node(&mut self, node: NodeId) {
         let zone_index = node as usize % ZONES;
         let (zone, region) = zone(zone_index);
         let data_node = SimulatedDataNode {
             session: Session::new(LocalNode { node, zone, region, seeds: vec![1, 2, 3] }),
-            view: FleetView::new(LEASE),
+            view: FleetView::new(CONFIRMATION_LIFETIME),
             zone: zone_index,
             connected_to: None,
             configurations: 0,
@@ -173,7 +174,7 @@
         self.in_flight.insert((arrival, self.messages_sent), in_flight);
     }
 
-    /// Runs a step of a control node and performs its effects.
+    /// Runs a step of a control node and performs the effects.
     pub fn step_control_node(
         &mut self,
         node: NodeId,
@@ -195,9 +196,9 @@
             }
             Effect::Learned(Register::Configuration) => {
                 let control_node = self.control_nodes.get_mut(&node).unwrap();
-                let chosen = control_node.control.proposer.committed(Register::Configuration).unwrap();
-                let text = patch::decompress(&chosen.value, b"").unwrap();
-                control_node.update_delivery.configuration_learned(chosen.ordering_key(), text);
+                let committed = control_node.control.proposer.committed(Register::Configuration).unwrap();
+                let text = patch::decompress(&committed.value, b"").unwrap();
+                control_node.update_delivery.configuration_learned(committed.ordering_key(), text);
                 self.broadcast_heartbeat(node);
             }
             Effect::Learned(_) => self.broadcast_heartbeat(node),
@@ -210,7 +211,7 @@
         }
     }
 
-    /// A heartbeat to all sessions, as something changed.
+    /// Sends a heartbeat to all sessions, since state changed.
     fn broadcast_heartbeat(&mut self, node: NodeId) {
         let control_node = &self.control_nodes[&node];
         let heartbeat = control_node.control.heartbeat(self.now, 0);
@@ -294,7 +295,7 @@
         self.perform(node, actions);
     }
 
-    /// Runs the simulation for so many seconds.
+    /// Runs the simulation.
     pub fn run(&mut self, seconds: f64) {
         let end = self.now + seconds;
         while self.now < end {
@@ -308,7 +309,7 @@
         }
     }
 
-    /// Delivers the messages that have arrived by now.
+    /// Delivers the messages whose time of arrival has passed.
     fn deliver_messages(&mut self) {
         let now = (self.now * MICROSECONDS_PER_SECOND) as u64;
         let later = self.in_flight.split_off(&(now, u64::MAX));
@@ -333,44 +334,44 @@
         self.perform(node, actions);
     }
 
-    /// Proposes a configuration at a control node; returns the length of its packed text in bytes.
+    /// Proposes a configuration at a control node. Returns the length of its compressed text in bytes.
     pub fn propose_configuration(&mut self, node: NodeId, version: u64, routes: usize) -> usize {
         let text = configuration(version, routes);
-        let packed = Bytes::from(patch::compress(text.as_bytes(), b"").unwrap());
-        let length = packed.len();
+        let compressed = Bytes::from(patch::compress(text.as_bytes(), b"").unwrap());
+        let length = compressed.len();
         self.step_control_node(node, |control, now| {
             let digest = u128::from(version).to_be_bytes();
-            control.propose(now, Change::Configuration { version, digest, text: packed }, version)
+            control.propose(now, Change::Configuration { version, digest, text: compressed }, version)
         });
         length
     }
 
-    /// Partitions a node from others, or heals the partition, in each direction by itself.
+    /// Partitions a node from others, or heals the partition, separately for each direction.
     pub fn set_partitioned(
         &mut self,
         node: NodeId,
-        from: impl Iterator<Item = NodeId>,
+        others: impl Iterator<Item = NodeId>,
         outbound: bool,
         inbound: bool,
     ) {
-        for other in from.filter(|other| *other != node) {
-            for (path, is_partitioned) in [((node, other), outbound), ((other, node), inbound)] {
+        for other in others.filter(|other| *other != node) {
+            for (link, is_partitioned) in [((node, other), outbound), ((other, node), inbound)] {
                 if is_partitioned {
-                    self.partitions.insert(path);
+                    self.partitions.insert(link);
                 } else {
-                    self.partitions.remove(&path);
+                    self.partitions.remove(&link);
                 }
             }
         }
     }
 
-    /// Proposes at a control node that a zone is evacuated.
+    /// Proposes at a control node to evacuate a zone.
     pub fn propose_evacuation(&mut self, node: NodeId, zone: &str) {
         let change = Change::Evacuation { zone: zone.to_string(), on: true };
         self.step_control_node(node, |control, now| control.propose(now, change, EVACUATION_TOKEN));
     }
 
-    /// How many data nodes have this version of the configuration in force.
+    /// Returns the number of data nodes that have this configuration version in force.
     pub fn count_with_version(&self, version: u64) -> usize {
         let has_version = |data_node: &&SimulatedDataNode| {
             data_node.view.configuration().is_some_and(|configuration| configuration.version == version)
@@ -378,12 +379,12 @@
         self.data_nodes.values().filter(has_version).count()
     }
 
-    /// How many data nodes have a confirmed configuration.
+    /// Returns the number of data nodes with a confirmed configuration.
     pub fn count_confirmed(&self) -> usize {
         self.data_nodes.values().filter(|data_node| data_node.view.is_confirmed(self.now)).count()
     }
 
-    /// Number of sessions at each control node that has any.
+    /// Returns the number of sessions at each control node that has any.
     pub fn session_counts(&self) -> BTreeMap<NodeId, usize> {
         let mut counts = BTreeMap::new();
         for peer in self.data_nodes.values().filter_map(|data_node| data_node.session.peer()) {
@@ -393,7 +394,8 @@
     }
 }
 
-/// A configuration with so many routes, in which names look as little alike as the operators'.
+/// Returns a configuration with `routes` routes. Their names are as dissimilar as real ones, since that determines how
+/// well the text compresses.
 pub fn configuration(version: u64, routes: usize) -> String {
     let name = |n: usize| format!("{:06x}", (n as u64 + 7).wrapping_mul(0x9e37_79b9) & 0xff_ffff);
     let rows: Vec<String> = (0..routes)
@@ -409,7 +411,7 @@
     )
 }
 
-/// A list of so many hosts.
+/// Returns a list of `count` hosts.
 pub fn host_list(version: u64, count: usize) -> HostList {
     let instance = |n: usize| HostInstance {
         id: format!("i-{:010x}", n * 7919),
