--- a/crates/control-node/src/event.rs
+++ b/crates/control-node/src/event.rs
@@ -21,7 +21,7 @@
     /// Time passed: sessions and peers may have timed out.
     TimePassed {
         /// Whether this node receives heartbeats from a quorum of the voters.
-        contact: bool,
+        quorum_contact: bool,
     },
 }
 
--- a/crates/control-node/src/node.rs
+++ b/crates/control-node/src/node.rs
@@ -132,7 +132,7 @@
             effects.extend(self.leases.tick(now));
         }
         let quorum_contact = self.voter_set.has_quorum(|node| self.event_log.registry.is_alive(now, node));
-        let session_ended = self.event_log.append(now, Event::TimePassed { contact: quorum_contact });
+        let session_ended = self.event_log.append(now, Event::TimePassed { quorum_contact });
         let heartbeat_due = now >= self.last_heartbeat_at + HEARTBEAT;
         if session_ended || self.update_repair_state(now) || heartbeat_due {
             effects.extend(self.broadcast_heartbeat(now));
--- a/crates/control-node/src/registry.rs
+++ b/crates/control-node/src/registry.rs
@@ -115,7 +115,7 @@
                 session_sources.iter().for_each(|source| self.renew_possibly_active(now, *source));
                 false
             }
-            Event::TimePassed { contact } => self.expire(now, *contact),
+            Event::TimePassed { quorum_contact } => self.expire(now, *quorum_contact),
             Event::HostListChanged(_) => false,
         }
     }
--- a/crates/control-plane/src/tests/answers/queries.rs
+++ b/crates/control-plane/src/tests/answers/queries.rs
@@ -108,7 +108,7 @@
         (Event::PeerSessions(sessions), "10.0.0.2 has 1 sessions"),
         (Event::PeerHeartbeat(NODES[1], Vec::new()), "10.0.0.2 lives"),
         (Event::HostListChanged(hosts.clone()), "list 4.12 of 0 hosts"),
-        (Event::TimePassed { contact: true }, "a session fell silent"),
+        (Event::TimePassed { quorum_contact: true }, "a session fell silent"),
     ];
     for (event, line) in events {
         assert_eq!(event.describe(), line);
