--- a/crates/control-client/src/fleet_view.rs
+++ b/crates/control-client/src/fleet_view.rs
@@ -88,7 +88,7 @@
     }
 
     /// Applies an event and returns what it changed.
-    pub fn append(&mut self, now: f64, event: Event) -> Vec<ViewChange> {
+    pub fn apply(&mut self, now: f64, event: Event) -> Vec<ViewChange> {
         match event {
             Event::Heartbeat { heartbeat, requested_at } => {
                 self.apply_heartbeat(now, &heartbeat, requested_at)
--- a/crates/control-client/src/session/established.rs
+++ b/crates/control-client/src/session/established.rs
@@ -81,7 +81,7 @@
         let quorum_at = heartbeat.confirmed_age.map_or(f64::NEG_INFINITY, |age| now - age.max(0.0));
         self.last_quorum_at = self.last_quorum_at.max(quorum_at);
         let is_behind = view.is_behind(&heartbeat.versions);
-        let changes = view.append(now, Event::Heartbeat { heartbeat, requested_at });
+        let changes = view.apply(now, Event::Heartbeat { heartbeat, requested_at });
         if is_behind && self.may_request_updates(now) {
             self.update_requested_at = now;
             let request = Message::UpdateRequest(view.versions().clone());
@@ -107,7 +107,7 @@
         // The versions that the control node confirms may be present here only now: ask for a confirmation of them.
         self.next_heartbeat_at = now;
         let changes: Vec<ViewChange> =
-            updates.into_iter().flat_map(|update| view.append(now, Event::Update(update))).collect();
+            updates.into_iter().flat_map(|update| view.apply(now, Event::Update(update))).collect();
         if changes.iter().any(|change| matches!(change, ViewChange::Configuration(_))) {
             self.next_request_at = now + CONFIGURATION_INTERVAL;
         }
--- a/crates/control-client/tests/fleet_view.rs
+++ b/crates/control-client/tests/fleet_view.rs
@@ -61,16 +61,16 @@
     let mut view = FleetView::new(CONFIRMATION_LIFETIME);
     let confirm = |view: &mut FleetView, now: f64, configuration, evacuations| {
         let versions = VersionVector { configuration, evacuations, ..VersionVector::default() };
-        view.append(now, heartbeat(now, 1, 0.1, versions, Vec::new()));
+        view.apply(now, heartbeat(now, 1, 0.1, versions, Vec::new()));
         view.is_confirmed(now)
     };
-    assert!(view.append(1.0, configuration_update(8)).is_empty() && view.configuration().is_none());
+    assert!(view.apply(1.0, configuration_update(8)).is_empty() && view.configuration().is_none());
     assert!(!confirm(&mut view, 1.0, 8, 3) && view.configuration().is_none(), "zones are missing");
-    view.append(1.1, evacuations_update(3));
+    view.apply(1.1, evacuations_update(3));
     assert!(!confirm(&mut view, 1.1, 9, 3), "a configuration is missing");
     assert!(confirm(&mut view, 1.2, 8, 3) && view.configuration().is_some());
     // The next one is in force at once and keeps the confirmation of the last one, since it can only be newer.
-    assert!(matches!(view.append(2.0, configuration_update(9))[..], [ViewChange::Configuration(_)]));
+    assert!(matches!(view.apply(2.0, configuration_update(9))[..], [ViewChange::Configuration(_)]));
     assert!(
         view.is_confirmed(1.0 + CONFIRMATION_LIFETIME) && !view.is_confirmed(1.2 + CONFIRMATION_LIFETIME)
     );
@@ -116,7 +116,7 @@
                 now += 1.0;
                 let (before, holder_before) = (view.versions().clone(), view.counter_holder());
                 let was_confirmed = view.is_confirmed(now);
-                view.append(now, message(now, kind, version, &configurations));
+                view.apply(now, message(now, kind, version, &configurations));
                 let after = view.versions();
                 assert!(
                     after.configuration >= before.configuration && after.evacuations >= before.evacuations
--- a/crates/control-client/tests/session.rs
+++ b/crates/control-client/tests/session.rs
@@ -17,7 +17,7 @@
     let mut view = FleetView::new(4.0);
     let operator_address = SocketAddrV4::new(2.into(), 80);
     let control_node = ControlNode { node: 2, zone: "z".into(), region: "r".into(), operator_address };
-    view.append(0.0, Event::Update(StateUpdate::ControlNodes(vec![control_node])));
+    view.apply(0.0, Event::Update(StateUpdate::ControlNodes(vec![control_node])));
     let mut session = Session::new(local_node(9, vec![1, 2, 3, 4]));
     let mut tried = Vec::new();
     for n in 0..60 {
--- a/crates/data-plane/src/tests/mod.rs
+++ b/crates/data-plane/src/tests/mod.rs
@@ -54,13 +54,13 @@
         StateUpdate::HostList(HostList { term: 1, version: 1, instances }),
     ] {
         let now = data_plane.clock.now();
-        let changes = data_plane.fleet_view.borrow_mut().append(now, Event::Update(update));
+        let changes = data_plane.fleet_view.borrow_mut().apply(now, Event::Update(update));
         data_plane.apply_view_changes(changes);
     }
     // Without a quorum's confirmation no configuration is in force.
     let now = data_plane.clock.now();
     let event = Event::Heartbeat { heartbeat: confirming_heartbeat(), requested_at: Some(now) };
-    let changes = data_plane.fleet_view.borrow_mut().append(now, event);
+    let changes = data_plane.fleet_view.borrow_mut().apply(now, event);
     data_plane.apply_view_changes(changes);
     (0..2).for_each(|_| data_plane.retry_budget.borrow_mut().deposit(&data_plane.retry_bound(), "s", 1));
     data_plane
