--- a/crates/control-client/src/fleet_view/view_change.rs
+++ b/crates/control-client/src/fleet_view/view_change.rs
@@ -53,7 +53,7 @@
     }
 }
 
-/// Why an update was rejected. The view keeps its state.
+/// Why an update was rejected. The configuration or host list in the view stays as it is.
 #[derive(Clone, Debug)]
 pub enum InvalidUpdate {
     /// The patch of the host list is damaged or results in another revision; the complete list is requested.
--- a/crates/control-node/src/lib.rs
+++ b/crates/control-node/src/lib.rs
@@ -1,6 +1,7 @@
 //! The state machine of one control node, without I/O, built on `archlink-consensus`. The input is messages,
-//! ticks and operators' changes; the output is effects. The caller reads the clock, owns the sockets and the
-//! disk, and performs the effects.
+//! ticks, operators' changes and the completion of disk writes, which arrives as a message of the node to
+//! itself; the output is effects. The caller reads the clock, owns the sockets and the disk, and performs the
+//! effects.
 //!
 //! - [`node`]: [`node::ControlNodeState`], the control node as a whole. Start reading here.
 //! - [`registry`]: which control and data nodes exist, and the sessions between them.
