--- a/crates/control-plane/src/admin/calls.rs
+++ b/crates/control-plane/src/admin/calls.rs
@@ -1,41 +1,41 @@
-//! The table of calls: method and path of each, and what its answer rests on while no quorum answers this node.
+//! The table of calls: the method, path and consistency of each. The consistency decides how a partitioned node responds.
 
 use strum::{EnumIter, IntoEnumIterator};
 
-/// What a call's answer rests on, and so what a partitioned node answers.
+/// What the response to a call is based on, and so how a node without a quorum responds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Basis {
-    /// A quorum's answer after the call started; 503 where none comes.
-    ConfirmedRead,
-    /// A quorum that answered recently: without one the call is not started, and says so at once.
+pub enum Consistency {
+    /// A read that a quorum confirms after the call started; 503 if none does.
+    LinearizableRead,
+    /// Recent contact with a quorum. Without it the call is not started, and the response says so at once.
     QuorumContact,
-    /// An operator's decision, where no quorum is left.
-    OperatorDecision,
-    /// Sessions and what peers reported of theirs: they expire by themselves (`archlink_control_node::registry`), the answer
-    /// by its `Ttl`.
+    /// An operator's decision to continue without a quorum.
+    OperatorOverride,
+    /// This node's sessions and those that its peers report. Both expire by themselves (`archlink_control_node::registry`), and
+    /// the response expires by its `Ttl`.
     Sessions,
-    /// What this node knows, with its age.
+    /// This node's state, with the age of its last quorum contact.
     LocalState,
 }
 
-/// One call. The names are this program's; paths are the operators' interface.
+/// A call. The variants are internal names; the paths are the operators' interface.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, EnumIter)]
 pub enum Call {
     /// Put a configuration in force.
     ReplaceConfiguration,
     /// The configuration in force.
     ReadConfiguration,
-    /// Stop sending to a zone's hosts.
+    /// Stop sending requests to a zone's hosts.
     BeginEvacuation,
-    /// Send to a zone's hosts again.
+    /// Send requests to a zone's hosts again.
     FinishEvacuation,
-    /// Who votes, and what this node holds.
+    /// The voters, and what this node has accepted.
     Voters,
-    /// Give a voter's seat to another node.
+    /// Replace a voter by another node.
     ReplaceVoter,
     /// Continue without the lost voters.
     ForceNewGeneration,
-    /// Where a client should connect.
+    /// The data nodes that a client should connect to.
     Resolve,
     /// Control and data nodes.
     Members,
@@ -50,45 +50,50 @@
 }
 
 impl Call {
-    /// Method, path, and basis. A path that ends in a slash is followed by names.
-    fn row(self) -> (&'static str, &'static str, Basis) {
+    /// Method, path and consistency. Path parameters follow a path that ends in a slash.
+    fn endpoint(self) -> (&'static str, &'static str, Consistency) {
         match self {
-            Call::ReplaceConfiguration => ("POST", "/archlink/Configuration.Replace", Basis::QuorumContact),
-            Call::ReadConfiguration => ("GET", "/archlink/Configuration.Read", Basis::ConfirmedRead),
-            Call::BeginEvacuation => ("POST", "/archlink/Evacuation.Begin/", Basis::QuorumContact),
-            Call::FinishEvacuation => ("POST", "/archlink/Evacuation.Finish/", Basis::QuorumContact),
-            Call::Voters => ("GET", "/archlink/voters", Basis::LocalState),
-            Call::ReplaceVoter => ("POST", "/archlink/Voters.Replace/", Basis::QuorumContact),
-            Call::ForceNewGeneration => ("POST", "/archlink/Voters.Refound", Basis::OperatorDecision),
-            Call::Resolve => ("GET", "/archlink/resolution", Basis::Sessions),
-            Call::Members => ("GET", "/archlink/members", Basis::LocalState),
-            Call::Hosts => ("GET", "/archlink/hosts", Basis::LocalState),
-            Call::Leases => ("GET", "/archlink/duties", Basis::LocalState),
-            Call::Quota => ("GET", "/archlink/quota", Basis::LocalState),
-            Call::Events => ("GET", "/archlink/journal", Basis::LocalState),
+            Call::ReplaceConfiguration => {
+                ("POST", "/archlink/Configuration.Replace", Consistency::QuorumContact)
+            }
+            Call::ReadConfiguration => ("GET", "/archlink/Configuration.Read", Consistency::LinearizableRead),
+            Call::BeginEvacuation => ("POST", "/archlink/Evacuation.Begin/", Consistency::QuorumContact),
+            Call::FinishEvacuation => ("POST", "/archlink/Evacuation.Finish/", Consistency::QuorumContact),
+            Call::Voters => ("GET", "/archlink/voters", Consistency::LocalState),
+            Call::ReplaceVoter => ("POST", "/archlink/Voters.Replace/", Consistency::QuorumContact),
+            Call::ForceNewGeneration => ("POST", "/archlink/Voters.Refound", Consistency::OperatorOverride),
+            Call::Resolve => ("GET", "/archlink/resolution", Consistency::Sessions),
+            Call::Members => ("GET", "/archlink/members", Consistency::LocalState),
+            Call::Hosts => ("GET", "/archlink/hosts", Consistency::LocalState),
+            Call::Leases => ("GET", "/archlink/duties", Consistency::LocalState),
+            Call::Quota => ("GET", "/archlink/quota", Consistency::LocalState),
+            Call::Events => ("GET", "/archlink/journal", Consistency::LocalState),
         }
     }
 
     /// The HTTP method.
     pub fn method(self) -> &'static str {
-        self.row().0
+        let (method, _, _) = self.endpoint();
+        method
     }
 
-    /// The path, up to the names that follow it.
+    /// The path without its parameters.
     pub fn path(self) -> &'static str {
-        self.row().1
+        let (_, path, _) = self.endpoint();
+        path
     }
 
-    /// What the answer rests on.
-    pub fn basis(self) -> Basis {
-        self.row().2
+    /// What the response is based on.
+    pub fn consistency(self) -> Consistency {
+        let (_, _, consistency) = self.endpoint();
+        consistency
     }
 
-    /// The call at a path, and the names that follow it.
-    pub fn at(path: &str) -> Option<(Call, &str)> {
+    /// The call at a path, and the path parameters.
+    pub fn from_path(path: &str) -> Option<(Call, &str)> {
         Call::iter().find_map(|call| {
-            let names = path.strip_prefix(call.path())?;
-            (names.is_empty() != call.path().ends_with('/')).then_some((call, names))
+            let path_parameters = path.strip_prefix(call.path())?;
+            (path_parameters.is_empty() != call.path().ends_with('/')).then_some((call, path_parameters))
         })
     }
 }
--- a/crates/control-plane/src/admin/answers.rs
+++ b/crates/control-plane/src/admin/responses.rs
@@ -1,28 +1,29 @@
-//! The forms of answers that several calls share. Texts are part of the operators' interface.
+//! Responses that several calls share. Their texts are part of the operators' interface: scripts compare them, so they stay
+//! the same and keep older words, such as "gateway" for a node and "order" for a request.
 
-use super::answer_names;
+use super::response_names;
 use crate::server::node::NotStarted;
 use archlink_consensus::{MembershipError, Outcome};
 use archlink_http::codec::Response;
 use serde_json::json;
 use std::fmt;
 
-/// `Retry-After` in seconds, of an answer that decides nothing.
+/// `Retry-After` in seconds, in a response that is not final.
 const RETRY_AFTER: &str = "0.3";
 
-/// An error answer: the status, and the reason as `Error`.
+/// An error response with this status, and the reason as `Error`.
 pub fn error(status: u16, reason: impl fmt::Display) -> Response {
     Response::json(status, json!({"Error": reason.to_string()}).to_string())
 }
 
-/// An answer that decides nothing: the same call may succeed a moment later.
+/// A response that is not final: the same call may succeed when it is retried.
 pub fn unavailable(reason: &str) -> Response {
     error(503, reason).with("Retry-After", RETRY_AFTER)
 }
 
-/// The outcome of a request; else the answer that there is none, or that the request was not started.
-pub fn outcome_or_unavailable(ended: Result<Outcome, NotStarted>) -> Result<Outcome, Response> {
-    match ended {
+/// The outcome of a request. If it has none or was not started, the response that says so.
+pub fn outcome_or_unavailable(result: Result<Outcome, NotStarted>) -> Result<Outcome, Response> {
+    match result {
         Ok(Outcome::Unknown) => Err(unavailable(
             "no majority has taken it yet: it may or may not come to be; the same order sent again tells",
         )),
@@ -39,8 +40,8 @@
     }
 }
 
-/// What an operator does about a rejected change.
-fn advice(reason: MembershipError) -> &'static str {
+/// Why a change was rejected, and what the operator can do about it.
+fn rejection_message(reason: MembershipError) -> &'static str {
     match reason {
         MembershipError::Unknown => {
             "who votes is not known here yet: ask again once this gateway has reached another, or ask another"
@@ -62,9 +63,9 @@
     }
 }
 
-/// A change that the core rejects as things are; nothing was started.
+/// The response to a change that the core rejects in its current state. Nothing was started.
 pub fn rejected(reason: MembershipError) -> Response {
     log::warn!(reason:? = reason; "operator request rejected");
-    let body = json!({"Error": advice(reason), "Reason": answer_names::rejection(reason)});
+    let body = json!({"Error": rejection_message(reason), "Reason": response_names::rejection_code(reason)});
     Response::json(409, body.to_string())
 }
--- a/crates/migrate/tests/command.rs
+++ b/crates/migrate/tests/command.rs
@@ -62,7 +62,7 @@
     let admission = archlink_admission_settings::from_json(&migrated["settings"]).unwrap().admission;
     assert!(
         !admission.may_probe
-            && !admission.may_advise
+            && !admission.may_send_retry_after
             && admission.settles
             && admission.classes[1].late_value == 0.0
     );
