--- a/crates/control-node/tests/cluster.rs
+++ b/crates/control-node/tests/cluster.rs
@@ -50,8 +50,8 @@
         fleet.replace(2, 3, 4);
         fleet.run(1.0);
         assert_eq!(fleet.done.get(&3), Some(&Outcome::Chosen));
-        let values = fleet.checks.lines[&Register::Configuration].values.values();
-        let revisions: BTreeSet<u64> = values.map(|seen| seen.stamp).collect();
+        let values = fleet.checks.histories[&Register::Configuration].values.values();
+        let revisions: BTreeSet<u64> = values.map(|seen| seen.revision).collect();
         assert_eq!(revisions.len(), 1, "seed {seed}");
     }
 }
@@ -133,7 +133,7 @@
         let mut fleet = Fleet::new(seed);
         // All links have the same latency: the successor's request reaches no voter before the release of the
         // lease.
-        fleet.net.spread = 0.0;
+        fleet.net.jitter = 0.0;
         fleet.run(2.0);
         let holder = fleet.agreed(SingletonRole::HostDiscovery).expect("a holder");
         fleet.step(holder, |control_node, now| control_node.begin_shutdown(now));
@@ -154,7 +154,7 @@
         |(seed, schedule)| {
             let mut fleet = Fleet::new(*seed);
             fleet.run(1.0);
-            fleet.net.lossy = 0.05;
+            fleet.net.lost = 0.05;
             let mut token = 0;
             for &(action, nodes, length) in schedule.iter().take(16) {
                 let (node, peer) = (NodeId::from(nodes % 4) + 1, NodeId::from(nodes / 4 % 4) + 1);
@@ -171,7 +171,7 @@
                     }
                     _ => {
                         fleet.heal();
-                        fleet.net.lossy = 0.05;
+                        fleet.net.lost = 0.05;
                     }
                 }
                 fleet.run(f64::from(length) / 128.0);
@@ -207,13 +207,13 @@
 #[test]
 fn six_nodes_agree_on_five_voters_and_survive_two_lost_disks() {
     for seed in 0..15 {
-        let mut fleet = Fleet::of(seed, 5, 6);
-        fleet.net.lossy = 0.05;
+        let mut fleet = Fleet::with_size(seed, 5, 6);
+        fleet.net.lost = 0.05;
         fleet.run(4.0);
-        let voter_sets = fleet.sets();
+        let voter_sets = fleet.voter_sets();
         let five_voters = voter_sets.iter().all(|voters| voters.len() == 5);
         assert!(voter_sets.len() == 1 && five_voters, "seed {seed}: {voter_sets:?}");
-        fleet.net.lossy = 0.0;
+        fleet.net.lost = 0.0;
         fleet.replace(6, 1, 7);
         fleet.run(1.0);
         assert_eq!(fleet.done.get(&1), Some(&Outcome::Chosen), "seed {seed}");
--- a/crates/control-node/tests/membership/replacement.rs
+++ b/crates/control-node/tests/membership/replacement.rs
@@ -15,15 +15,15 @@
         let mut fleet = started_fleet(seed);
         // Any node may be asked, also the one that becomes a voter.
         let requested_at = [1, 2, 3, 4][seed as usize % 4];
-        fleet.reseat(requested_at, 2, REPLACE);
+        fleet.change_membership(requested_at, 2, REPLACE);
         fleet.run(2.5);
         assert_eq!(fleet.done.get(&2), Some(&Outcome::Chosen), "{context}");
         let voter_set = agreed_voter_set(&fleet, &context);
         assert_eq!((voter_set.epoch, voter_set.voters), (3, vec![1, 2, 4]), "{context}");
-        let on_disk = &fleet.disks[&4].kept.slots[&Register::Configuration];
+        let on_disk = &fleet.disks[&4].durable.acceptors[&Register::Configuration];
         assert_eq!(on_disk.accepted.as_ref().unwrap().revision, 8);
         // A repeated request changes nothing.
-        fleet.reseat(2, 3, REPLACE);
+        fleet.change_membership(2, 3, REPLACE);
         assert_eq!(fleet.done.get(&3), Some(&Outcome::Chosen), "{context}");
         fleet.kill(3, true);
         fleet.power_off(1, true);
@@ -38,7 +38,7 @@
     let mut fleet = started_fleet(1);
     let rejected = |fleet: &mut Fleet, node, change, error| {
         let token = FIRST_HELPER_TOKEN + fleet.done.len() as u64;
-        fleet.reseat(node, token, change);
+        fleet.change_membership(node, token, change);
         assert_eq!(fleet.done.get(&token), Some(&Outcome::Rejected(error)));
     };
     let replace = |old, new| MembershipChange::Replace { old, new };
@@ -49,7 +49,7 @@
         |epoch, voters: &[NodeId]| MembershipChange::ForceNewGeneration { epoch, voters: voters.to_vec() };
     rejected(&mut fleet, 1, new_generation(2, &[1]), MembershipError::WrongEpoch);
     rejected(&mut fleet, 1, new_generation(1, &[2]), MembershipError::NotAVoter);
-    fleet.reseat(1, 2, REPLACE);
+    fleet.change_membership(1, 2, REPLACE);
     rejected(&mut fleet, 1, replace(2, 4), MembershipError::ChangeInProgress);
     fleet.run(3.0);
     // Two of three voters are lost: the remaining one is no quorum together with a new node.
@@ -77,7 +77,7 @@
             }
             let (proposer, lost) = (NodeId::from(nodes % 3) + 1, NodeId::from(nodes / 4 % 4) + 1);
             let for_good = faults & 2 != 0;
-            fleet.reseat(proposer, 2, REPLACE);
+            fleet.change_membership(proposer, 2, REPLACE);
             fleet.replace(1, 3, 8);
             // The change takes about 1.2 s.
             fleet.run(f64::from(moment % 1500) * 1e-3);
@@ -107,12 +107,12 @@
     bolero::check!().with_iterations(50).with_type::<(u64, u8, u16, u8)>().for_each(
         |&(seed, nodes, moment, faults)| {
             let context = format!("{seed} {nodes} {moment} {faults}");
-            let mut fleet = Fleet::of(seed, 5, 6);
+            let mut fleet = Fleet::with_size(seed, 5, 6);
             fleet.run(2.0);
             let voters = agreed_voter_set(&fleet, &context).voters;
             let spare = (4..=6).find(|node| !voters.contains(node)).expect("a spare node");
             let change = MembershipChange::Replace { old: voters[4], new: spare };
-            fleet.reseat(NodeId::from(nodes % 6) + 1, 2, change);
+            fleet.change_membership(NodeId::from(nodes % 6) + 1, 2, change);
             fleet.replace(1, 3, 8);
             fleet.run(f64::from(moment % 1500) * 1e-3);
             let lost = [NodeId::from(nodes / 6 % 6) + 1, NodeId::from(faults / 4 % 6) + 1];
@@ -135,11 +135,11 @@
 fn concurrent_changes_are_serialized() {
     for seed in 0..20 {
         let context = format!("seed {seed}");
-        let mut fleet = Fleet::of(seed, 3, 5);
+        let mut fleet = Fleet::with_size(seed, 3, 5);
         fleet.run(1.5);
-        fleet.reseat(1, 2, REPLACE);
+        fleet.change_membership(1, 2, REPLACE);
         fleet.run(0.003 * (seed % 10) as f64);
-        fleet.reseat(2, 3, MembershipChange::Replace { old: 2, new: 5 });
+        fleet.change_membership(2, 3, MembershipChange::Replace { old: 2, new: 5 });
         fleet.run(6.0);
         let chosen = [2, 3].map(|token| fleet.done.get(&token) == Some(&Outcome::Chosen));
         assert!(chosen[0] || chosen[1], "{context}: {:?}", fleet.done);
@@ -156,7 +156,7 @@
     for seed in 0..5 {
         let context = format!("seed {seed}");
         let mut fleet = started_fleet(seed);
-        fleet.reseat(1, 2, REPLACE);
+        fleet.change_membership(1, 2, REPLACE);
         assert!(run_until(&mut fleet, 1.0, |fleet| voter_set(fleet, 1).is_joint()));
         fleet.kill(4, false);
         fleet.replace(1, 3, 8);
--- a/crates/control-node/tests/membership/returning_nodes.rs
+++ b/crates/control-node/tests/membership/returning_nodes.rs
@@ -27,7 +27,7 @@
         fleet.run(0.1);
     } else {
         fleet.heal();
-        fleet.reseat(1, 3, REPLACE);
+        fleet.change_membership(1, 3, REPLACE);
         let in_new_epoch = |fleet: &Fleet| fleet.live.values().any(|node| node.voter_set().epoch == 3);
         assert!(run_until(&mut fleet, 4.0, in_new_epoch));
     }
@@ -53,14 +53,14 @@
 /// Two nodes that were a quorum of the first voter set return after two changes and reach only each other.
 /// `forget_epoch` injects the fault: their disks lose the epoch that they stored.
 fn return_of_former_voters(seed: u64, forget_epoch: bool) -> Fleet {
-    let mut fleet = Fleet::of(seed, 3, 5);
+    let mut fleet = Fleet::with_size(seed, 3, 5);
     fleet.run(1.5);
     fleet.kill(3, false);
-    fleet.reseat(1, 1, REPLACE);
+    fleet.change_membership(1, 1, REPLACE);
     fleet.run(3.0);
     assert_eq!(fleet.done.get(&1), Some(&Outcome::Chosen), "seed {seed}");
     fleet.kill(2, false);
-    fleet.reseat(4, 2, MembershipChange::Replace { old: 2, new: 5 });
+    fleet.change_membership(4, 2, MembershipChange::Replace { old: 2, new: 5 });
     fleet.run(3.0);
     assert_eq!(fleet.done.get(&2), Some(&Outcome::Chosen), "seed {seed}");
     fleet.replace(5, 3, 3);
@@ -71,7 +71,7 @@
             fleet.cut(voter, former);
         }
         if forget_epoch {
-            fleet.disks.get_mut(&former).unwrap().kept.voter_set = VoterSet::initial(&[1, 2, 3]);
+            fleet.disks.get_mut(&former).unwrap().durable.voter_set = VoterSet::initial(&[1, 2, 3]);
         }
     }
     fleet.strict = !forget_epoch;
@@ -110,14 +110,14 @@
 fn a_voter_that_missed_two_changes_finds_the_current_epoch() {
     for seed in 0..10 {
         let context = format!("seed {seed}");
-        let mut fleet = Fleet::of(seed, 5, 7);
+        let mut fleet = Fleet::with_size(seed, 5, 7);
         fleet.run(3.0);
         let voters = agreed_voter_set(&fleet, &context).voters;
         let spare: Vec<NodeId> = (4..=7).filter(|node| !voters.contains(node)).collect();
         fleet.kill(1, false);
         for n in 0..2 {
             let (token, old, new) = (2 + n as u64, voters[3 + n], spare[n]);
-            fleet.reseat(2, token, MembershipChange::Replace { old, new });
+            fleet.change_membership(2, token, MembershipChange::Replace { old, new });
             fleet.run(3.0);
             assert_eq!(fleet.done.get(&token), Some(&Outcome::Chosen), "{context}");
         }
