--- a/crates/gateway/src/protocol.rs
+++ b/crates/gateway/src/protocol.rs
@@ -8,7 +8,7 @@
 pub const REQ_DEADLINE: &str = "Req-Deadline";
 /// Weight of a request: `units=2,spread=3,first=1`.
 pub const X_WEIGHT: &str = "X-Weight";
-/// Key by which hosts deduplicate a receipted request.
+/// Key by which hosts recognize repeats of a deduplicated request (`Effect::Deduplicated`).
 pub const IDEMPOTENCY_KEY: &str = "Idempotency-Key";
 /// A host's load report: `util=0.5,latency_ms=7`.
 pub const SRV_LOAD: &str = "Srv-Load";
--- a/crates/gateway/tests/sockets/attempts.rs
+++ b/crates/gateway/tests/sockets/attempts.rs
@@ -36,7 +36,7 @@
 }
 
 /// Guards against running a request twice. Once its last byte is written it may have run, so only pure requests may be
-/// retried, and receipted ones only within their deduplication scope, here the host's own cell.
+/// retried, and deduplicated ones only within their deduplication scope, here the host's own cell.
 #[test]
 fn broken_attempt_is_retried_only_where_it_cannot_run_twice() {
     for (name, behavior) in [
