--- a/crates/data-plane/src/tests/disconnects.rs
+++ b/crates/data-plane/src/tests/disconnects.rs
@@ -1,7 +1,7 @@
 //! Clients that disconnect while their requests are in flight: attempts of idempotent requests are cancelled, other
 //! attempts run to their end, and no attempt is started for a disconnected client.
 
-use super::HostBehaviour::*;
+use super::HostBehavior::*;
 use super::*;
 use archlink_messages::CounterAdd;
 use archlink_quota::pending_calls::CallResult;
@@ -55,8 +55,8 @@
 /// it.
 #[test]
 fn no_second_host_is_tried_for_a_disconnected_client() {
-    let scenario = async |behaviour: HostBehaviour, idempotent: bool| {
-        let (hosts, data_plane) = setup(&[behaviour]);
+    let scenario = async |behavior: HostBehavior, idempotent: bool| {
+        let (hosts, data_plane) = setup(&[behavior]);
         let client = ClientPresence::new();
         hosts.disconnect_on_read.replace(Some(client.clone()));
         let target = if idempotent { "/read" } else { "/write" };
@@ -64,18 +64,15 @@
         run_ready_tasks().await;
         let executed = hosts.executed.borrow();
         let hosts_reached: Vec<usize> = executed.iter().map(|(_, host)| *host).collect();
-        let max_executions = usize::from(behaviour.may_execute());
+        let max_executions = usize::from(behavior.may_execute());
         assert!(
             hosts_reached.len() <= max_executions,
-            "{behaviour:?}, {idempotent}: executed at {hosts_reached:?}"
+            "{behavior:?}, {idempotent}: executed at {hosts_reached:?}"
         );
     };
     // A host that resets the connection before reading never triggers the disconnect.
-    let behaviours = BEHAVIOURS.into_iter().filter(|behaviour| *behaviour != ResetBeforeRead);
-    run_scenarios(
-        behaviours.flat_map(|behaviour| [scenario(behaviour, false), scenario(behaviour, true)]),
-        32,
-    );
+    let behaviors = BEHAVIORS.into_iter().filter(|behavior| *behavior != ResetBeforeRead);
+    run_scenarios(behaviors.flat_map(|behavior| [scenario(behavior, false), scenario(behavior, true)]), 32);
 }
 
 /// A configuration with one tenant that has a quota, and one route that needs no key.
--- a/crates/data-plane/src/tests/mod.rs
+++ b/crates/data-plane/src/tests/mod.rs
@@ -20,7 +20,7 @@
 use archlink_http::connection_pool::ConnectionPool;
 use archlink_messages::{Heartbeat, HostInstance, HostList, StateUpdate, VersionVector, VoterSet, patch};
 use archlink_runtime::Clock;
-use scripted_hosts::{BEHAVIOURS, HostBehaviour, ScriptedHosts};
+use scripted_hosts::{BEHAVIORS, HostBehavior, ScriptedHosts};
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -128,12 +128,12 @@
 }
 
 /// Starts two hosts that follow `script`, and a data node that knows them.
-fn setup(script: &[HostBehaviour]) -> (Rc<ScriptedHosts>, Rc<DataPlane>) {
+fn setup(script: &[HostBehavior]) -> (Rc<ScriptedHosts>, Rc<DataPlane>) {
     setup_with_configuration(script, PUBLIC_CONFIGURATION)
 }
 
 fn setup_with_configuration(
-    script: &[HostBehaviour],
+    script: &[HostBehavior],
     configuration: &str,
 ) -> (Rc<ScriptedHosts>, Rc<DataPlane>) {
     let (hosts, addresses) = ScriptedHosts::start(script);
--- a/crates/data-plane/src/tests/responses.rs
+++ b/crates/data-plane/src/tests/responses.rs
@@ -1,13 +1,13 @@
 //! A client never gets the response to another request, and a request that is not idempotent is executed at most once.
 
-use super::HostBehaviour::*;
+use super::HostBehavior::*;
 use super::*;
 use std::collections::BTreeSet;
 
 /// Sends two requests, the second one after the response to the first.
-async fn two_sequential_requests(script: [HostBehaviour; 2], idempotent: bool, body_length: usize) {
+async fn two_sequential_requests(script: [HostBehavior; 2], idempotent: bool, body_length: usize) {
     let (hosts, data_plane) = setup(&script);
-    let timeout_millis = if script.iter().any(|behaviour| behaviour.times_out()) { 90 } else { 20_000 };
+    let timeout_millis = if script.iter().any(|behavior| behavior.times_out()) { 90 } else { 20_000 };
     let target = if idempotent { "/read" } else { "/write" };
     for (n, id) in ["one", "two"].into_iter().enumerate() {
         let response = respond(&data_plane, target, id, timeout_millis, body_length).await;
@@ -46,15 +46,15 @@
     assert_eq!(*hosts.violations.borrow(), Vec::<String>::new(), "{script:?}, {idempotent}");
 }
 
-fn script_pairs(first: &[HostBehaviour], second: &[HostBehaviour]) -> Vec<([HostBehaviour; 2], bool)> {
+fn script_pairs(first: &[HostBehavior], second: &[HostBehavior]) -> Vec<([HostBehavior; 2], bool)> {
     let scripts = first.iter().flat_map(|&one| second.iter().map(move |&two| [one, two]));
     scripts.flat_map(|script| [(script, false), (script, true)]).collect()
 }
 
-/// Covers all pairs of host behaviours; the second one applies to the retry of the first request or to the next request.
+/// Covers all pairs of host behaviors; the second one applies to the retry of the first request or to the next request.
 #[test]
 fn each_request_gets_its_own_response_and_executes_at_most_once_per_host() {
-    let scripts = script_pairs(&BEHAVIOURS, &BEHAVIOURS);
+    let scripts = script_pairs(&BEHAVIORS, &BEHAVIORS);
     run_scenarios(
         scripts.into_iter().map(|(script, idempotent)| two_sequential_requests(script, idempotent, 10)),
         32,
@@ -75,7 +75,7 @@
 
 /// A client pipelines three requests on one connection and disconnects before the responses; then a second client does the
 /// same and stays connected.
-async fn pipelined_requests(script: [HostBehaviour; 3]) {
+async fn pipelined_requests(script: [HostBehavior; 3]) {
     let (hosts, data_plane) = setup(&script);
     let (server, address, stage) = listen(data_plane).await;
     let requests = |ids: &[&str]| -> String {
@@ -119,7 +119,7 @@
 /// Responses arrive in the order of the requests, each with its own id, also after another client has disconnected.
 #[test]
 fn pipelining_clients_get_their_own_responses_in_order_after_a_disconnect() {
-    const SUBSET: [HostBehaviour; 6] =
+    const SUBSET: [HostBehavior; 6] =
         [Respond, UnmatchedWith, CloseAfterRead, NotExecuted, InternalError, UnmatchedBefore];
     let scripts = SUBSET
         .iter()
--- a/crates/data-plane/src/tests/scripted_hosts.rs
+++ b/crates/data-plane/src/tests/scripted_hosts.rs
@@ -1,4 +1,4 @@
-//! Hosts on loopback that follow a script of behaviours and record the requests that they get.
+//! Hosts on loopback that follow a script of behaviors and record the requests that they get.
 
 use crate::client_presence::ClientPresence;
 use std::cell::{Cell, RefCell};
@@ -10,9 +10,9 @@
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
 
-/// What a host does with a request. The script has one behaviour for each request, whichever host it arrives at.
+/// What a host does with a request. The script has one behavior for each request, whichever host it arrives at.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HostBehaviour {
+pub enum HostBehavior {
     /// Sends a valid response.
     Respond,
     /// Sends an interim response (100) before a valid one.
@@ -55,10 +55,10 @@
     HoldUntilReleased,
 }
 
-use HostBehaviour::*;
+use HostBehavior::*;
 
-/// All behaviours that need no action of the test.
-pub const BEHAVIOURS: [HostBehaviour; 19] = [
+/// All behaviors that need no action of the test.
+pub const BEHAVIORS: [HostBehavior; 19] = [
     Respond,
     InterimResponse,
     UnmatchedBefore,
@@ -80,7 +80,7 @@
     Unavailable,
 ];
 
-impl HostBehaviour {
+impl HostBehavior {
     /// Whether the host sends a complete valid response in time.
     pub fn has_valid_response(self) -> bool {
         matches!(
@@ -117,7 +117,7 @@
 /// The script of the hosts, and what they recorded.
 #[derive(Default)]
 pub struct ScriptedHosts {
-    script: RefCell<VecDeque<HostBehaviour>>,
+    script: RefCell<VecDeque<HostBehavior>>,
     /// Id and host of each request that a host has read at least a part of and not declined.
     pub executed: RefCell<Vec<(String, usize)>>,
     /// Violations of the protocol by the data node.
@@ -128,7 +128,7 @@
     pub disconnect_on_read: RefCell<Option<ClientPresence>>,
     /// Notified when a host has read a request, and when it has cancelled one.
     pub request_seen: Notify,
-    /// Releases the requests of [`HostBehaviour::HoldUntilReleased`].
+    /// Releases the requests of [`HostBehavior::HoldUntilReleased`].
     pub release: Notify,
     /// Number of responses that the client has received.
     pub responses_received: Cell<usize>,
@@ -138,7 +138,7 @@
 
 impl ScriptedHosts {
     /// Starts two hosts that follow `script`; returns them with their addresses.
-    pub fn start(script: &[HostBehaviour]) -> (Rc<ScriptedHosts>, Vec<SocketAddr>) {
+    pub fn start(script: &[HostBehavior]) -> (Rc<ScriptedHosts>, Vec<SocketAddr>) {
         let script = RefCell::new(script.iter().copied().collect());
         let hosts = Rc::new(ScriptedHosts { script, ..ScriptedHosts::default() });
         let mut addresses = Vec::new();
@@ -195,7 +195,7 @@
         }
         let (received_before, partial) = (hosts.responses_received.get(), next == ResetMidRead);
         let id = read_request(&mut stream, partial).await?;
-        let behaviour = hosts.script.borrow_mut().pop_front().unwrap_or(Respond);
+        let behavior = hosts.script.borrow_mut().pop_front().unwrap_or(Respond);
         if unusable {
             let violation = format!("{id} was sent on a connection that must not be reused");
             hosts.violations.borrow_mut().push(violation);
@@ -203,23 +203,23 @@
         if let Some(client) = hosts.disconnect_on_read.take() {
             client.set_disconnected();
         }
-        unusable = !behaviour.leaves_connection_reusable();
-        if behaviour.may_execute() {
+        unusable = !behavior.leaves_connection_reusable();
+        if behavior.may_execute() {
             hosts.executed.borrow_mut().push((id.clone(), host));
         }
         hosts.request_seen.notify_one();
-        if behaviour == HoldUntilReleased && !hold_until_released(&hosts, &mut stream).await {
+        if behavior == HoldUntilReleased && !hold_until_released(&hosts, &mut stream).await {
             hosts.cancelled.borrow_mut().push(id);
             hosts.request_seen.notify_one();
             return None;
         }
-        stream.write_all(response_of(behaviour, &id).as_bytes()).await.ok()?;
-        if let DuplicateResponse | ResetWhenIdle | LateResponse = behaviour {
+        stream.write_all(response_of(behavior, &id).as_bytes()).await.ok()?;
+        if let DuplicateResponse | ResetWhenIdle | LateResponse = behavior {
             while hosts.responses_received.get() == received_before {
                 hosts.response_received.notified().await;
             }
         }
-        match behaviour {
+        match behavior {
             DuplicateResponse | LateResponse => {
                 stream.write_all(valid_response(&id).as_bytes()).await.ok()?
             }
@@ -231,9 +231,9 @@
 }
 
 /// What a host writes as soon as it has read the request.
-fn response_of(behaviour: HostBehaviour, id: &str) -> String {
+fn response_of(behavior: HostBehavior, id: &str) -> String {
     let valid = valid_response(id);
-    match behaviour {
+    match behavior {
         Respond | DuplicateResponse | ResetWhenIdle | HoldUntilReleased => valid,
         InterimResponse => format!("HTTP/1.1 100 Continue\r\n\r\n{valid}"),
         UnmatchedBefore => valid_response("zero") + &valid,
