--- a/crates/data-plane/src/error.rs
+++ b/crates/data-plane/src/error.rs
@@ -15,8 +15,8 @@
 impl fmt::Display for DataPlaneError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            DataPlaneError::Settings => "the settings file can't be used",
-            DataPlaneError::Start => "the data node can't start",
+            DataPlaneError::Settings => "the settings file cannot be used",
+            DataPlaneError::Start => "the data node cannot start",
         })
     }
 }
