--- a/crates/admission/src/admission.rs
+++ b/crates/admission/src/admission.rs
@@ -138,7 +138,11 @@
             spread_out: spread > SPREAD_OUT_ABOVE,
             local_share: even_share,
             even_share,
-            windows: [SlidingWindow { room: limits.burst, updated_at: now, ..SlidingWindow::default() }; 3],
+            windows: [SlidingWindow {
+                remaining_units: limits.burst,
+                updated_at: now,
+                ..SlidingWindow::default()
+            }; 3],
             rate_limit_refilled_at: now,
             ..Customer::default()
         };
--- a/crates/admission/src/attempts.rs
+++ b/crates/admission/src/attempts.rs
@@ -113,7 +113,7 @@
                 let difference = ended.true_units - request.units;
                 self.customers
                     .entry(request.customer)
-                    .and_modify(|customer| customer.windows[0].room -= difference);
+                    .and_modify(|customer| customer.windows[0].remaining_units -= difference);
                 self.counter_entry(key, lifetime).wanted += difference;
             }
             if ended.final_attempt {
--- a/crates/admission/src/quota.rs
+++ b/crates/admission/src/quota.rs
@@ -23,10 +23,10 @@
         let (customer, plan, units) = self.quota_subject(id);
         let RateLimit { rate, burst, .. } = self.rate_limits[plan];
         let Some(customer_state) = self.customers.get_mut(&customer) else { return false };
-        let grown = customer_state.rate_limit_tokens
+        let refilled = customer_state.rate_limit_tokens
             + (self.now - customer_state.rate_limit_refilled_at) * rate * customer_state.even_share;
         (customer_state.rate_limit_tokens, customer_state.rate_limit_refilled_at) =
-            (grown.min(burst * customer_state.even_share), self.now);
+            (refilled.min(burst * customer_state.even_share), self.now);
         let fits = rate.is_infinite() || customer_state.rate_limit_tokens + 1e-9 >= units;
         customer_state.rate_limit_tokens -= if fits { units } else { 0.0 };
         fits
@@ -102,7 +102,7 @@
         let Some(customer_state) = self.customers.get_mut(&customer) else { return };
         let (spread_out, window_state) = (customer_state.spread_out, &mut customer_state.windows[tier_index]);
         let before = *window_state;
-        let room = match spread_out {
+        let remaining_units = match spread_out {
             true => {
                 window_state.update_spread_out(&tier, index, elapsed_part, total, added, now) + added - units
             }
@@ -112,7 +112,7 @@
         if spread_out && crosses {
             self.read_closed_window(driver, id, tier_index, None, (index, elapsed_part));
         }
-        if room >= -1e-6 {
+        if remaining_units >= -1e-6 {
             return self.dispatch(driver, id);
         }
         let closed_unknown = before.closed.is_none_or(|closed| closed.index + 1 != index);
@@ -124,10 +124,10 @@
         }
         let Some(customer_state) = self.customers.get_mut(&customer) else { return };
         let window_state = &mut customer_state.windows[tier_index];
-        window_state.room += added;
+        window_state.remaining_units += added;
         window_state.total -= added;
-        // Room returns at the tier's rate; until then the gateway need not ask again.
-        let wait = -room * tier.window / tier.limit;
+        // Units become available again at the tier's rate; until then the gateway need not ask again.
+        let wait = -remaining_units * tier.window / tier.limit;
         window_state.exhausted = Exhausted { until: now + wait.min(MAX_EXHAUSTED), min_units: units };
         self.refund(driver, id);
         self.try_next_tier(driver, id, tier_index, wait);
@@ -183,11 +183,11 @@
         );
     }
 
-    /// Decides without the counter, from the room last seen. Past use keeps draining, and each request seen here also
-    /// represents those at other gateways, by the local share. The room may go into debt, up to a burst, the more the older
-    /// the last total is: otherwise one request a minute of a customer spread over fifty gateways would be rejected. A share
-    /// that is far too low does harm here. Most requests rejected on an estimate are within their quota, so the cheaper
-    /// overage is, the larger the extra allowance, granted once for the whole fleet.
+    /// Decides without the counter, from the units that remained at the last update. Past use keeps draining, and each request
+    /// seen here also represents those at other gateways, by the local share. The remaining units may become negative, down to
+    /// minus one burst, the further the older the last total is: otherwise one request a minute of a customer spread over
+    /// fifty gateways would be rejected. A share that is far too low does harm here. Most requests rejected on an estimate are
+    /// within their quota, so the cheaper overage is, the larger the extra allowance, granted once for the whole fleet.
     pub(crate) fn decide_locally(&mut self, driver: &mut dyn Driver, id: u32) {
         // A share learned from a single closed window may be close to 0; more than a thousand gateways are unlikely.
         const MIN_SHARE: f64 = 0.001;
@@ -201,10 +201,12 @@
         let allowance =
             if overage_cost > 0.0 { uncertainty * uncertainty * burst / overage_cost.max(0.25) } else { 0.0 };
         let window_state = &mut customer_state.windows[0];
-        let grown = window_state.room + (self.now - window_state.updated_at) * rate;
-        let room = (grown - window_state.granted_locally).min(burst);
-        if room + (grown - window_state.room).min(burst) + allowance + 1e-9 >= cost.min(burst.max(units)) {
-            window_state.granted_locally = grown - room + cost;
+        let refilled = window_state.remaining_units + (self.now - window_state.updated_at) * rate;
+        let remaining_units = (refilled - window_state.granted_locally).min(burst);
+        if remaining_units + (refilled - window_state.remaining_units).min(burst) + allowance + 1e-9
+            >= cost.min(burst.max(units))
+        {
+            window_state.granted_locally = refilled - remaining_units + cost;
             if !self.rate_limits[plan].enforced_by_counter || self.within_rate_limit(id) {
                 return self.dispatch(driver, id);
             }
--- a/crates/admission/src/state.rs
+++ b/crates/admission/src/state.rs
@@ -55,12 +55,12 @@
     pub(crate) min_units: f64,
 }
 
-/// One tier's sliding window as last seen here: the window's index (0: none yet), its total, and the room that was left.
+/// One tier's sliding window as last seen here: the window's index (0: none yet), its total, and the units that remained.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct SlidingWindow {
     pub(crate) index: u64,
     pub(crate) total: f64,
-    pub(crate) room: f64,
+    pub(crate) remaining_units: f64,
     pub(crate) updated_at: f64,
     /// Units granted since then without asking the counter, including the estimated part of other gateways.
     pub(crate) granted_locally: f64,
--- a/crates/admission/src/windows.rs
+++ b/crates/admission/src/windows.rs
@@ -1,5 +1,5 @@
-//! Sliding window of one tier: the room left after an add, computed from the current fixed window and the weighted closed
-//! one.
+//! Sliding window of one tier: the units that remain after an add, computed from the current fixed window and the weighted
+//! closed one.
 
 use crate::state::SlidingWindow;
 use crate::tiers::Tier;
@@ -10,9 +10,10 @@
 const MAX_REFUNDS_IN_FLIGHT: f64 = 4.0;
 
 impl SlidingWindow {
-    /// Room in the tier after an add that brought the current window to `total`. Past use drains at the tier's own rate,
-    /// starting from the room last seen; where that is too long ago, from the closed window alone, as if all its units had
-    /// been used at its end. Both are lower bounds of the room, so the greater one holds.
+    /// Units that remain in the tier after an add that brought the current window to `total`. Past use drains at the tier's
+    /// own rate, starting from the units that remained at the last update; where that is too long ago, from the closed window
+    /// alone, as if all its units had been used at its end. Both are lower bounds of the remaining units, so the greater one
+    /// holds.
     pub(crate) fn update(
         &mut self,
         tier: &Tier,
@@ -24,17 +25,20 @@
     ) -> f64 {
         let closed = self.closed.filter(|closed| closed.index + 1 == index).map(|closed| closed.total);
         let carried_over = closed.map_or(0.0, |closed| (tier.limit - closed).max(0.0));
-        let mut room = (carried_over + elapsed_part * tier.limit).min(tier.limit) - total;
-        let grown = (self.room + (now - self.updated_at) * tier.limit / tier.window).min(tier.limit);
-        // If the total fell by more than refunds explain, the counter lost the key: keep the room seen before.
+        let mut remaining_units = (carried_over + elapsed_part * tier.limit).min(tier.limit) - total;
+        let refilled =
+            (self.remaining_units + (now - self.updated_at) * tier.limit / tier.window).min(tier.limit);
+        // If the total fell by more than refunds explain, the counter lost the key: keep the earlier estimate, less `units`.
         let adjusted = |used: f64| if used < -MAX_REFUNDS_IN_FLIGHT * units.max(1.0) { units } else { used };
         if self.index == index {
-            room = room.max(grown - adjusted(total - self.total));
+            remaining_units = remaining_units.max(refilled - adjusted(total - self.total));
         } else if self.index > 0 && self.index + 1 == index && closed.is_some() {
-            room = room.max(grown - adjusted(closed.unwrap_or(0.0) - self.total + total));
+            remaining_units =
+                remaining_units.max(refilled - adjusted(closed.unwrap_or(0.0) - self.total + total));
         }
-        *self = SlidingWindow { index, total, room, updated_at: now, granted_locally: 0.0, ..*self };
-        room
+        *self =
+            SlidingWindow { index, total, remaining_units, updated_at: now, granted_locally: 0.0, ..*self };
+        remaining_units
     }
 
     /// Like `update`, for a spread-out customer: `total` includes what the closed window left undrained, and this gateway saw
@@ -51,9 +55,11 @@
         // 0.5 admitted more requests beyond their quota on an overloaded counter; 0 rejected many customers that had used
         // half of their quota.
         const DRAINED_SHARE: f64 = 0.25;
-        let room = (tier.limit * (1.0 + DRAINED_SHARE * elapsed_part) - total).min(tier.limit - units);
-        *self = SlidingWindow { index, total, room, updated_at: now, granted_locally: 0.0, ..*self };
-        room
+        let remaining_units =
+            (tier.limit * (1.0 + DRAINED_SHARE * elapsed_part) - total).min(tier.limit - units);
+        *self =
+            SlidingWindow { index, total, remaining_units, updated_at: now, granted_locally: 0.0, ..*self };
+        remaining_units
     }
 }
 
--- a/crates/admission/tests/all/main.rs
+++ b/crates/admission/tests/all/main.rs
@@ -1,6 +1,6 @@
 //! Tests of the admission decisions: rules under generated events, and regression tests of single failures.
 
 mod cases;
-mod departures;
+mod disconnects;
 mod harness;
 mod rules;
