--- a/crates/consensus/src/effect.rs
+++ b/crates/consensus/src/effect.rs
@@ -26,7 +26,9 @@
     ProposalResolved(u64, Outcome),
 }
 
-/// The part of a node's durable state that changed. Whatever it doesn't name stays as it is on disk.
+/// The part of a node's durable state that changed. Whatever it doesn't name stays as it is on disk. It is never
+/// serialized itself: the driver converts it to `archlink_storage::StateChange`, which is what is written to
+/// disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DurableRecord {
     /// Registers whose promise or accepted value changed, with their state after the change.
