--- a/crates/balancer/src/load_shedding.rs
+++ b/crates/balancer/src/load_shedding.rs
@@ -2,7 +2,7 @@
 //! are told when to retry.
 //!
 //! For each service and region the admitted fraction of the requests is adjusted until responses take `HOST_TIME_SHARE`
-//! (0.9) of the latency target (`docs/system.md`, "Admission queue"). The adjustment is proportional to time and not to
+//! (0.9) of the latency target (`docs/system.md`, "Load shedding"). The adjustment is proportional to time and not to
 //! the number of responses, because a data node that admits few requests gets few responses. Additive increase and
 //! multiplicative decrease make data nodes with much and with little traffic converge to the same fraction.
 
