--- a/crates/config/src/configuration/file_format.rs
+++ b/crates/config/src/configuration/file_format.rs
@@ -3,8 +3,8 @@
 //! The names of the types that mirror the text appear in parse errors (`expected struct PartialTableFile`), which
 //! operators read: renaming one changes such an error.
 //!
-//! The texts of errors are part of the operators' interface, because the control plane sends them in responses: scripts compare
-//! them, so they stay the same and keep older words.
+//! The texts of errors are part of the operators' interface: scripts compare them, so they stay the same and keep older words.
+//! The control plane sends them in responses.
 
 use crate::error::{ConfigError, invalid_value};
 use error_stack::Report;
--- a/crates/config/src/configuration/validation.rs
+++ b/crates/config/src/configuration/validation.rs
@@ -1,7 +1,7 @@
 //! Validates the rows of a configuration and converts them to checked types. Each error names the key at fault.
 //!
-//! The texts of errors are part of the operators' interface, because the control plane sends them in responses: scripts compare
-//! them, so they stay the same and keep older words.
+//! The texts of errors are part of the operators' interface: scripts compare them, so they stay the same and keep older words.
+//! The control plane sends them in responses.
 
 use super::file_format::{Category, LimitsFile, RouteRow, ServiceRow, ShareRow, TenantRow};
 use super::{Route, Service, Tenant, WeightedService};
--- a/crates/control-plane/src/admin/responses.rs
+++ b/crates/control-plane/src/admin/responses.rs
@@ -1,5 +1,7 @@
-//! Responses that several calls share. Their texts are part of the operators' interface: scripts compare them, so they stay
-//! the same and keep older words, such as "gateway" for a node and "order" for a request.
+//! Responses that several calls share.
+//!
+//! The texts of errors are part of the operators' interface: scripts compare them, so they stay the same and keep older words,
+//! such as "gateway" for a node and "order" for a request.
 
 use super::response_names;
 use crate::server::node::NotStarted;
--- a/crates/data-plane/src/metrics.rs
+++ b/crates/data-plane/src/metrics.rs
@@ -94,8 +94,10 @@
 }
 
 impl Metrics {
-    /// Creates all metrics at zero. Their names and help texts are part of the operators' interface: monitoring systems and
-    /// scripts compare them, so they stay the same and keep older words, such as "hand-off" for an attempt.
+    /// Creates all metrics at zero.
+    ///
+    /// The names and help texts are part of the operators' interface: monitoring systems and scripts compare them, so they
+    /// stay the same and keep older words, such as "hand-off" for an attempt.
     pub fn new() -> Metrics {
         let mut registry = Registry::with_prefix("archlink");
         let responses = Family::default();
--- a/crates/messages/src/patch.rs
+++ b/crates/messages/src/patch.rs
@@ -17,8 +17,10 @@
 const LENGTH_BYTES: usize = 4;
 
 /// Why a text could not be compressed or a patch not be decompressed. The functions return it inside an [`io::Error`];
-/// errors of zstd are returned as they are. The control plane sends the messages in responses to operators, whose scripts
-/// compare them, so they stay the same and keep older words.
+/// errors of zstd are returned as they are.
+///
+/// The texts of errors are part of the operators' interface: scripts compare them, so they stay the same and keep older words.
+/// The control plane sends them in responses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PatchError {
     /// The text is longer than the limit of 64 MiB.
