--- a/crates/admission/src/accounting.rs
+++ b/crates/admission/src/accounting.rs
@@ -1,4 +1,4 @@
-//! This gateway's account on the counter: adds, refunds, and the replies to them.
+//! What this gateway has added to the counter: adds, refunds, and the replies to them.
 
 use crate::admission::Admission;
 use crate::interface::{CounterReply, Driver};
@@ -10,7 +10,7 @@
         let Some(open) = self.requests.get_mut(&id) else { return };
         let Some(Charge { key, lifetime, units }) = open.charged.take() else { return };
         self.counter_entry(key, lifetime).wanted -= units;
-        // While the counter is overloaded the refund goes with the next add: calls that nobody waits for are saved first.
+        // While the counter is overloaded the refund goes with the next add: calls that no request waits for are omitted first.
         if self.counter_call_fraction >= 1.0 {
             self.send_add(driver, key, lifetime, None);
         }
@@ -73,17 +73,19 @@
         match reply {
             CounterReply::Total(total) => {
                 entry.confirmed += amount;
-                // The total is below the own confirmed part: the counter lost the key. The next add claims the part again.
+                // The total is below what the counter has confirmed to this gateway: the counter lost the key. The next add
+                // includes the missing units again.
                 if total + 0.01 < entry.confirmed {
                     entry.claimed -= entry.confirmed - total;
                     entry.confirmed = total;
                 }
             }
             CounterReply::NotAdded => entry.claimed -= amount,
-            // May have been added: counted as added, so that the units are not charged twice on a slow counter.
+            // The add may have arrived: it stays claimed, so that the units are not charged twice on a slow counter.
             CounterReply::Unknown => entry.confirmed += amount.min(0.0),
         }
-        // Late totals have been recorded at their timeout; a call cut off in time says nothing about the counter's latency.
+        // A late reply was recorded when its call timed out; a call that ended earlier without a reply says nothing about the
+        // counter's latency.
         let (caller, timeout) = (self.pending_calls.remove(&serial), self.counter_timeout());
         let in_time = now - sent_at <= timeout;
         let timed_out = has_caller && caller.is_none();
--- a/crates/admission/src/marks.rs
+++ b/crates/admission/src/marks.rs
@@ -6,8 +6,8 @@
 use crate::state::{CounterContinuation, PendingCaller};
 
 impl Admission {
-    /// Handles a request beyond tier `tier_index`: uses the next tier that is active or may be entered, and rejects the request
-    /// if none is left.
+    /// Handles a request that does not fit into tier `tier_index`: uses the next tier that is active or may be entered, and
+    /// rejects the request if none is left.
     pub(crate) fn try_next_tier(&mut self, driver: &mut dyn Driver, id: u32, tier_index: usize, wait: f64) {
         // Share of a tier's period after which its marks are read again.
         const RECHECK_SHARE: f64 = 0.25;
--- a/crates/admission/src/quota.rs
+++ b/crates/admission/src/quota.rs
@@ -157,7 +157,8 @@
             let own_units = gateway.counters.get(&closed_key).map_or(0.0, |entry| entry.wanted);
             let Some(customer_state) = gateway.customers.get_mut(&customer) else { return };
             let share = customer_state.local_share;
-            // A closed window with less than this gateway sent was lost by the counter: use the own units and share instead.
+            // A total below what this gateway added shows that the counter lost the key: the own units and share give an estimate
+            // of the total instead.
             let reply = reply.filter(|total| total + 0.01 >= own_units);
             let Some(total) = total_to_evaluate else {
                 let undrained = reply.map_or(0.0, |total| (total - tier.limit).clamp(0.0, tier.limit));
@@ -185,9 +186,10 @@
 
     /// Decides without the counter, from the units that remained at the last update. Past use keeps draining, and each request
     /// seen here also represents those at other gateways, by the local share. The remaining units may become negative, down to
-    /// minus one burst, the further the older the last total is: otherwise one request a minute of a customer spread over
-    /// fifty gateways would be rejected. A share that is far too low does harm here. Most requests rejected on an estimate are
-    /// within their quota, so the cheaper overage is, the larger the extra allowance, granted once for the whole fleet.
+    /// minus one burst, and the further the older the last total is: otherwise one request a minute of a customer spread over
+    /// fifty gateways would be rejected. A share that is far too low makes each request cost too much. Most requests that are
+    /// rejected on an estimate are within their quota, so there is an extra allowance, granted once for the whole fleet: the
+    /// cheaper overage is, the larger it is.
     pub(crate) fn decide_locally(&mut self, driver: &mut dyn Driver, id: u32) {
         // A share learned from a single closed window may be close to 0; more than a thousand gateways are unlikely.
         const MIN_SHARE: f64 = 0.001;
@@ -211,7 +213,7 @@
                 return self.dispatch(driver, id);
             }
         }
-        // The rejection rests on an estimate, so the client's next try should come soon enough to ask the counter in time.
+        // The rejection is based on an estimate, so the client should retry soon enough to ask the counter in time.
         self.refund(driver, id);
         self.reject_overloaded(driver, id);
     }
--- a/crates/consensus/src/acceptor.rs
+++ b/crates/consensus/src/acceptor.rs
@@ -93,13 +93,14 @@
             .collect();
     }
 
-    /// Returns the registers for which this acceptor doesn't count until it accepts a value again.
+    /// Returns the registers for which this acceptor is not counted in a majority until it accepts a value
+    /// again.
     pub fn transferred(&self) -> Vec<Register> {
         self.transferred.iter().copied().collect()
     }
 
-    /// Returns whether this acceptor has everything that it ever promised and accepted, so that it may be
-    /// counted in a majority.
+    /// Returns whether this acceptor knows every promise that it made and every value that it accepted, so
+    /// that it may be counted in a majority.
     pub fn is_recovered(&self) -> bool {
         matches!(self.recovery, RecoveryState::Recovered)
     }
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -166,7 +166,7 @@
 
     /// Returns whether this node may shut down without harm to the voter set. A voter may if no node could
     /// replace it and all other voters are healthy. Any other node may once all reachable voters know the
-    /// set: a node that alone could report the new set must not take that knowledge with it.
+    /// set: if this node alone could report the new set, the others would not learn it after the shutdown.
     pub fn may_shut_down(&self, now: f64) -> bool {
         let detector = &self.failure_detector;
         if self.voter_set.contains(self.id) {
--- a/crates/consensus/src/proposer.rs
+++ b/crates/consensus/src/proposer.rs
@@ -73,8 +73,8 @@
         self.committed.get(&register)
     }
 
-    /// Returns the time as of which [`Proposer::committed`] is confirmed to be the newest value: when the
-    /// read request was sent that a majority replied to.
+    /// Returns the time as of which [`Proposer::committed`] is confirmed to be the newest value. This is the
+    /// time at which the read request that a majority replied to was sent.
     pub fn confirmed(&self, register: Register) -> Option<f64> {
         self.quorum_read.confirmed(register)
     }
