--- a/crates/gateway/tests/sockets/attempts.rs
+++ b/crates/gateway/tests/sockets/attempts.rs
@@ -66,7 +66,7 @@
 
 #[test]
 fn request_that_never_ran_is_retried_at_another_host() {
-    let closed_address = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let closed_address = unused_address();
     for behavior in [HostBehavior::ResetsOnAccept, HostBehavior::Declines, HostBehavior::Answers] {
         let mut hosts = [Host::start(behavior), Host::start(HostBehavior::Answers)];
         if behavior == HostBehavior::Answers {
--- a/crates/gateway/tests/sockets/counter.rs
+++ b/crates/gateway/tests/sockets/counter.rs
@@ -5,7 +5,7 @@
 #[test]
 fn requests_are_answered_while_the_counter_is_down_hangs_or_rejects() {
     let hosts = [Host::start(HostBehavior::Answers)];
-    let unreachable = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let unreachable = unused_address();
     for (name, address) in [
         ("dead", unreachable),
         ("hangs", start_counter(CounterBehavior::Hangs).0),
@@ -21,8 +21,7 @@
 #[test]
 fn counter_that_returns_is_called_again() {
     let hosts = [Host::start(HostBehavior::Answers)];
-    // On the shared loopback address another test could bind the port before the counter returns.
-    let address = TcpListener::bind("127.0.0.2:0").unwrap().local_addr().unwrap();
+    let address = unused_address();
     let gateway = start_gateway_with_counter("back", address, &hosts);
     (0..5).for_each(|id| assert_eq!(gateway.send(&lookup_request(id)).0, 200));
     let (_, calls) = start_counter_at(address, CounterBehavior::Counts);
--- a/crates/gateway/tests/sockets/main.rs
+++ b/crates/gateway/tests/sockets/main.rs
@@ -12,7 +12,7 @@
 use serde_json::{Value, json};
 use std::collections::HashMap;
 use std::io::{BufReader, Read, Write};
-use std::net::{TcpListener, TcpStream};
+use std::net::TcpStream;
 use std::sync::atomic::Ordering;
 use std::thread::sleep;
 use std::time::Instant;
@@ -23,4 +23,4 @@
     start_gateway_with_counter, start_with_configuration, unused_id, write_configuration,
 };
 use support::host::{Host, HostBehavior};
-use support::{TEST_TIMEOUT, ms, read_message, wait_until};
+use support::{TEST_TIMEOUT, ms, read_message, unused_address, wait_until};
--- a/crates/gateway/tests/sockets/process.rs
+++ b/crates/gateway/tests/sockets/process.rs
@@ -121,7 +121,11 @@
         gateway.send(&lookup_request(unused_id())).0 == 200 && new.1.load(Ordering::SeqCst) > 0
     });
     let (removed_host_requests, old_counter_calls) = (hosts[0].request_count(), old.1.load(Ordering::SeqCst));
-    for (reload, text) in ["{", &configuration.to_string().replace("127.0.0.1", "there")].iter().enumerate() {
+    let without_ips = configuration
+        .to_string()
+        .replace("127.0.0.1", "there")
+        .replace(&gateway.address.ip().to_string(), "there");
+    for (reload, text) in ["{", &without_ips].iter().enumerate() {
         write_configuration("again", text);
         gateway.signal(Signal::HUP);
         sleep(ms(50));
--- a/crates/gateway/tests/sockets/support/gateway.rs
+++ b/crates/gateway/tests/sockets/support/gateway.rs
@@ -3,11 +3,11 @@
 use super::counter::{CounterBehavior, start_counter};
 use super::discovery::{Discovery, host_entry};
 use super::host::Host;
-use super::{TEST_TIMEOUT, read_message, wait_until};
+use super::{TEST_TIMEOUT, read_message, unused_address, wait_until};
 use rustix::process::Signal;
 use serde_json::{Value, json};
 use std::io::{BufReader, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::net::{SocketAddr, TcpStream};
 use std::process::{Child, Command, Stdio};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
@@ -25,16 +25,15 @@
     }
 }
 
-/// A configuration with a free port to listen on and one gateway; the hosts are cached as ready.
+/// A configuration with an unused address to listen on and one gateway; the hosts are cached as ready.
 pub fn gateway_configuration(counter: SocketAddr, discovery: SocketAddr, hosts: &[Host]) -> Value {
-    let listen = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let class = |name: &str, effect: &str, scope: &str| {
         json!({"name": name, "on-time-us": 300_000, "deadline-us": 3_000_000, "effect": effect,
             "key-scope": scope, "memory-span-us": 10_000_000, "late-share": 1})
     };
     let entries: Vec<Value> =
         hosts.iter().enumerate().map(|(n, host)| host_entry(n, host, "ready")).collect();
-    json!({"name": "n0", "listen": listen.to_string(), "discovery": discovery.to_string(),
+    json!({"name": "n0", "listen": unused_address().to_string(), "discovery": discovery.to_string(),
         "counter": counter.to_string(), "seed": "92094eb940cf389a", "peers": [],
         "known": {"version": 1, "full": true, "servers": entries},
         "settings": {
--- a/crates/gateway/tests/sockets/support/mod.rs
+++ b/crates/gateway/tests/sockets/support/mod.rs
@@ -7,7 +7,8 @@
 
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read};
-use std::net::TcpStream;
+use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
+use std::sync::atomic::{AtomicU8, Ordering};
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
@@ -18,6 +19,18 @@
     Duration::from_millis(count)
 }
 
+/// Returns a free port on a loopback IP address of its own, for a listener that starts later or never.
+///
+/// On an address that others use, another test or another process could bind the port first; the test would then speak
+/// to the wrong server. The IP address is made from the process ID and a count and is never in 127.0.0.0/24.
+pub fn unused_address() -> SocketAddr {
+    static NEXT: AtomicU8 = AtomicU8::new(1);
+    let [high, low] = ((std::process::id() % 0xffff) as u16 + 1).to_be_bytes();
+    let count = NEXT.fetch_add(1, Ordering::SeqCst);
+    assert!((1..255).contains(&count), "the process has used all of its loopback addresses");
+    TcpListener::bind((Ipv4Addr::new(127, high, low, count), 0)).unwrap().local_addr().unwrap()
+}
+
 /// Waits until a condition holds; fails with its description after [`TEST_TIMEOUT`].
 pub fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
     let started = Instant::now();
